--- /dev/null
+++ b/src/transport/datagram_socket.cpp
@@ -0,0 +1,45 @@
+#include "transport/datagram_socket.h"
+
+#include <array>
+
+#include "transport/loop.h"
+#include "transport/sockets.h"
+
+namespace rushhill::transport {
+namespace {
+
+constexpr int heard_at_once = 64;            // datagrams an iteration, so that connections get their part
+constexpr std::size_t most_datagram = 2048;  // bytes; far above what peers may send
+
+}  // namespace
+
+DatagramSocket::DatagramSocket(Loop& loop, FileDescriptor socket, Heard heard)
+    : loop_(loop), socket_(std::move(socket)), heard_(std::move(heard)) {
+  set_non_blocking(socket_);
+  loop_.watch(socket_.number(), *this, {.readable = true});
+}
+
+DatagramSocket::~DatagramSocket() { loop_.watch(socket_.number(), *this, {}); }
+
+Address DatagramSocket::address() const { return local_address(loop_.system(), socket_); }
+
+bool DatagramSocket::send(const Address& to, std::string_view bytes) {
+  const auto sent = loop_.system().sendto(socket_.number(), bytes.data(), bytes.size(),
+                                          MSG_DONTWAIT | MSG_NOSIGNAL, to.addr(), to.length());
+  return sent == static_cast<ssize_t>(bytes.size());
+}
+
+void DatagramSocket::on_readable() {
+  for (int i = 0; i < heard_at_once; ++i) {
+    std::array<char, most_datagram> bytes{};
+    sockaddr_storage from{};
+    socklen_t length = sizeof from;
+    const auto got = loop_.system().recvfrom(socket_.number(), bytes.data(), bytes.size(), MSG_DONTWAIT,
+                                             reinterpret_cast<sockaddr*>(&from), &length);
+    if (got < 0) return;
+    heard_(Address(reinterpret_cast<const sockaddr*>(&from), length),
+           {bytes.data(), static_cast<std::size_t>(got)});
+  }
+}
+
+}  // namespace rushhill::transport
--- /dev/null
+++ b/src/transport/file_descriptor.h
@@ -0,0 +1,37 @@
+// An open file descriptor with one owner, closed when that goes.
+#pragma once
+
+#include <utility>
+
+#include "transport/system_calls.h"
+
+namespace rushhill::transport {
+
+class FileDescriptor {
+ public:
+  FileDescriptor() = default;
+  FileDescriptor(SystemCalls& system, int number) : system_(&system), number_(number) {}
+  FileDescriptor(FileDescriptor&& other) noexcept
+      : system_(other.system_), number_(std::exchange(other.number_, -1)) {}
+  FileDescriptor& operator=(FileDescriptor&& other) noexcept {
+    std::swap(system_, other.system_);
+    std::swap(number_, other.number_);
+    return *this;
+  }
+  FileDescriptor(const FileDescriptor&) = delete;
+  FileDescriptor& operator=(const FileDescriptor&) = delete;
+  ~FileDescriptor() { close(); }
+
+  int number() const { return number_; }  // -1: none is open
+  bool open() const { return number_ >= 0; }
+  // Linux has released the number also where close() reports a failure, so it is never called again.
+  void close() {
+    if (open()) system_->close(std::exchange(number_, -1));
+  }
+
+ private:
+  SystemCalls* system_ = nullptr;
+  int number_ = -1;
+};
+
+}  // namespace rushhill::transport
--- /dev/null
+++ b/src/transport/system_calls.h
@@ -0,0 +1,50 @@
+// The operating system's calls that the event loop makes, behind one interface, so that a test can make each
+// of them fail in every documented way. Each member behaves as the call of the same name: -1 and errno on
+// failure.
+#pragma once
+
+#include <sys/epoll.h>
+#include <sys/socket.h>
+#include <sys/types.h>
+
+#include <cstddef>
+#include <cstdint>
+
+namespace rushhill::transport {
+
+class SystemCalls {
+ public:
+  SystemCalls() = default;
+  SystemCalls(const SystemCalls&) = delete;
+  SystemCalls& operator=(const SystemCalls&) = delete;
+  virtual ~SystemCalls() = default;
+
+  virtual int socket(int domain, int type, int protocol);
+  virtual int bind(int descriptor, const sockaddr* address, socklen_t length);
+  virtual int listen(int descriptor, int backlog);
+  virtual int connect(int descriptor, const sockaddr* address, socklen_t length);
+  virtual int accept4(int descriptor, sockaddr* address, socklen_t* length, int flags);
+  virtual ssize_t send(int descriptor, const void* bytes, std::size_t count, int flags);
+  virtual ssize_t recv(int descriptor, void* bytes, std::size_t count, int flags);
+  virtual ssize_t sendto(int descriptor, const void* bytes, std::size_t count, int flags, const sockaddr* to,
+                         socklen_t length);
+  virtual ssize_t recvfrom(int descriptor, void* bytes, std::size_t count, int flags, sockaddr* from,
+                           socklen_t* length);
+  virtual int shutdown(int descriptor, int how);
+  virtual int setsockopt(int descriptor, int level, int name, const void* value, socklen_t length);
+  virtual int getsockopt(int descriptor, int level, int name, void* value, socklen_t* length);
+  virtual int getsockname(int descriptor, sockaddr* address, socklen_t* length);
+  virtual int close(int descriptor);
+
+  virtual int epoll_create1(int flags);
+  virtual int epoll_ctl(int poller, int operation, int descriptor, epoll_event* event);
+  virtual int epoll_wait(int poller, epoll_event* events, int most, int timeout_ms);
+
+  // The calendar's clock, which may be stepped; in nanoseconds since 1970.
+  virtual std::int64_t unix_ns();
+
+  // The calls themselves, for all who ask for no others.
+  static SystemCalls& real();
+};
+
+}  // namespace rushhill::transport
--- a/tests/transport/server_pool_test.cpp
+++ b/tests/transport/server_pool_test.cpp
@@ -2,6 +2,8 @@
 // ending that is known for certain.
 #include "transport/server_pool.h"
 
+#include <Poco/Net/ServerSocket.h>
+
 #include "loopback.h"
 #include "transport/loop.h"
 
--- a/tests/transport/transport_test.cpp
+++ b/tests/transport/transport_test.cpp
@@ -1,4 +1,7 @@
 // Alarms, datagrams between routers, and what a stream does when its peer does not read.
+#include <Poco/Net/DatagramSocket.h>
+#include <Poco/Net/ServerSocket.h>
+#include <Poco/Net/StreamSocket.h>
 #include <linux/filter.h>
 #include <linux/seccomp.h>
 #include <sys/prctl.h>
