--- a/src/standin/day.cpp
+++ b/src/standin/day.cpp
@@ -65,6 +65,14 @@
   const auto it = std::ranges::find(types, name, &TypeMake::name);
   return it == types.end() ? nullptr : &*it;
 }
+double Day::mean_work() const {
+  double work = 0, weight = 0;
+  for (const FunctionMake& make : functions) {
+    work += make.weight * static_cast<double>(make.work);
+    weight += make.weight;
+  }
+  return work / weight;
+}
 Time Day::span() const { return static_cast<Time>(static_cast<double>(events) / rate * 10'000); }
 
 std::string to_json(const Day& day) {
--- a/src/standin/day.h
+++ b/src/standin/day.h
@@ -122,7 +122,8 @@
 
   const FunctionMake* function(std::string_view name) const;
   const TypeMake* type(std::string_view name) const;
-  Time span() const;  // of the traffic
+  Time span() const;         // of the traffic
+  double mean_work() const;  // of a request, on a standard core
 };
 
 const char* name_of(TroubleKind kind);
--- a/tests/emulator/emulation_test.cpp
+++ b/tests/emulator/emulation_test.cpp
@@ -3,6 +3,8 @@
 
 #include <gtest/gtest.h>
 
+#include <algorithm>
+
 #include "checker/judge.h"
 
 namespace rushhill::emulator {
@@ -12,6 +14,7 @@
   std::string trace;
   checker::Verdict verdict;
   Spent spent;
+  std::int64_t falls = 0;  // of servers
 };
 
 Played play(const standin::Day& day) {
@@ -22,6 +25,7 @@
   Played played;
   played.spent = emulation.run();
   played.trace = record.digest();
+  played.falls = std::ranges::count_if(seen, [](const auto& line) { return line.at("what") == "fell"; });
   played.verdict = checker::judge(nlohmann::json::parse(standin::to_json(day)), seen);
   return played;
 }
@@ -60,6 +64,32 @@
   EXPECT_GT(played.verdict.due_share, 0.5);
 }
 
+// Of so many seconds' lag of the roster: every server dies before the first request and is back cold at once.
+standin::Day day_of_cold_servers(double roster_lag) {
+  standin::Day day = standin::scripted_bad_day(800, 300, 1019);
+  day.servers.resize(3);
+  day.roster_lag_least = day.roster_lag_most = 0;
+  day.troubles = {{standin::TroubleKind::roster_lag, 0, 2 * day.span(), roster_lag, {}, 0}};
+  for (const auto& server : day.servers)
+    day.troubles.push_back({standin::TroubleKind::crash, 1, 1, 1, {server.id}, 0});
+  return day;
+}
+
+// Seen on seed 1019: the roster lagged, a server was back cold, and routers that could not know of it sent it
+// what it bears when warm.
+TEST(EmulatedDay, ServersThatFallBeforeAnyRouterIsToldOfTheirStartBreakNoRule) {
+  const Played played = play(day_of_cold_servers(10));
+  EXPECT_GT(played.falls, 0);
+  EXPECT_EQ(played.verdict.rules.at("4 cold servers not pushed over").breaks, 0)
+      << checker::as_text(played.verdict);
+}
+
+TEST(EmulatedDay, NoServerFallsOnTheSameDayWhereTheRosterTellsOfTheStart) {
+  const Played played = play(day_of_cold_servers(0));
+  EXPECT_EQ(played.falls, 0);
+  EXPECT_TRUE(played.verdict.good()) << checker::as_text(played.verdict);
+}
+
 TEST(EmulatedDay, WithoutAServerEverythingIsShedAndTheDayStillEnds) {
   standin::Day day = standin::scripted_bad_day(100, 100, 1);
   day.troubles.clear();
