--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -495,5 +495,87 @@
 INSTANTIATE_TEST_SUITE_P(Shapes, ColdShapes, testing::ValuesIn(shapes()),
                          [](const auto& shape) { return shape.param.name; });
 
+// The ramp's arithmetic alone, as in decide.cpp, over a grid of N and routers. Each router guesses N from
+// its own load; credit stands unspent until all of it is asked for at once, and from then on at every turn.
+struct Ramp {
+  double n;
+  int routers;
+  bool skewed;  // the first router has five times the mean load
+  std::uint32_t seed;
+};
+
+constexpr double few_calls = 30;
+double leeway(double n) { return n < few_calls ? 3 * std::sqrt(n) + 3 : 2 * std::sqrt(n) + 2; }
+
+// The most that all routers may hold unspent and get within a span, as one of them guesses N.
+using MostInSpan = double (*)(double n);
+double concave_most(double n) {
+  if (n >= few_calls) return n + leeway(n);
+  const double slope = 1 + 1 / std::sqrt(few_calls);
+  return std::min(n + leeway(n), few_calls + leeway(few_calls) - slope * (few_calls - n));
+}
+double concave_with_margin(double n) { return concave_most(n) - 1; }
+double rule_itself(double n) { return n + leeway(n); }
+
+// The most calls beyond N in any window of the span, over what the rule leaves to chance.
+double worst_excess_of(const Ramp& play, MostInSpan most) {
+  constexpr double part_coming_in = 0.75, golden_step = 0.6180339887498949;
+  constexpr int turns_a_span = 15, turns = 120;
+  std::mt19937 chance(play.seed);
+  const auto routers = static_cast<std::size_t>(play.routers);
+  std::vector<double> loads(routers, 1 / static_cast<double>(routers));
+  if (play.skewed) {
+    const double first = std::min(0.9, 5 / static_cast<double>(routers));
+    std::ranges::fill(loads, (1 - first) / static_cast<double>(routers - 1));
+    loads[0] = first;
+  }
+  std::vector<double> credits(routers);
+  const double phase = std::uniform_real_distribution<double>(0, 1)(chance);
+  for (std::size_t i = 0; i < routers; ++i)
+    credits[i] = std::fmod(static_cast<double>(i) * golden_step + phase, 1.0);
+  const int asked_from = std::uniform_int_distribution<int>(1, 60)(chance);
+  std::deque<int> window;
+  double worst = -1;
+  for (int turn = 1; turn <= turns; ++turn) {
+    while (!window.empty() && window.front() <= turn - turns_a_span) window.pop_front();
+    for (std::size_t i = 0; i < routers; ++i) {
+      const double guess = play.n * loads[i] * static_cast<double>(routers);
+      const double part = part_coming_in * play.n * loads[i];
+      credits[i] += part / turns_a_span;
+      const double unspent = (most(guess) - part_coming_in * guess) / static_cast<double>(routers);
+      credits[i] -= std::floor(std::max(credits[i] - unspent, 0.0));
+      const double ahead = std::max(0.0, 1 - static_cast<double>(turn) / turns_a_span) * part;
+      if (turn < asked_from) continue;
+      for (; credits[i] + ahead >= 1; credits[i] -= 1) window.push_back(turn);
+    }
+    worst = std::max(worst, (static_cast<double>(window.size()) - play.n) / leeway(play.n));
+  }
+  return worst;
+}
+
+double worst_over_the_grid(MostInSpan most) {
+  double worst = -1;
+  for (const double n : {1, 2, 3, 5, 8, 14, 20, 25, 29, 30, 31, 40, 60, 100, 150, 200}) {
+    for (const int routers : {2, 3, 6, 10, 24, 60, 100, 200, 300}) {
+      for (const bool skewed : {false, true}) {
+        for (std::uint32_t seed = 1; seed <= 10; ++seed) {
+          const Ramp play{.n = n, .routers = routers, .skewed = skewed, .seed = seed * 7'919};
+          worst = std::max(worst, worst_excess_of(play, most));
+        }
+      }
+    }
+  }
+  return worst;
+}
+
+TEST(ColdCredit, UnspentCreditOfAllRoutersStaysWithinTheRule) {
+  EXPECT_LE(worst_over_the_grid(concave_with_margin), 1);
+}
+
+// Why not the rule's own leeway: routers with little load guess an N under 30 where it is 30 and more.
+TEST(ColdCredit, TheRulesOwnLeewayByEachGuessWouldBreakTheRule) {
+  EXPECT_GT(worst_over_the_grid(rule_itself), 1);
+}
+
 }  // namespace
 }  // namespace rushhill
