--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -1,12 +1,15 @@
 #include "command/serve.h"
 
 #include <csignal>
-#include <fstream>
+#include <cstdlib>
 #include <iostream>
 #include <random>
+#include <string>
 
 #include "log/diary.h"
 #include "router/router_process.h"
+#include "standin/faulty_file_system.h"
+#include "storage/files.h"
 #include "transport/descriptors.h"
 #include "transport/loop.h"
 
@@ -16,6 +19,22 @@
 volatile std::sig_atomic_t asked_to_end = 0;
 void on_signal(int) { asked_to_end = 1; }
 
+constexpr const char* storage_faults_variable = "RUSHHILL_STORAGE_FAULTS";
+
+int exit_code(router::RouterProcess& router) { return router.gateway().open() == 0 ? 0 : 3; }
+
+// For acceptance days: files fail by a plan drawn from the seed in the variable and the router's number.
+router::StorageAccess storage_access(const transport::Reactor& reactor, int router, core::Diary& diary) {
+  router::StorageAccess access;
+  const char* seed = std::getenv(storage_faults_variable);
+  if (seed == nullptr) return access;
+  diary.line(core::Level::warning, "storage faults are injected", {{"seed", seed}});
+  const std::uint64_t drawn_from = std::stoull(seed) * 1'000 + static_cast<std::uint64_t>(router);
+  access.files = std::make_shared<standin::FaultyFileSystem>(
+      access.files, standin::seeded_storage_faults(drawn_from, [&reactor] { return reactor.now(); }));
+  return access;
+}
+
 }  // namespace
 
 int serve(const deployment::Program& program, const std::string& tally_path) {
@@ -29,7 +48,8 @@
   transport::Loop reactor;
   deployment::Program counted = program;
   counted.descriptors = transport::descriptors_left(0);
-  router::RouterProcess router(reactor, counted, seed, diary);
+  const router::StorageAccess storage = storage_access(reactor, program.module.me, diary);
+  router::RouterProcess router(reactor, counted, seed, diary, storage);
   std::cout << "ready " << router.address().toString() << std::endl;
   reactor.every_turn([&] {
     if (asked_to_end != 0) router.wind_up([&] { reactor.halt(); });
@@ -37,8 +57,11 @@
   reactor.run();
   const std::string tally = router.tally();
   diary.line(core::Level::info, "ended", {{"tally", tally}});
-  if (!tally_path.empty()) std::ofstream(tally_path, std::ios::app) << tally << '\n';
-  return router.gateway().open() == 0 ? 0 : 3;
+  if (tally_path.empty()) return exit_code(router);
+  if (const storage::Failure failure = storage::append_to_file(*storage.files, tally_path, tally + "\n"))
+    diary.line(core::Level::warning, "counts cannot be written",
+               {{"file", tally_path}, {"reason", storage::describe(*failure)}});
+  return exit_code(router);
 }
 
 }  // namespace rushhill::command
--- a/src/frontends/http_front.cpp
+++ b/src/frontends/http_front.cpp
@@ -203,9 +203,10 @@
     }
     if (path == "/metrics") {
       if (request.method != "GET") return not_allowed("GET");
-      return answer({.status = 200,
-                     .headers = {{"content-type", "text/plain; version=0.0.4"}},
-                     .body = to_prometheus(front_.counts_)});
+      return answer(
+          {.status = 200,
+           .headers = {{"content-type", "text/plain; version=0.0.4"}},
+           .body = to_prometheus(front_.counts_) + (front_.more_metrics_ ? front_.more_metrics_() : "")});
     }
     if (path != "/") return answer(problem(404, "unknown-path", true, "events are sent to /"));
     if (request.method != "POST") return not_allowed("POST");
--- a/src/frontends/http_front.h
+++ b/src/frontends/http_front.h
@@ -40,6 +40,8 @@
   void ready(bool on) { ready_ = on; }  // what /health/ready says
   // And how far the router is, in words for people, on a line of its own.
   void standing(std::function<std::string()> words) { standing_ = std::move(words); }
+  // What /metrics shows beside the counts of requests, in the same format.
+  void more_metrics(std::function<std::string()> metrics) { more_metrics_ = std::move(metrics); }
 
   // Takes no further connection; those that stand are answered with Connection: close.
   void wind_up();
@@ -60,7 +62,7 @@
   admission::Shares::Source source_;
   RequestCounts counts_;  // outlives the connections
   bool ready_ = false, winding_up_ = false;
-  std::function<std::string()> standing_;
+  std::function<std::string()> standing_, more_metrics_;
   std::unique_ptr<transport::Listener> listener_;
   std::map<Connection*, std::shared_ptr<Connection>, transport::ByNumber> connections_;
   Eviction<Connection> eviction_;
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -3,11 +3,8 @@
 #include <sys/resource.h>
 
 #include <algorithm>
-#include <cstdio>
-#include <fstream>
 #include <functional>
 #include <nlohmann/json.hpp>
-#include <stdexcept>
 #include <utility>
 
 #include "transport/descriptors.h"
@@ -29,23 +26,6 @@
   void reload() override {}
 } no_roster;
 
-// The last list as it was remembered, read before anything is served; a broken file is told and left alone.
-membership::RosterWord recall(const transport::Reactor& reactor, const std::string& path,
-                              core::Diary& diary) {
-  std::ifstream in(path);
-  std::string line;
-  if (path.empty() || !std::getline(in, line)) return {.form = RosterForm::remembered};
-  try {
-    membership::RosterWord word = membership::read_word(line, membership::wall_offset_now(reactor));
-    word.form = RosterForm::remembered;
-    return word;
-  } catch (const std::invalid_argument& wrong) {
-    diary.line(Level::warning, "remembered roster cannot be read",
-               {{"file", path}, {"reason", wrong.what()}});
-    return {.form = RosterForm::remembered};
-  }
-}
-
 // Descriptors that no client and no server gets: the listeners', the roster's, the broker's for each topic,
 // the links' between routers, the file's of the remembered list or of the counts, and one of a client that is
 // refused. The log's is open before any is counted.
@@ -67,6 +47,12 @@
   return program;
 }
 
+membership::RosterWord whole_list(const membership::Remembered& remembered) {
+  membership::RosterWord list = remembered.whole();
+  list.form = RosterForm::complete;
+  return list;
+}
+
 double seconds(const timeval& of) {
   return static_cast<double>(of.tv_sec) + static_cast<double>(of.tv_usec) / 1e6;
 }
@@ -74,7 +60,7 @@
 }  // namespace
 
 RouterProcess::RouterProcess(transport::Reactor& reactor, const deployment::Program& program,
-                             std::uint64_t seed, core::Diary& diary)
+                             std::uint64_t seed, core::Diary& diary, const StorageAccess& storage)
     : reactor_(reactor), program_(bounded(program)), server_connections_(shares_of(program).servers),
       diary_(diary), pool_(reactor,
                            {.router = program.module.me,
@@ -102,8 +88,18 @@
                         program.roster.retry, seed, diary,
                         [this](RosterForm form, const std::vector<core::RosterEntry>& entries) {
                           gateway_.roster(form, entries);
-                          if (form != RosterForm::failed) front_.ready(true);
+                          if (form == RosterForm::failed) return;
+                          front_.ready(true);
+                          if (remembered_list_) remembered_list_->changed();
                         })),
+      remembered_list_(!roster_ || program.roster.remembered.empty()
+                           ? nullptr
+                           : std::make_unique<RememberedEndpointList>(
+                                 reactor, diary, storage, program.roster.remembered, seed,
+                                 [this] {
+                                   return EndpointListSnapshot{.list = whole_list(roster_->remembered()),
+                                                               .wall_offset = roster_->wall_offset()};
+                                 })),
       gateway_(program.module, seed,
                {.clock = reactor,
                 .carrier = pool_,
@@ -122,7 +118,9 @@
               .come_back = program.module.retry_advice ? program.module.longest_retry_advice : 0}) {
   pool_.report_to(gateway_);
   if (shared_) front_.standing([this] { return shared_->standing(); });
-  const membership::RosterWord recalled = recall(reactor, program.roster.remembered, diary);
+  if (remembered_list_) front_.more_metrics([this] { return to_prometheus(remembered_list_->writes()); });
+  const membership::RosterWord recalled = read_remembered_list(*storage.files, program.roster.remembered,
+                                                               membership::wall_offset_now(reactor), diary);
   gateway_.roster(recalled.form, recalled.entries);
   if (roster_ && !program.module.roster_on_request) roster_->follow(true);
   if (!program.mqtt.address.empty())
@@ -133,18 +131,7 @@
   diary.line(Level::info, "serving", {{"address", address_.toString()}, {"seed", std::to_string(seed)}});
 }
 
-RouterProcess::~RouterProcess() { remember(); }
-
-void RouterProcess::remember() const {
-  const std::string& path = program_.roster.remembered;
-  if (path.empty() || !roster_ || !roster_->heard_any()) return;
-  membership::RosterWord word = roster_->remembered().whole();
-  word.form = RosterForm::complete;
-  const std::string part = path + ".part";
-  std::ofstream(part) << membership::write_word(word, roster_->wall_offset()) << '\n';
-  if (std::rename(part.c_str(), path.c_str()) != 0)
-    diary_.line(Level::warning, "roster cannot be remembered", {{"file", path}});
-}
+RouterProcess::~RouterProcess() = default;
 
 void RouterProcess::wind_up(std::function<void()> ended) {
   if (winding_up()) return;
@@ -152,6 +139,7 @@
   diary_.line(Level::info, "winding up", {{"open", std::to_string(gateway_.open())}});
   front_.wind_up();
   if (mqtt_) mqtt_->wind_up();
+  if (remembered_list_) remembered_list_->flush();
   wait_for_end(ended);
 }
 
--- a/src/router/router_process.h
+++ b/src/router/router_process.h
@@ -12,6 +12,7 @@
 #include "frontends/http_front.h"
 #include "frontends/mqtt_front.h"
 #include "membership/roster_client.h"
+#include "router/remembered_endpoint_list.h"
 #include "router/shared_state.h"
 #include "transport/peer_links.h"
 #include "transport/reactor.h"
@@ -23,7 +24,7 @@
  public:
   // Listens at once; throws where an address cannot be had.
   RouterProcess(transport::Reactor& reactor, const deployment::Program& program, std::uint64_t seed,
-                core::Diary& diary);
+                core::Diary& diary, const StorageAccess& storage = {});
   ~RouterProcess();
   RouterProcess(const RouterProcess&) = delete;
   RouterProcess& operator=(const RouterProcess&) = delete;
@@ -40,7 +41,6 @@
   std::string tally() const;
 
  private:
-  void remember() const;
   void wait_for_end(const std::function<void()>& ended);
 
   transport::Reactor& reactor_;
@@ -51,6 +51,7 @@
   std::unique_ptr<transport::PeerLinks> peers_;
   std::unique_ptr<SharedState> shared_;  // none: nothing is held together
   std::unique_ptr<membership::RosterClient> roster_;
+  std::unique_ptr<RememberedEndpointList> remembered_list_;  // none: no file is named for it
   core::Gateway gateway_;
   core::Intake intake_;
   frontends::HttpFront front_;
--- /dev/null
+++ b/src/storage/file_system.cpp
@@ -0,0 +1,91 @@
+#include "storage/file_system.h"
+
+#include <fcntl.h>
+#include <unistd.h>
+
+#include <cerrno>
+#include <cstdio>
+#include <system_error>
+
+namespace rushhill::storage {
+namespace {
+
+constexpr mode_t new_file_mode = 0666;  // less the process's umask
+
+int error_of(int returned) { return returned == 0 ? 0 : errno; }
+
+int flags_of(OpenMode mode) {
+  switch (mode) {
+    case OpenMode::read:
+      return O_RDONLY | O_CLOEXEC | O_NONBLOCK;  // a FIFO by that name must not block
+    case OpenMode::replace:
+      return O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC;
+    case OpenMode::append:
+      return O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC;
+    case OpenMode::directory:
+      break;
+  }
+  return O_RDONLY | O_DIRECTORY | O_CLOEXEC;
+}
+
+class SystemFiles final : public FileSystem {
+ public:
+  OpenResult open(const std::string& path, OpenMode mode) override {
+    const int descriptor = ::open(path.c_str(), flags_of(mode), new_file_mode);
+    return {.descriptor = descriptor, .error_number = descriptor >= 0 ? 0 : errno};
+  }
+  TransferResult read(int descriptor, char* into, std::size_t most) override {
+    return transferred(::read(descriptor, into, most));
+  }
+  TransferResult write(int descriptor, std::string_view bytes) override {
+    return transferred(::write(descriptor, bytes.data(), bytes.size()));
+  }
+  int sync(int descriptor, bool) override { return error_of(::fsync(descriptor)); }
+  int close(int descriptor, bool) override { return error_of(::close(descriptor)); }
+  int rename(const std::string& from, const std::string& to) override {
+    return error_of(std::rename(from.c_str(), to.c_str()));
+  }
+  int remove(const std::string& path) override { return error_of(::unlink(path.c_str())); }
+
+ private:
+  static TransferResult transferred(ssize_t returned) {
+    if (returned < 0) return {.error_number = errno};
+    return {.bytes = static_cast<std::size_t>(returned)};
+  }
+};
+
+}  // namespace
+
+const char* name_of(Operation operation) {
+  switch (operation) {
+    case Operation::start:
+      return "start";
+    case Operation::open:
+      return "open";
+    case Operation::read:
+      return "read";
+    case Operation::write:
+      return "write";
+    case Operation::sync:
+      return "sync";
+    case Operation::close:
+      return "close";
+    case Operation::rename:
+      return "rename";
+    case Operation::open_directory:
+      return "open_directory";
+    case Operation::sync_directory:
+      return "sync_directory";
+    case Operation::close_directory:
+      break;
+  }
+  return "close_directory";
+}
+
+std::string describe(const StorageError& error) {
+  return std::string(name_of(error.operation)) + ": " + std::generic_category().message(error.error_number);
+}
+
+std::shared_ptr<FileSystem> system_files() { return std::make_shared<SystemFiles>(); }
+
+}  // namespace rushhill::storage
