--- a/src/lab/badday.cpp
+++ b/src/lab/badday.cpp
@@ -31,7 +31,10 @@
 
 constexpr int peer_descriptor = 20;            // what a router's datagram socket is handed down as
 constexpr std::int64_t lead_ns = 300'000'000;  // from all being ready to the day's start
-constexpr int grace_seconds = 30;              // beyond the day's length, before it is called off
+constexpr const char* storage_faults_variable = "RUSHHILL_STORAGE_FAULTS";  // of the routers' files: a seed
+constexpr std::string_view roster_section = "[roster]\n";
+constexpr const char* remembered_suffix = ".list";  // of a router's remembered endpoint list
+constexpr int grace_seconds = 30;                   // beyond the day's length, before it is called off
 
 std::string text_of(const fs::path& path) {
   std::ifstream in(path, std::ios::binary);
@@ -54,6 +57,9 @@
       for (const char* old : {"clients.jsonl", "servers.jsonl", "roster.jsonl", "broker.jsonl",
                               "routers.jsonl", "start", "tally.jsonl"})
         fs::remove(path_ / old);
+      for (const auto& entry : fs::directory_iterator(path_)) {
+        if (entry.path().extension() == remembered_suffix) fs::remove(entry.path());
+      }
       return;
     }
     std::string pattern = (fs::temp_directory_path() / "rushhill-day-XXXXXX").string();
@@ -215,9 +221,13 @@
     const std::string name = "router-" + std::to_string(number);
     RouterPlace& place = *routers_[static_cast<std::size_t>(number)];
     const std::string file = folder_ / (name + ".ini");
-    write(file,
-          standin::deployment_of(day_, number, place.port.address().toString(), roster_address_,
-                                 "fd:" + std::to_string(peer_descriptor), peers, broker_address_, replicas));
+    std::string deployment =
+        standin::deployment_of(day_, number, place.port.address().toString(), roster_address_,
+                               "fd:" + std::to_string(peer_descriptor), peers, broker_address_, replicas);
+    if (std::getenv(storage_faults_variable) != nullptr)
+      deployment.insert(deployment.find(roster_section) + roster_section.size(),
+                        "remembered = " + (folder_ / (name + remembered_suffix)) + "\n");
+    write(file, deployment);
     place.process = std::make_unique<Process>(
         name, std::vector<std::string>{"serve", file, "--tally", folder_ / "tally.jsonl"},
         folder_ / (name + ".log"),
@@ -279,6 +289,8 @@
                 ? standin::scripted_bad_day(of.events, of.rate, of.seed, !of.loads_by_themselves, of.calm)
                 : standin::day_from_json(text_of(of.day_file));
   make_among_routers(day, of);
+  if (std::ranges::find(of.faults, "storage") != of.faults.end())
+    setenv(storage_faults_variable, std::to_string(day.seed).c_str(), 1);  // the routers inherit it
   const Folder folder(of.folder);
   {
     Stage stage(day, folder, of.front);
