--- a/src/emulator/emulation.h
+++ b/src/emulator/emulation.h
@@ -32,6 +32,7 @@
   Emulation(const standin::Day& day, standin::Record& record);
   ~Emulation();
   Spent run();  // the whole day; throws where it comes to no end
+  Network& network() { return network_; }
 
  private:
   class Quiet final : public core::Diary {
--- a/src/emulator/network.h
+++ b/src/emulator/network.h
@@ -40,7 +40,9 @@
   void soon(Call call) override { soon_.push_back(std::move(call)); }
   std::int64_t nanoseconds() const override { return transport::monotonic_ns(); }  // real: spent time
   std::int64_t clock_ns() const override { return now_ * 100'000; }
-  std::int64_t unix_ns() const override { return epoch_ns + clock_ns(); }
+  std::int64_t unix_ns() const override { return epoch_ns + wall_step_ns_ + clock_ns(); }
+  // From now on the wall clock shows so much more, or less; nothing else changes.
+  void step_wall_clock(std::int64_t by_ns) { wall_step_ns_ += by_ns; }
 
   std::shared_ptr<transport::Stream> connect(const transport::Address& address,
                                              transport::StreamUser& user) override;
@@ -76,6 +78,7 @@
   std::int64_t happenings_ = 0;
   std::uint64_t bytes_ = 0, datagrams_ = 0;
   bool halted_ = false;
+  std::int64_t wall_step_ns_ = 0;
   double loss_ = 0;
   Time again_ = 0;
   std::mt19937_64 chance_;
--- a/src/membership/board_client.cpp
+++ b/src/membership/board_client.cpp
@@ -3,8 +3,6 @@
 #include <algorithm>
 #include <utility>
 
-#include "membership/roster_client.h"
-
 namespace rushhill::membership {
 namespace {
 
@@ -17,6 +15,8 @@
 constexpr Time first_pause = 300;      // before the next try; doubled up to
 constexpr Time longest_pause = 4'800;  // which leaves several tries in the 2 s after which news count as told
 
+RosterForm form_of(const Notice& notice) { return notice.whole ? RosterForm::complete : RosterForm::changes; }
+
 }  // namespace
 
 // One connection to discovery, cut into lines.
@@ -67,8 +67,7 @@
 BoardClient::BoardClient(transport::Reactor& reactor, const transport::Address& address, std::int64_t last,
                          std::uint64_t seed, core::Diary& diary, Heard heard)
     : reactor_(reactor), address_(address), last_(last),
-      chance_(static_cast<std::uint_fast32_t>(seed % 16'777'216)), diary_(diary), heard_(std::move(heard)),
-      wall_offset_(wall_offset_now(reactor)) {}
+      chance_(static_cast<std::uint_fast32_t>(seed % 16'777'216)), diary_(diary), heard_(std::move(heard)) {}
 
 BoardClient::~BoardClient() { reactor_.withdraw(alarm_); }
 
@@ -141,7 +140,7 @@
 void BoardClient::take(std::string_view text) {
   Notice notice;
   try {
-    notice = read_line(text, wall_offset_);
+    notice = read_line(text, as_told);
   } catch (const settings::BadField& wrong) {
     diary_.line(core::Level::warning, "notice cannot be read",
                 {{"reason", wrong.what()}, {"line", std::string(text.substr(0, shown))}});
@@ -154,12 +153,22 @@
   if (notice.beat) return again("behind its number");
   if (!follows(notice)) return again("a gap");
   failures_ = 0;
-  apply(notice);
+  apply(std::move(notice));
 }
 
-void BoardClient::apply(const Notice& notice) {
+void BoardClient::apply(Notice notice) {
   last_ = notice.number;
-  heard_(notice.whole ? RosterForm::complete : RosterForm::changes, notice.entries);
+  start_times_.translate_update(reactor_.now(), form_of(notice), notice.entries);
+  heard_(form_of(notice), notice.entries);
+}
+
+Known BoardClient::translated(Known initial) {
+  const ClockReading at = read_clocks(reactor_);
+  Time latest = 0;
+  for (const Notice& notice : initial.notices) latest = std::max(latest, latest_start(notice.entries));
+  for (Notice& notice : initial.notices)
+    start_times_.translate_snapshot(at, latest, form_of(notice), notice.entries);
+  return initial;
 }
 
 void BoardClient::catch_up(const Known& known) {
--- a/src/membership/board_client.h
+++ b/src/membership/board_client.h
@@ -9,6 +9,7 @@
 
 #include "core/ports.h"
 #include "membership/board_words.h"
+#include "membership/start_times.h"
 #include "transport/reactor.h"
 
 namespace rushhill::membership {
@@ -24,6 +25,8 @@
   void follow(bool on) override;
   void reload() override;
   void move_to(const transport::Address& address);  // the numbers go on there
+  // The initial endpoint list with its start times on this process's clock; before anything else is heard.
+  Known translated(Known initial);
   // Takes what another source, a new configuration, tells beyond what has been heard here.
   void catch_up(const Known& known);
   std::int64_t last() const { return last_; }
@@ -38,7 +41,7 @@
   void drop(std::shared_ptr<Watch>& watch);
   void take(std::string_view text);
   bool follows(const Notice& notice) const { return notice.whole || notice.number == last_ + 1; }
-  void apply(const Notice& notice);
+  void apply(Notice notice);
   void again(const char* why);
   void silent_after(Time span);
 
@@ -48,7 +51,7 @@
   std::ranlux24_base chance_;
   core::Diary& diary_;
   Heard heard_;
-  Time wall_offset_;
+  StartTimeTranslator start_times_;
   std::shared_ptr<Watch> watch_;
   std::shared_ptr<Watch> silent_;  // an older one, which may still speak; only while watch_ has not
   core::Alarm alarm_;
--- a/src/membership/board_words.h
+++ b/src/membership/board_words.h
@@ -19,7 +19,9 @@
   std::vector<core::RosterEntry> entries{};
 };
 
-// `wall_offset`: what is taken off a Unix time in tenths of a millisecond to get this process's clock.
+// `wall_offset`: what is taken off a start's Unix time, in tenths of a millisecond; none where the start
+// times are translated later, by StartTimeTranslator.
+constexpr Time as_told = 0;
 // All throw settings::BadField.
 Notice read_notice(const settings::Json& event, Time wall_offset);
 Notice read_line(std::string_view text, Time wall_offset);
--- a/src/membership/roster_client.cpp
+++ b/src/membership/roster_client.cpp
@@ -14,15 +14,10 @@
 
 }  // namespace
 
-Time wall_offset_now(const transport::Reactor& reactor) {
-  return (reactor.unix_ns() - reactor.clock_ns()) / 100'000;
-}
-
 RosterClient::RosterClient(transport::Reactor& reactor, const transport::Address& address, int router,
                            Time retry, std::uint64_t seed, core::Diary& diary, Heard heard)
     : reactor_(reactor), address_(address), router_(router), retry_(retry),
-      chance_(static_cast<std::uint_fast32_t>(seed % 16'777'216)), diary_(diary), heard_(std::move(heard)),
-      wall_offset_(wall_offset_now(reactor)) {}
+      chance_(static_cast<std::uint_fast32_t>(seed % 16'777'216)), diary_(diary), heard_(std::move(heard)) {}
 
 RosterClient::~RosterClient() {
   reactor_.withdraw(again_);
@@ -71,13 +66,11 @@
     const std::string line = in_.substr(0, end);
     in_.erase(0, end + 1);
     try {
-      const RosterWord word = read_word(line, wall_offset_);
+      RosterWord word = read_word(line, 0);
       for (const std::string& remark : word.remarks)
         diary_.line(core::Level::warning, "roster disagrees with itself", {{"remark", remark}});
       failures_ = 0;
-      heard_any_ = true;
-      remembered_.hear(word);
-      heard_(word.form, word.entries);
+      take(std::move(word));
     } catch (const std::invalid_argument& wrong) {
       // The list as it stood stays in force; a complete one is asked for on a new connection.
       diary_.line(core::Level::warning, "roster's word cannot be read", {{"reason", wrong.what()}});
@@ -92,6 +85,17 @@
   }
 }
 
+void RosterClient::take(RosterWord word) {
+  remembered_.hear(word);
+  if (!std::exchange(heard_any_, true) && word.form == RosterForm::complete) {
+    start_times_.translate_snapshot(read_clocks(reactor_), latest_start(word.entries), word.form,
+                                    word.entries);
+  } else {
+    start_times_.translate_update(reactor_.now(), word.form, word.entries);
+  }
+  heard_(word.form, word.entries);
+}
+
 void RosterClient::lost(transport::Loss) { broke(); }
 
 void RosterClient::broke() {
--- a/src/membership/roster_client.h
+++ b/src/membership/roster_client.h
@@ -8,6 +8,7 @@
 
 #include "core/ports.h"
 #include "membership/roster_words.h"
+#include "membership/start_times.h"
 #include "transport/reactor.h"
 
 namespace rushhill::membership {
@@ -25,12 +26,14 @@
   void reload() override;
 
   bool heard_any() const { return heard_any_; }
+  // The list as it was told, its start times in Unix time.
   const Remembered& remembered() const { return remembered_; }
-  Time wall_offset() const { return wall_offset_; }
+  StartTimeTranslator& start_times() { return start_times_; }
 
  private:
   void connect();
   void ask(const char* what);
+  void take(RosterWord word);
   void broke();
   void opened() override;
   void arrived(std::string_view bytes) override;
@@ -47,12 +50,9 @@
   core::Alarm again_;
   std::string in_;
   Remembered remembered_;
-  Time wall_offset_;
+  StartTimeTranslator start_times_;
   int failures_ = 0;
   bool following_ = false, reload_due_ = false, open_ = false, heard_any_ = false;
 };
 
-// What is taken off Unix time, in tenths of a millisecond, to get the clock of this machine's processes.
-Time wall_offset_now(const transport::Reactor& reactor);
-
 }  // namespace rushhill::membership
--- a/src/membership/roster_words.h
+++ b/src/membership/roster_words.h
@@ -18,8 +18,8 @@
   std::vector<std::string> remarks{};  // what was mended on reading: a server named twice, and the like
 };
 
-// `wall_offset`: what is taken off a Unix time in tenths of a millisecond to get this process's clock.
-// Throws std::invalid_argument naming the field and the fault.
+// `wall_offset`: what is taken off a start's Unix time, in tenths of a millisecond; 0 where the start times
+// are translated later, by StartTimeTranslator. Throws std::invalid_argument naming the field and the fault.
 RosterWord read_word(std::string_view line, Time wall_offset);
 std::string write_word(const RosterWord& word, Time wall_offset);
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <utility>
 
-#include "membership/roster_client.h"
+#include "membership/board_client.h"
 
 namespace rushhill::node {
 namespace {
@@ -59,7 +59,7 @@
       front_(reactor, gateway_, diary, {.connections = shares_.clients}) {
   pool_.report_to(gateway_);
   const membership::Known known =
-      membership::read_known(settings::Fields(told.known, "known"), membership::wall_offset_now(reactor));
+      board_->translated(membership::read_known(settings::Fields(told.known, "known"), membership::as_told));
   // A start brings the list as it was last held, whole, though it may be empty.
   bool first = true;
   for (const membership::Notice& notice : known.notices) {
@@ -80,7 +80,7 @@
 void Node::reconfigure(const Configuration& changed) {
   // All of it is read before any of it takes effect.
   const membership::Known known =
-      membership::read_known(settings::Fields(changed.known, "known"), membership::wall_offset_now(reactor_));
+      membership::read_known(settings::Fields(changed.known, "known"), membership::as_told);
   diary_.line(core::Level::info, "configuration read again", {{"board", changed.board}});
   if (changed.fixed != fixed_)
     diary_.line(core::Level::warning, "changed settings, limits and addresses take effect at a restart", {});
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -30,13 +30,12 @@
 } no_roster;
 
 // The last list as it was remembered, read before anything is served; a broken file is told and left alone.
-membership::RosterWord recall(const transport::Reactor& reactor, const std::string& path,
-                              core::Diary& diary) {
+membership::RosterWord recall(const std::string& path, core::Diary& diary) {
   std::ifstream in(path);
   std::string line;
   if (path.empty() || !std::getline(in, line)) return {.form = RosterForm::remembered};
   try {
-    membership::RosterWord word = membership::read_word(line, membership::wall_offset_now(reactor));
+    membership::RosterWord word = membership::read_word(line, 0);
     word.form = RosterForm::remembered;
     return word;
   } catch (const std::invalid_argument& wrong) {
@@ -122,7 +121,11 @@
               .come_back = program.module.retry_advice ? program.module.longest_retry_advice : 0}) {
   pool_.report_to(gateway_);
   if (shared_) front_.standing([this] { return shared_->standing(); });
-  const membership::RosterWord recalled = recall(reactor, program.roster.remembered, diary);
+  membership::RosterWord recalled = recall(program.roster.remembered, diary);
+  membership::StartTimeTranslator unfollowed;
+  membership::StartTimeTranslator& start_times = roster_ ? roster_->start_times() : unfollowed;
+  start_times.translate_snapshot(membership::read_clocks(reactor), membership::latest_start(recalled.entries),
+                                 recalled.form, recalled.entries);
   gateway_.roster(recalled.form, recalled.entries);
   if (roster_ && !program.module.roster_on_request) roster_->follow(true);
   if (!program.mqtt.address.empty())
@@ -141,7 +144,7 @@
   membership::RosterWord word = roster_->remembered().whole();
   word.form = RosterForm::complete;
   const std::string part = path + ".part";
-  std::ofstream(part) << membership::write_word(word, roster_->wall_offset()) << '\n';
+  std::ofstream(part) << membership::write_word(word, 0) << '\n';
   if (std::rename(part.c_str(), path.c_str()) != 0)
     diary_.line(Level::warning, "roster cannot be remembered", {{"file", path}});
 }
