--- a/src/lab/badday.cpp
+++ b/src/lab/badday.cpp
@@ -73,6 +73,33 @@
   bool kept_;
 };
 
+// While it lives, what is started has a wall clock that is stepped and waits that end by EINTR, by the
+// library that is built with the tests.
+class SteppedWallClock {
+ public:
+  SteppedWallClock(bool on, std::uint64_t seed) : on_(on) {
+    if (!on_) return;
+    const fs::path shim = fs::path(own_program()).parent_path() / "librushhill_wall_clock_shim.so";
+    if (!fs::exists(shim)) throw std::runtime_error(shim.string() + ": is built with RUSHHILL_TESTS");
+    setenv("LD_PRELOAD", shim.c_str(), 1);
+    setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
+    setenv("RUSHHILL_WALL_STEP_MS", "500", 1);
+    setenv("RUSHHILL_WALL_SEED", std::to_string(seed % 1'000'000'000).c_str(), 1);
+    setenv("RUSHHILL_WAIT_EINTR", "1", 1);
+  }
+  ~SteppedWallClock() {
+    if (!on_) return;
+    for (const char* name :
+         {"LD_PRELOAD", "ASAN_OPTIONS", "RUSHHILL_WALL_STEP_MS", "RUSHHILL_WALL_SEED", "RUSHHILL_WAIT_EINTR"})
+      unsetenv(name);
+  }
+  SteppedWallClock(const SteppedWallClock&) = delete;
+  SteppedWallClock& operator=(const SteppedWallClock&) = delete;
+
+ private:
+  bool on_;
+};
+
 struct RouterPlace {
   FreePort port, replica;
   Poco::Net::DatagramSocket peers{transport::numeric_address("127.0.0.1:0")};
@@ -81,8 +108,8 @@
 
 class Stage {
  public:
-  Stage(const Day& day, const Folder& folder, const std::string& front)
-      : day_(day), folder_(folder), record_(folder / "routers.jsonl") {
+  Stage(const Day& day, const Folder& folder, const std::string& front, bool steps_wall_clock)
+      : day_(day), folder_(folder), steps_wall_clock_(steps_wall_clock), record_(folder / "routers.jsonl") {
     write(folder / "day.json", standin::to_json(day));
     const std::vector<std::string> common{"--day", folder / "day.json", "--start", folder / "start"};
     roster_ = std::make_unique<Process>("roster", joined({"standin", "roster"}, common, "roster.jsonl"),
@@ -218,6 +245,7 @@
     write(file,
           standin::deployment_of(day_, number, place.port.address().toString(), roster_address_,
                                  "fd:" + std::to_string(peer_descriptor), peers, broker_address_, replicas));
+    const SteppedWallClock stepped(steps_wall_clock_, day_.seed + static_cast<std::uint64_t>(number));
     place.process = std::make_unique<Process>(
         name, std::vector<std::string>{"serve", file, "--tally", folder_ / "tally.jsonl"},
         folder_ / (name + ".log"),
@@ -232,6 +260,7 @@
 
   Day day_;
   const Folder& folder_;
+  bool steps_wall_clock_;
   std::string roster_address_;
   std::vector<std::unique_ptr<RouterPlace>> routers_;
   std::unique_ptr<Process> roster_, broker_, servers_, clients_, links_;
@@ -281,7 +310,7 @@
   make_among_routers(day, of);
   const Folder folder(of.folder);
   {
-    Stage stage(day, folder, of.front);
+    Stage stage(day, folder, of.front, std::ranges::find(of.faults, "wallclock") != of.faults.end());
     stage.play();
   }
   return judge_folder(folder / "day.json",
