--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -113,8 +113,14 @@
 std::string name_of(const testing::TestParamInfo<Disturbance>& info) {
   return std::string(info.param.name) + info.param.seed;
 }
-INSTANTIATE_TEST_SUITE_P(Interrupts, SteppedRouter,
-                         testing::Values(Disturbance{.name = "Interrupts", .interrupts = "1"}), name_of);
+// The signal that tells it to end is an interrupt too.
+INSTANTIATE_TEST_SUITE_P(
+    Disturbances, SteppedRouter,
+    testing::Values(Disturbance{.name = "Steps", .step_ms = "25"},
+                    Disturbance{.name = "Interrupts", .interrupts = "1"},
+                    Disturbance{.name = "Both", .step_ms = "25", .interrupts = "1", .seed = "1"},
+                    Disturbance{.name = "Both", .step_ms = "25", .interrupts = "1", .seed = "2"}),
+    name_of);
 
 }  // namespace
 }  // namespace rushhill::node
