--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -26,6 +26,9 @@
   void reload() override {}
 } no_roster;
 
+// The remembered list keeps start times in Unix time, as they were told: nothing is taken off them.
+constexpr Time starts_as_told = 0;
+
 // Descriptors that no client and no server gets: the listeners', the roster's, the broker's for each topic,
 // the links' between routers, the file's of the remembered list or of the counts, and one of a client that is
 // refused. The log's is open before any is counted.
@@ -98,7 +101,7 @@
                                  reactor, diary, storage, program.roster.remembered, seed,
                                  [this] {
                                    return EndpointListSnapshot{.list = whole_list(roster_->remembered()),
-                                                               .wall_offset = roster_->wall_offset()};
+                                                               .wall_offset = starts_as_told};
                                  })),
       gateway_(program.module, seed,
                {.clock = reactor,
@@ -119,8 +122,12 @@
   pool_.report_to(gateway_);
   if (shared_) front_.standing([this] { return shared_->standing(); });
   if (remembered_list_) front_.more_metrics([this] { return to_prometheus(remembered_list_->writes()); });
-  const membership::RosterWord recalled = read_remembered_list(*storage.files, program.roster.remembered,
-                                                               membership::wall_offset_now(reactor), diary);
+  membership::RosterWord recalled =
+      read_remembered_list(*storage.files, program.roster.remembered, starts_as_told, diary);
+  membership::StartTimeTranslator unfollowed;
+  membership::StartTimeTranslator& start_times = roster_ ? roster_->start_times() : unfollowed;
+  start_times.translate_snapshot(membership::read_clocks(reactor), membership::latest_start(recalled.entries),
+                                 recalled.form, recalled.entries);
   gateway_.roster(recalled.form, recalled.entries);
   if (roster_ && !program.module.roster_on_request) roster_->follow(true);
   if (!program.mqtt.address.empty())
