--- a/src/line_protocol/answers.cpp
+++ b/src/line_protocol/answers.cpp
@@ -135,14 +135,19 @@
   return true;
 }
 
-std::string invoke(std::string_view id, std::string_view type, std::string_view function, Time left,
-                   std::string_view number, std::string_view body) {
-  std::string out = "invoke ";
-  out.append(id).append(" profile=").append(type).append(",thing=").append(function).append(",max=");
-  out += std::to_string(std::max<Time>(left / 10, 1));
-  if (!number.empty()) out.append(",replay=").append(number);
-  out.append(" ").append(std::to_string(body.size())).append("\r\n").append(body).append("\r\n");
-  return out;
+std::string Invocation::text(Time left) const {
+  return before_deadline + std::to_string(std::max<Time>(left / 10, 1)) + after_deadline;
+}
+
+Invocation invocation(std::string_view id, std::string_view type, std::string_view function,
+                      std::string_view number, std::string_view body) {
+  Invocation command{.before_deadline = "invoke "};
+  command.before_deadline.append(id).append(" profile=").append(type);
+  command.before_deadline.append(",thing=").append(function).append(",max=");
+  if (!number.empty()) command.after_deadline.append(",replay=").append(number);
+  command.after_deadline.append(" ").append(std::to_string(body.size()));
+  command.after_deadline.append("\r\n").append(body).append("\r\n");
+  return command;
 }
 std::string abort(std::string_view id) { return line_of("abort", id); }
 std::string gauges(std::string_view tag) { return line_of("gauges", tag); }
--- a/src/line_protocol/answers.h
+++ b/src/line_protocol/answers.h
@@ -52,9 +52,16 @@
   bool bad_ = false;
 };
 
+// A command to run a request, whole but for the deadline, which is told when it leaves.
+struct Invocation {
+  std::string before_deadline{};
+  std::string after_deadline{};
+  std::string text(Time left) const;
+};
+
 // `number`: an event's own, by which a server runs it once; empty where it has none.
-std::string invoke(std::string_view id, std::string_view type, std::string_view function, Time left,
-                   std::string_view number, std::string_view body);
+Invocation invocation(std::string_view id, std::string_view type, std::string_view function,
+                      std::string_view number, std::string_view body);
 std::string abort(std::string_view id);
 std::string gauges(std::string_view tag);
 std::string alive(std::string_view tag);
--- a/src/upstream/line_pool.cpp
+++ b/src/upstream/line_pool.cpp
@@ -13,7 +13,8 @@
 using transport::Stream;
 
 constexpr std::size_t most_unsent = 256 * 1024;  // bytes; a server that takes no more is silent
-constexpr std::size_t ids_kept = 64;  // ids that a connection has carried; far above its tries of one
+constexpr Time deadline_renewed = 50;  // tenths of a millisecond; between two renewals of what cannot leave
+constexpr std::size_t ids_kept = 64;   // ids that a connection has carried; far above its tries of one
 
 }  // namespace
 
@@ -23,13 +24,18 @@
   EventId event = 0;
   int leg = 0;
   FunctionId function{};
-  std::string tag{};  // the event's id, or our own
-  std::string bytes{};
+  std::string tag{};    // the event's id, or our own
+  std::string bytes{};  // of all but shots
+  line_protocol::Invocation invocation{};
+  Time deadline = 0;     // of a shot: when its client gives up
   Time limit = 0;        // 0: ended from above
   bool again = false;    // it has been on a connection that took none of it
   bool started = false;  // bytes of it have left
   std::size_t from = 0;  // bytes before it on its connection
+  std::size_t size = 0;  // bytes of it there
   core::Alarm alarm{};
+
+  std::string text(Time now) const { return kind == Kind::shot ? invocation.text(deadline - now) : bytes; }
 };
 
 // One connection. A server's answers are believed by their ids alone, so an id is never twice on the same
@@ -45,6 +51,7 @@
   }
   ~Link() override {
     reactor_.withdraw(alarm_);
+    reactor_.withdraw(renewal_);
     for (auto& [tag, exchange] : open_) reactor_.withdraw(exchange.alarm);
     if (stream_) stream_->close();
   }
@@ -65,6 +72,7 @@
   void close() {
     over_ = true;
     reactor_.withdraw(alarm_);
+    reactor_.withdraw(renewal_);
     stream_->close();
   }
 
@@ -75,8 +83,7 @@
       sent_ = reactor_.now();
       came_ = false;
     }
-    exchange.from = stream_->handed_over() + stream_->waiting();
-    const std::string bytes = exchange.bytes;
+    const std::string bytes = place(exchange);
     if (exchange.kind == Exchange::Kind::unload) {
       if (established_ && open_.empty()) rest();
       return stream_->write(bytes);
@@ -95,6 +102,7 @@
     open_.emplace(exchange.tag, std::move(exchange));
     stream_->write(bytes);
     note_started();
+    renew_later();
     if (stream_->waiting() > most_unsent) retired_ = true;
   }
 
@@ -115,12 +123,8 @@
   std::optional<Exchange> recall(const std::string& tag) {
     const auto it = open_.find(tag);
     if (it == open_.end()) return std::nullopt;
-    const std::size_t from = it->second.from, count = it->second.bytes.size();
-    if (!stream_->recall(from, count)) return std::nullopt;
+    if (!withdraw_bytes(it->second)) return std::nullopt;
     const auto self = hold();
-    for (auto& [other, exchange] : open_) {
-      if (exchange.from > from) exchange.from -= count;
-    }
     Exchange exchange = take(tag);
     retire();
     return exchange;
@@ -140,7 +144,8 @@
   void opened() override {
     established_ = true;
     reactor_.withdraw(alarm_);
-    if (open_.empty()) rest();
+    renew_deadlines();
+    if (open_.empty() && !over_) rest();
   }
 
   void arrived(std::string_view bytes) override {
@@ -170,7 +175,10 @@
     }
   }
 
-  void drained() override { note_started(); }
+  void drained() override {
+    note_started();
+    renew_later();
+  }
   void lost(Loss why) override {
     if (why == Loss::exhausted) return fail(Ending::not_sent, false);  // ours, and says nothing of the server
     const bool crossed = !came_ && transport::crossed_idle_close(idle_before_, reactor_.now() - sent_);
@@ -191,6 +199,56 @@
       if (!std::exchange(exchange.started, true)) pool_.carried_->attempt_started(exchange.event);
     }
   }
+  // Its bytes as of now; they are to be written next.
+  std::string place(Exchange& exchange) {
+    std::string bytes = exchange.text(reactor_.now());
+    exchange.from = stream_->handed_over() + stream_->waiting();
+    exchange.size = bytes.size();
+    return bytes;
+  }
+  // Takes its bytes from what waits to leave. False: some of them have left.
+  bool withdraw_bytes(const Exchange& exchange) {
+    const std::size_t from = exchange.from;
+    if (!stream_->recall(from, exchange.size)) return false;
+    for (auto& [tag, other] : open_) {
+      if (other.from > from) other.from -= exchange.size;
+    }
+    return true;
+  }
+  // The deadline that a shot tells its server is counted from when it leaves, which may be long after it was
+  // written: its connection comes up late, the system takes no more, or clients have to be read first.
+  void renew_deadlines() {
+    std::vector<Exchange*> waiting;
+    for (auto& [tag, exchange] : open_) {
+      if (exchange.kind == Exchange::Kind::shot && stream_->handed_over() <= exchange.from)
+        waiting.push_back(&exchange);
+    }
+    std::ranges::sort(waiting, {}, &Exchange::from);
+    std::erase_if(waiting, [this](const Exchange* exchange) { return !withdraw_bytes(*exchange); });
+    std::vector<std::string> too_late;
+    for (Exchange* exchange : waiting) {
+      if (exchange->deadline <= reactor_.now()) {
+        too_late.push_back(exchange->tag);
+      } else {
+        stream_->write(place(*exchange));
+      }
+    }
+    note_started();
+    for (const std::string& tag : too_late) pool_.fail_soon(take(tag), Ending::not_sent);
+    renew_later();
+  }
+  void renew_later() {
+    const bool waits =
+        established_ && std::ranges::any_of(open_, [this](const auto& item) {
+          return item.second.kind == Exchange::Kind::shot && stream_->handed_over() <= item.second.from;
+        });
+    reactor_.withdraw(renewal_);
+    if (waits)
+      renewal_ = reactor_.at(reactor_.now() + deadline_renewed, [this] {
+        renew_deadlines();
+        if (open_.empty()) pool_.forget(*this);
+      });
+  }
   void rest() {
     idle_since_ = reactor_.now();
     alarm_ = reactor_.at(idle_since_ + pool_.bounds_.idle, [this] { pool_.forget(*this); });
@@ -247,7 +305,7 @@
   line_protocol::Reader reader_;
   std::map<std::string, Exchange, std::less<>> open_;
   std::deque<std::string> carried_ids_;
-  core::Alarm alarm_;
+  core::Alarm alarm_, renewal_;
   // Of what went on it when it was idle last: how long it had been, since when that is out, and whether
   // anything has come since.
   Time idle_since_ = 0, idle_before_ = 0, sent_ = 0;
@@ -368,9 +426,10 @@
   start(call.server, {.event = call.event,
                       .leg = call.leg,
                       .tag = call.message.id,
-                      .bytes = line_protocol::invoke(call.message.id, call.message.type,
-                                                     function == nullptr ? "" : *function, call.left,
-                                                     number == nullptr ? "" : *number, call.message.data)});
+                      .invocation = line_protocol::invocation(
+                          call.message.id, call.message.type, function == nullptr ? "" : *function,
+                          number == nullptr ? "" : *number, call.message.data),
+                      .deadline = reactor_.now() + call.left});
 }
 
 void LinePool::drop(EventId event, int leg) {
--- a/tests/line_protocol/answers_test.cpp
+++ b/tests/line_protocol/answers_test.cpp
@@ -89,7 +89,7 @@
 }
 
 TEST(CommandStory, CommandsAreLinesAndABodyFollowsItsLength) {
-  EXPECT_EQ(invoke("9b1f03aa5c7e2d41", "date-lookup", "7f3a9c21e0b4d655", 15'000, "", "a\r\nb"),
+  EXPECT_EQ(invocation("9b1f03aa5c7e2d41", "date-lookup", "7f3a9c21e0b4d655", "", "a\r\nb").text(15'000),
             "invoke 9b1f03aa5c7e2d41 profile=date-lookup,thing=7f3a9c21e0b4d655,max=1500 4\r\na\r\nb\r\n");
   EXPECT_EQ(abort("a1"), "abort a1\r\n");
   EXPECT_EQ(prewarm("o1", "7f3a9c21e0b4d655", 2), "prewarm o1 thing=7f3a9c21e0b4d655,units=2\r\n");
