--- a/src/lab/badday.h
+++ b/src/lab/badday.h
@@ -17,10 +17,10 @@
   std::string day_file{}, folder{};
   std::string front = "http";  // mqtt, both
   bool json = false, loads_by_themselves = false, calm = false, together = false;
-  int routers = 0;                    // 0: as the day says
-  std::string marks{};                // none, told, held; empty: as the day says
-  bool repeats = false;               // clients send again, to another router, what must not run twice
-  bool quiet = false;                 // none of the scripted troubles
+  int routers = 0;       // 0: as the day says
+  std::string marks{};   // none, told, held; empty: as the day says
+  bool repeats = false;  // clients send again, to another router, what must not run twice
+  bool quiet = false;    // none of the scripted troubles
   // Among routers: links, stalls, crashes, restarts; within them: storage, wallclock.
   std::vector<std::string> faults{};
 };
