--- a/src/transport/reactor.h
+++ b/src/transport/reactor.h
@@ -23,8 +23,9 @@
 // The machine's monotonic clock, the same for all processes, in nanoseconds.
 std::int64_t monotonic_ns();
 
-// Never established; ended by the peer; reset or failed; never begun, since no descriptor is left.
-enum class Loss { refused, ended, broken, exhausted };
+// Never established; ended by the peer; reset or failed; never begun, for want of something on this machine:
+// nothing has left, and it tells nothing of the peer.
+enum class Loss { refused, ended, broken, not_begun };
 
 class StreamUser {
  public:
--- a/src/transport/server_pool.cpp
+++ b/src/transport/server_pool.cpp
@@ -205,7 +205,7 @@
 
   void lost(Loss why) override {
     if (!exchange_) return pool_.forget(*this);
-    if (why == Loss::exhausted) return fail(Ending::not_sent);  // ours, and says nothing of the server
+    if (why == Loss::not_begun) return fail(Ending::not_sent);  // ours, and says nothing of the server
     // Only where the system took no byte of it is it certain that nothing was begun.
     if (why == Loss::refused || stream_->handed_over() == sent_before_) return fail(Ending::no_connection);
     if (why == Loss::ended && reader_.end() == HttpProgress::done) {
--- a/src/transport/socket_stream.cpp
+++ b/src/transport/socket_stream.cpp
@@ -32,7 +32,7 @@
   SystemCalls& system = loop_.system();
   socket_ =
       FileDescriptor(system, system.socket(address.af(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!socket_.open()) return lose_soon(Loss::exhausted);
+  if (!socket_.open()) return lose_soon(Loss::not_begun);
   const bool begun =
       system.connect(socket_.number(), address.addr(), address.length()) == 0 || errno == EINPROGRESS;
   if (!begun) return lose_soon(Loss::refused);
--- a/src/upstream/line_pool.cpp
+++ b/src/upstream/line_pool.cpp
@@ -172,7 +172,7 @@
 
   void drained() override { note_started(); }
   void lost(Loss why) override {
-    if (why == Loss::exhausted) return fail(Ending::not_sent, false);  // ours, and says nothing of the server
+    if (why == Loss::not_begun) return fail(Ending::not_sent, false);  // ours, and says nothing of the server
     const bool crossed = !came_ && transport::crossed_idle_close(idle_before_, reactor_.now() - sent_);
     fail(why == Loss::refused ? Ending::no_connection
          : crossed            ? Ending::no_answer
--- a/tests/transport/transport_test.cpp
+++ b/tests/transport/transport_test.cpp
@@ -225,7 +225,7 @@
   if (!user.ways.empty()) return 2;  // never from within the call
   reactor.at(reactor.now() + looked_at_for, [&] { reactor.halt(); });
   reactor.run();
-  return user.ways == std::vector{Loss::exhausted} && stream->closed() ? as_it_should_be : 3;
+  return user.ways == std::vector{Loss::not_begun} && stream->closed() ? as_it_should_be : 3;
 }
 int listen_without_a_descriptor() {
   Loop reactor;
