--- a/src/transport/datagram_socket.cpp
+++ b/src/transport/datagram_socket.cpp
@@ -1,6 +1,7 @@
 #include "transport/datagram_socket.h"
 
 #include <array>
+#include <cerrno>
 
 #include "transport/loop.h"
 #include "transport/sockets.h"
@@ -9,6 +10,7 @@
 namespace {
 
 constexpr int heard_at_once = 64;            // datagrams an iteration, so that connections get their part
+constexpr int most_failures = 8;             // in a row, until a pause
 constexpr std::size_t most_datagram = 2048;  // bytes; far above what peers may send
 
 }  // namespace
@@ -19,7 +21,10 @@
   loop_.watch(socket_.number(), *this, {.readable = true});
 }
 
-DatagramSocket::~DatagramSocket() { loop_.watch(socket_.number(), *this, {}); }
+DatagramSocket::~DatagramSocket() {
+  loop_.withdraw(pause_);
+  loop_.watch(socket_.number(), *this, {});
+}
 
 Address DatagramSocket::address() const { return local_address(loop_.system(), socket_); }
 
@@ -29,17 +34,32 @@
   return sent == static_cast<ssize_t>(bytes.size());
 }
 
+// A failure is of one call or one datagram: what stands behind it is heard all the same.
 void DatagramSocket::on_readable() {
-  for (int i = 0; i < heard_at_once; ++i) {
+  int failures = 0;
+  for (int i = 0; i < heard_at_once && failures < most_failures; ++i) {
     std::array<char, most_datagram> bytes{};
     sockaddr_storage from{};
     socklen_t length = sizeof from;
     const auto got = loop_.system().recvfrom(socket_.number(), bytes.data(), bytes.size(), MSG_DONTWAIT,
                                              reinterpret_cast<sockaddr*>(&from), &length);
-    if (got < 0) return;
+    if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
+    if (got < 0) {
+      ++failures;
+      continue;
+    }
+    failures = 0;
+    backoff_.succeeded();
     heard_(Address(reinterpret_cast<const sockaddr*>(&from), length),
            {bytes.data(), static_cast<std::size_t>(got)});
   }
+  if (failures >= most_failures) pause();
+}
+
+void DatagramSocket::pause() {
+  loop_.watch(socket_.number(), *this, {});
+  pause_ = loop_.at(loop_.now() + backoff_.failed(),
+                    [this] { loop_.watch(socket_.number(), *this, {.readable = true}); });
 }
 
 }  // namespace rushhill::transport
--- a/src/transport/datagram_socket.h
+++ b/src/transport/datagram_socket.h
@@ -1,6 +1,8 @@
 // A UDP socket of the event loop.
 #pragma once
 
+#include "core/clockwork.h"
+#include "transport/backoff.h"
 #include "transport/event_source.h"
 #include "transport/file_descriptor.h"
 #include "transport/reactor.h"
@@ -18,10 +20,13 @@
 
  private:
   void on_readable() override;
+  void pause();
 
   Loop& loop_;
   FileDescriptor socket_;
   Heard heard_;
+  core::Alarm pause_;
+  Backoff backoff_;
 };
 
 }  // namespace rushhill::transport
--- a/src/transport/event_source.h
+++ b/src/transport/event_source.h
@@ -26,7 +26,8 @@
 
   const bool opened_by_peer_;
   RegistrationId registration_ = 0;  // 0: the loop does not wait for it
-  Interest interest_;
+  Interest interest_;                // what it waits for, also while the system has not taken it
+  bool registered_ = false;          // with the system
 };
 
 }  // namespace rushhill::transport
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -17,6 +17,7 @@
 constexpr Time sight = 500;           // tenths of a millisecond; half of what a client is owed that has left
 constexpr Time time_units_per_ms = 10;
 constexpr std::int64_t nanoseconds_per_time_unit = 100'000;
+constexpr int stale_rest_ms = 1;
 constexpr std::size_t buffer_bytes = 64 * 1024;
 
 // A bound socket that never listens.
@@ -40,6 +41,7 @@
   act();
   while (!halted_) {
     const ReadySet ready = look();
+    rest_if_stale(ready);
     reading_clients_ = true;
     serve(ready, true);
     reading_clients_ = false;
@@ -52,9 +54,11 @@
   std::abort();
 }
 
+// What the calls hold may withdraw alarms and put off calls as it goes: they leave the loop's lists first.
 void Loop::forget_all() {
-  alarms_ = {};
-  soon_.clear();
+  const auto alarms = std::exchange(alarms_, {});
+  const auto soon = std::exchange(soon_, {});
+  unregistered_.clear();
   deferred_.clear();
   every_turn_ = nullptr;
 }
@@ -121,25 +125,56 @@
   return static_cast<int>((left + time_units_per_ms - 1) / time_units_per_ms);
 }
 
-bool Loop::watch(int descriptor, EventSource& source, Interest interest) {
-  if (source.interest_ == interest) return true;
+void Loop::watch(int descriptor, EventSource& source, Interest interest) {
+  if (source.interest_ == interest) return;
+  source.interest_ = interest;
   if (!interest.any()) {
-    poller_.remove(descriptor);
+    if (std::exchange(source.registered_, false)) poller_.remove(descriptor);
+    unregistered_.erase(source.registration_);
     sources_.erase(std::exchange(source.registration_, 0));
-    source.interest_ = interest;
-    return true;
+    return;
   }
-  if (source.registration_ != 0) {
-    if (!poller_.update(descriptor, source.registration_, interest)) return false;
-  } else {
-    const RegistrationId id = last_registration_ + 1;
-    if (!poller_.add(descriptor, id, interest)) return false;
-    last_registration_ = id;
-    source.registration_ = id;
-    sources_.emplace(id, &source);
+  if (source.registration_ == 0) {
+    source.registration_ = ++last_registration_;
+    sources_.emplace(source.registration_, &source);
   }
-  source.interest_ = interest;
-  return true;
+  if (unregistered_.contains(source.registration_)) return;  // tried again soon, with this interest
+  if (!register_source(descriptor, source)) register_later(descriptor, source);
+}
+
+bool Loop::register_source(int descriptor, EventSource& source) {
+  const bool done = source.registered_ ? poller_.update(descriptor, source.registration_, source.interest_)
+                                       : poller_.add(descriptor, source.registration_, source.interest_);
+  source.registered_ |= done;
+  return done;
+}
+
+void Loop::register_later(int descriptor, const EventSource& source) {
+  const bool first = unregistered_.empty();
+  unregistered_.emplace(source.registration_, descriptor);
+  if (first) at(now() + register_backoff_.failed(), [this] { register_again(); });
+}
+
+void Loop::register_again() {
+  for (const auto& [id, descriptor] : std::exchange(unregistered_, {})) {
+    EventSource& source = *sources_.at(id);
+    if (register_source(descriptor, source)) {
+      register_backoff_.succeeded();
+    } else {
+      register_later(descriptor, source);
+    }
+  }
+}
+
+// What is named and wanted by nobody was left by a call that failed: the loop must not spin on it.
+void Loop::rest_if_stale(const ReadySet& ready) {
+  const auto wanted = [this](const auto& item) {
+    const auto it = sources_.find(item.first);
+    if (it == sources_.end()) return false;
+    const Interest& interest = it->second->interest_;
+    return (item.second.readable && interest.readable) || (item.second.writable && interest.writable);
+  };
+  if (!ready.empty() && std::ranges::none_of(ready, wanted)) system_.poll(nullptr, 0, stale_rest_ms);
 }
 
 std::shared_ptr<Stream> Loop::connect(const Address& address, StreamUser& user) {
--- a/src/transport/loop.h
+++ b/src/transport/loop.h
@@ -15,6 +15,7 @@
 #include <vector>
 
 #include "core/alarms.h"
+#include "transport/backoff.h"
 #include "transport/event_source.h"
 #include "transport/poller.h"
 #include "transport/reactor.h"
@@ -27,6 +28,7 @@
 class Loop final : public Reactor {
  public:
   explicit Loop(SystemCalls& system = SystemCalls::real());
+  ~Loop() override { forget_all(); }
 
   void run() override;  // until halt()
   void halt() override;
@@ -58,9 +60,11 @@
 
   // For the sockets of this loop.
   SystemCalls& system() { return system_; }
-  // Waits, from now on, for what `interest` names; for nothing: forgets the source. Returns whether the
-  // system did it.
-  bool watch(int descriptor, EventSource& source, Interest interest);
+  // Waits, from now on, for what `interest` names; for nothing: forgets the source. Where the system refuses
+  // it for want of something it is tried again until it does it.
+  void watch(int descriptor, EventSource& source, Interest interest);
+  // Of connections that could not be begun for want of something on this machine.
+  Backoff& connect_backoff() { return connect_backoff_; }
   // Whether bytes may leave on a connection that we opened: all that came to us has been read just now.
   bool may_send() const;
   void send_later(std::weak_ptr<SocketStream> stream) { deferred_.push_back(std::move(stream)); }
@@ -73,6 +77,10 @@
   void send_deferred();
   void act();
   int sleep_ms() const;
+  bool register_source(int descriptor, EventSource& source);
+  void register_later(int descriptor, const EventSource& source);
+  void register_again();
+  void rest_if_stale(const ReadySet& ready);
 
   SystemCalls& system_;
   Poller poller_;
@@ -82,6 +90,8 @@
   Call every_turn_;
   RegistrationId last_registration_ = 0;
   std::map<RegistrationId, EventSource*> sources_;
+  std::map<RegistrationId, int> unregistered_;  // descriptors whose interest the system has not taken yet
+  Backoff register_backoff_, connect_backoff_;
   std::vector<std::weak_ptr<SocketStream>> deferred_;  // each once
   Time looked_at_ = 0;            // what could be read before then is known, or is being read
   bool reading_clients_ = false;  // those that came to us
--- a/src/transport/poller.cpp
+++ b/src/transport/poller.cpp
@@ -3,6 +3,8 @@
 #include <cerrno>
 #include <system_error>
 
+#include "transport/sockets.h"
+
 namespace rushhill::transport {
 namespace {
 
@@ -10,22 +12,29 @@
 constexpr std::uint32_t readable_events = EPOLLIN | EPOLLERR | EPOLLHUP;
 constexpr std::uint32_t writable_events = EPOLLOUT | EPOLLERR | EPOLLHUP;
 
+constexpr int most_tries = 8;  // of a call that fails for a moment
+
 }  // namespace
 
 Poller::Poller(SystemCalls& system)
-    : system_(system), descriptor_(system, system.epoll_create1(EPOLL_CLOEXEC)) {
+    : system_(system),
+      descriptor_(system, try_for_a_moment(system, [&] { return system.epoll_create1(EPOLL_CLOEXEC); })) {
   if (!descriptor_.open()) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
 bool Poller::add(int descriptor, RegistrationId id, Interest interest) {
-  return control(EPOLL_CTL_ADD, descriptor, id, interest);
+  // One that could not be removed before is there still.
+  return control(EPOLL_CTL_ADD, descriptor, id, interest) ||
+         (errno == EEXIST && control(EPOLL_CTL_MOD, descriptor, id, interest));
 }
 
 bool Poller::update(int descriptor, RegistrationId id, Interest interest) {
   return control(EPOLL_CTL_MOD, descriptor, id, interest);
 }
 
-void Poller::remove(int descriptor) { control(EPOLL_CTL_DEL, descriptor, 0, {}); }
+void Poller::remove(int descriptor) {
+  for (int tries = 0; tries < most_tries && !control(EPOLL_CTL_DEL, descriptor, 0, {}); ++tries) {}
+}
 
 bool Poller::control(int operation, int descriptor, RegistrationId id, Interest interest) {
   epoll_event event{};
@@ -36,8 +45,11 @@
 }
 
 std::size_t Poller::wait(int timeout_ms, ReadySet& ready) {
-  const int named =
-      system_.epoll_wait(descriptor_.number(), events_.data(), static_cast<int>(events_.size()), timeout_ms);
+  const auto most = static_cast<int>(events_.size());
+  int named = system_.epoll_wait(descriptor_.number(), events_.data(), most, timeout_ms);
+  // The wait is over, but what is ready has not been seen: whoever asks takes what is not named for quiet.
+  for (int tries = 1; named < 0 && errno == EINTR && tries < most_tries; ++tries)
+    named = system_.epoll_wait(descriptor_.number(), events_.data(), most, 0);
   if (named < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
   for (int i = 0; i < named; ++i) {
     const epoll_event& event = events_[static_cast<std::size_t>(i)];
--- a/src/transport/poller.h
+++ b/src/transport/poller.h
@@ -38,9 +38,11 @@
   // Each returns whether the system did it; where it did not, errno tells why and nothing has changed.
   bool add(int descriptor, RegistrationId id, Interest interest);
   bool update(int descriptor, RegistrationId id, Interest interest);
+  // Tried several times in place: a descriptor that stays registered would be named forever.
   void remove(int descriptor);
 
-  // Adds what is ready to `ready`, after at most `timeout_ms`, and returns how many the system named.
+  // Adds what is ready to `ready`, also where a signal cuts the wait short, after at most `timeout_ms`, and
+  // returns how many the system named.
   std::size_t wait(int timeout_ms, ReadySet& ready);
 
  private:
--- a/src/transport/socket_listener.h
+++ b/src/transport/socket_listener.h
@@ -4,6 +4,7 @@
 #include <functional>
 
 #include "core/clockwork.h"
+#include "transport/backoff.h"
 #include "transport/event_source.h"
 #include "transport/file_descriptor.h"
 #include "transport/reactor.h"
@@ -33,8 +34,11 @@
 
  private:
   void on_readable() override;
-  bool take();
-  void pause();
+  // What came of taking the next connection.
+  enum class Taken { connection, none_waiting, no_room, lost_one, machine_lacks };
+  Taken take();
+  Taken next_waiting();
+  void pause(Time span);
   void watch(bool on);
 
   Loop& loop_;
@@ -42,6 +46,7 @@
   Accepted accepted_;
   std::function<bool()> room_;
   core::Alarm pause_;
+  Backoff backoff_;
 };
 
 }  // namespace rushhill::transport
--- a/src/transport/socket_stream.cpp
+++ b/src/transport/socket_stream.cpp
@@ -19,6 +19,7 @@
 constexpr int keepalive_interval = 1;  // seconds between two such questions
 constexpr int keepalive_probes = 3;    // questions without an answer that end the connection
 constexpr int milliseconds_per_second = 1000;
+constexpr int most_tries = 8;  // of a call that fails for a moment
 
 }  // namespace
 
@@ -29,15 +30,29 @@
 
 // The socket is made here: what fails for want of a descriptor is a loss like any other, and its own kind.
 void SocketStream::connect(const Address& address) {
+  if (!begin_connect(address)) {
+    const bool local = cannot_begin(errno);
+    socket_.close();
+    return local ? fail_to_begin() : lose_soon(Loss::refused);
+  }
+  set_option(loop_.system(), socket_, IPPROTO_TCP, TCP_NODELAY, 1);
+  wait_for({.readable = wanted_.readable, .writable = true});
+}
+
+// A signal that interrupts connect() leaves the connection to be set up on.
+bool SocketStream::begin_connect(const Address& address) {
   SystemCalls& system = loop_.system();
   socket_ =
       FileDescriptor(system, system.socket(address.af(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!socket_.open()) return lose_soon(Loss::not_begun);
-  const bool begun =
-      system.connect(socket_.number(), address.addr(), address.length()) == 0 || errno == EINPROGRESS;
-  if (!begun) return lose_soon(Loss::refused);
-  set_option(system, socket_, IPPROTO_TCP, TCP_NODELAY, 1);
-  watch_writable(true);
+  if (!socket_.open()) return false;
+  return system.connect(socket_.number(), address.addr(), address.length()) == 0 || errno == EINPROGRESS ||
+         errno == EINTR;
+}
+
+// Told after a pause: whoever hears of it may try again at once, and must not spin.
+void SocketStream::fail_to_begin() {
+  begin_pause_ = loop_.at(loop_.now() + loop_.connect_backoff().failed(),
+                          [self = shared_from_this()] { self->lose(Loss::not_begun); });
 }
 
 void SocketStream::establish() {
@@ -49,7 +64,7 @@
 void SocketStream::write(std::string_view bytes) {
   if (closed()) return;
   out_ += bytes;
-  if (established_ && !interest().writable && !failed_) flush();
+  if (established_ && !wanted_.writable && !failed_) flush();
 }
 
 bool SocketStream::recall(std::size_t from, std::size_t count) {
@@ -70,39 +85,89 @@
     if (!std::exchange(deferred_, true)) loop_.send_later(weak_from_this());
     return;
   }
-  while (!out_.empty()) {
+  while (!out_.empty() && !sending_paused_) {
     const std::size_t part = std::min(out_.size(), loop_.most_at_once);
     const auto sent = loop_.system().send(socket_.number(), out_.data(), part, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (sent < 0) {
       if (would_block(errno)) break;
+      if (out_of_memory(errno)) {
+        pause_sending();
+        break;
+      }
       out_.clear();
       failed_ = true;
       // Not from within the user's own call to write().
       loop_.soon([self = shared_from_this()] { self->lose_when_read(); });
       return;
     }
+    send_backoff_.succeeded();
     handed_over_ += static_cast<std::size_t>(sent);
     out_.erase(0, static_cast<std::size_t>(sent));
     const bool small_part = part < out_.size() && part < loop_.read_buffer().size();
     if (small_part) break;  // one at a time, for tests
   }
   if (out_.empty()) out_ = {};  // an idle stream holds no memory for what it has sent
-  watch_writable(!out_.empty());
+  wait_for({.readable = wanted_.readable, .writable = !out_.empty()});
   if (out_.empty() && finishing_) end_our_side();
 }
 
-void SocketStream::watch(Interest wanted) {
-  if (closed()) return;
-  if (!loop_.watch(socket_.number(), *this, wanted)) lose_soon(Loss::broken);
+void SocketStream::read(bool on) { wait_for({.readable = on, .writable = wanted_.writable}); }
+
+void SocketStream::wait_for(Interest wanted) {
+  wanted_ = wanted;
+  update_watch();
+}
+
+void SocketStream::update_watch() {
+  if (closed() || !socket_.open()) return;
+  loop_.watch(
+      socket_.number(), *this,
+      {.readable = wanted_.readable && !reading_paused_, .writable = wanted_.writable && !sending_paused_});
+}
+
+void SocketStream::pause_reading() {
+  reading_paused_ = true;
+  read_pause_ = loop_.at(loop_.now() + read_backoff_.failed(), [self = shared_from_this()] {
+    self->reading_paused_ = false;
+    self->update_watch();
+  });
+  update_watch();
+}
+
+void SocketStream::pause_sending() {
+  sending_paused_ = true;
+  send_pause_ =
+      loop_.at(loop_.now() + send_backoff_.failed(), [self = shared_from_this()] { self->resume_sending(); });
+}
+
+void SocketStream::resume_sending() {
+  sending_paused_ = false;
+  if (closed() || failed_) return;
+  const bool waited = !out_.empty();
+  flush();
+  if (waited && out_.empty() && !closed()) user_->drained();
+}
+
+// A call that a signal interrupts is made again: what it would have told is not known else.
+ssize_t SocketStream::receive(char* bytes, std::size_t count, int flags) {
+  ssize_t got = -1;
+  for (int tries = 0; tries < most_tries; ++tries) {
+    got = loop_.system().recv(socket_.number(), bytes, count, flags | MSG_DONTWAIT);
+    if (got >= 0 || errno != EINTR) break;
+  }
+  return got;
 }
 
 void SocketStream::end_our_side() { loop_.system().shutdown(socket_.number(), SHUT_WR); }
 
 Stream::Ahead SocketStream::ahead() {
   char byte = 0;
-  const auto got = loop_.system().recv(socket_.number(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  const auto got = receive(&byte, 1, MSG_PEEK);
   if (got > 0) return Ahead::bytes;
-  return got < 0 && would_block(errno) ? Ahead::nothing : Ahead::end;
+  if (got == 0) return Ahead::end;
+  if (errno == EAGAIN || errno == EWOULDBLOCK) return Ahead::nothing;
+  // Not known: something may stand there.
+  return errno == EINTR || out_of_memory(errno) ? Ahead::bytes : Ahead::end;
 }
 
 std::size_t SocketStream::most_read() const {
@@ -116,33 +181,44 @@
   std::vector<char>& buffer = loop_.read_buffer();
   std::size_t read = 0;
   do {
-    const auto got = loop_.system().recv(socket_.number(), buffer.data(), most, MSG_DONTWAIT);
+    const auto got = receive(buffer.data(), most, 0);
     if (got < 0 && would_block(errno)) return;
+    if (got < 0 && out_of_memory(errno)) return pause_reading();
     if (got < 0) return lose(Loss::broken);
     if (got == 0) return lose(Loss::ended);
+    read_backoff_.succeeded();
     read += static_cast<std::size_t>(got);
     user_->arrived({buffer.data(), static_cast<std::size_t>(got)});
-  } while (opened_by_peer() && !closed() && interest().readable && read < most_an_iteration);
+  } while (opened_by_peer() && !closed() && wanted_.readable && read < most_an_iteration);
 }
 
 void SocketStream::on_writable() {
   if (closed()) return;
   const auto self = shared_from_this();
-  if (!established_) {
-    int error = 0;
-    socklen_t length = sizeof error;
-    loop_.system().getsockopt(socket_.number(), SOL_SOCKET, SO_ERROR, &error, &length);
-    if (error != 0) return lose(Loss::refused);
-    established_ = true;
-    read(true);
-    user_->opened();
-    if (closed()) return;
-  }
+  if (!established_) finish_connect();
+  if (closed() || !established_) return;
   const bool waited = !out_.empty();
   flush();
   if (waited && out_.empty() && !closed()) user_->drained();
 }
 
+// Where even its error cannot be asked for, nothing has left on it all the same.
+void SocketStream::finish_connect() {
+  int error = 0;
+  socklen_t length = sizeof error;
+  const bool known = loop_.system().getsockopt(socket_.number(), SOL_SOCKET, SO_ERROR, &error, &length) == 0;
+  if (!known || cannot_begin(error)) {
+    wait_for({});
+    socket_.close();
+    return fail_to_begin();
+  }
+  if (error != 0) return lose(Loss::refused);
+  loop_.connect_backoff().succeeded();
+  established_ = true;
+  read(true);
+  user_->opened();
+}
+
 void SocketStream::lose(Loss why) {
   if (closed()) return;
   StreamUser* user = user_;
@@ -159,8 +235,8 @@
 void SocketStream::lose_when_read() {
   const std::size_t most = most_read();
   std::vector<char>& buffer = loop_.read_buffer();
-  while (!closed() && interest().readable) {
-    const auto got = loop_.system().recv(socket_.number(), buffer.data(), most, MSG_DONTWAIT);
+  while (!closed() && wanted_.readable) {
+    const auto got = receive(buffer.data(), most, 0);
     if (got <= 0) break;
     user_->arrived({buffer.data(), static_cast<std::size_t>(got)});
   }
@@ -174,7 +250,8 @@
 
 void SocketStream::close() {
   if (closed()) return;
-  watch({});
+  for (core::Alarm* pause : {&read_pause_, &send_pause_, &begin_pause_}) loop_.withdraw(*pause);
+  wait_for({});
   user_ = nullptr;
   out_.clear();
   socket_.close();
--- a/src/transport/socket_stream.h
+++ b/src/transport/socket_stream.h
@@ -5,6 +5,8 @@
 #include <string>
 #include <string_view>
 
+#include "core/clockwork.h"
+#include "transport/backoff.h"
 #include "transport/event_source.h"
 #include "transport/file_descriptor.h"
 #include "transport/reactor.h"
@@ -31,7 +33,7 @@
   bool recall(std::size_t from, std::size_t count) override;
   std::size_t handed_over() const override { return handed_over_; }
   std::size_t waiting() const override { return out_.size(); }
-  void read(bool on) override { watch({.readable = on, .writable = interest().writable}); }
+  void read(bool on) override;
   Ahead ahead() override;
   void finish() override;
   void close() override;
@@ -42,10 +44,16 @@
  private:
   void on_readable() override;
   void on_writable() override;
-  void open_socket(const Address& address);
+  bool begin_connect(const Address& address);
+  void finish_connect();
   void flush();
-  void watch(Interest wanted);
-  void watch_writable(bool on) { watch({.readable = interest().readable, .writable = on}); }
+  void wait_for(Interest wanted);
+  void update_watch();
+  void pause_reading();
+  void pause_sending();
+  void resume_sending();
+  void fail_to_begin();
+  ssize_t receive(char* bytes, std::size_t count, int flags);
   void end_our_side();
   void lose(Loss why);
   void lose_when_read();
@@ -61,6 +69,11 @@
   bool finishing_ = false;
   bool failed_ = false;
   bool deferred_ = false;
+  // What it waits for but for the pauses after calls that failed for want of memory.
+  Interest wanted_;
+  bool reading_paused_ = false, sending_paused_ = false;
+  core::Alarm read_pause_, send_pause_, begin_pause_;
+  Backoff read_backoff_, send_backoff_;
 };
 
 }  // namespace rushhill::transport
--- a/src/transport/sockets.cpp
+++ b/src/transport/sockets.cpp
@@ -18,28 +18,58 @@
 }  // namespace
 
 FileDescriptor bound_socket(SystemCalls& system, const Address& address, int type, BindOptions options) {
-  FileDescriptor socket(system, system.socket(address.af(), type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  FileDescriptor socket(system, try_for_a_moment(system, [&] {
+                          return system.socket(address.af(), type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+                        }));
   if (!socket.open()) fail("socket", address);
   set_option(system, socket, SOL_SOCKET, SO_REUSEADDR, 1);
   if (options.shared) set_option(system, socket, SOL_SOCKET, SO_REUSEPORT, 1);
-  if (system.bind(socket.number(), address.addr(), address.length()) != 0) fail("bind", address);
+  const auto bind = [&] { return system.bind(socket.number(), address.addr(), address.length()); };
+  if (try_for_a_moment(system, bind) != 0) fail("bind", address);
   return socket;
 }
 
 void start_listening(SystemCalls& system, const FileDescriptor& socket) {
-  if (system.listen(socket.number(), backlog) != 0) fail("listen", local_address(system, socket));
+  const auto listen = [&] { return system.listen(socket.number(), backlog); };
+  if (try_for_a_moment(system, listen) != 0) fail("listen", local_address(system, socket));
 }
 
 Address local_address(SystemCalls& system, const FileDescriptor& socket) {
   sockaddr_storage address{};
   socklen_t length = sizeof address;
-  if (system.getsockname(socket.number(), reinterpret_cast<sockaddr*>(&address), &length) != 0)
+  const auto getsockname = [&] {
+    return system.getsockname(socket.number(), reinterpret_cast<sockaddr*>(&address), &length);
+  };
+  if (try_for_a_moment(system, getsockname) != 0)
     throw std::system_error(errno, std::generic_category(), "getsockname");
   return {reinterpret_cast<const sockaddr*>(&address), length};
 }
 
 bool would_block(int error) { return error == EAGAIN || error == EWOULDBLOCK || error == EINTR; }
 
+bool out_of_memory(int error) { return error == ENOBUFS || error == ENOMEM; }
+
+bool cannot_begin(int error) {
+  switch (error) {
+    case EMFILE:
+    case ENFILE:
+    case ENOBUFS:
+    case ENOMEM:
+    case EADDRNOTAVAIL:
+    case EADDRINUSE:
+    case ENETUNREACH:
+    case ENETDOWN:
+    case EAGAIN:
+    case EPERM:
+    case EACCES:
+      return true;
+    default:
+      return false;
+  }
+}
+
+bool cannot_accept(int error) { return error == EMFILE || error == ENFILE || out_of_memory(error); }
+
 void set_non_blocking(const FileDescriptor& socket) {
   const int flags = ::fcntl(socket.number(), F_GETFL);
   if (flags >= 0) ::fcntl(socket.number(), F_SETFL, flags | O_NONBLOCK);
--- a/src/transport/system_calls.cpp
+++ b/src/transport/system_calls.cpp
@@ -42,6 +42,9 @@
 }
 int SystemCalls::close(int descriptor) { return ::close(descriptor); }
 
+int SystemCalls::poll(pollfd* descriptors, nfds_t count, int timeout_ms) {
+  return ::poll(descriptors, count, timeout_ms);
+}
 int SystemCalls::epoll_create1(int flags) { return ::epoll_create1(flags); }
 int SystemCalls::epoll_ctl(int poller, int operation, int descriptor, epoll_event* event) {
   return ::epoll_ctl(poller, operation, descriptor, event);
--- a/src/transport/system_calls.h
+++ b/src/transport/system_calls.h
@@ -3,6 +3,7 @@
 // failure.
 #pragma once
 
+#include <poll.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
 #include <sys/types.h>
@@ -36,6 +37,7 @@
   virtual int getsockname(int descriptor, sockaddr* address, socklen_t* length);
   virtual int close(int descriptor);
 
+  virtual int poll(pollfd* descriptors, nfds_t count, int timeout_ms);
   virtual int epoll_create1(int flags);
   virtual int epoll_ctl(int poller, int operation, int descriptor, epoll_event* event);
   virtual int epoll_wait(int poller, epoll_event* events, int most, int timeout_ms);
