--- a/src/command/main.cpp
+++ b/src/command/main.cpp
@@ -309,9 +309,9 @@
     on->add_flag("--repeats", of.repeats,
                  "clients send again, to another router, what was not answered, and some of what was");
     on->add_flag("--quiet", of.quiet, "none of the scripted troubles");
-    on->add_option("--faults", of.faults, "among routers: links, stalls, crashes, restarts")
+    on->add_option("--faults", of.faults, "among routers: links, stalls, crashes, restarts, syscalls")
         ->delimiter(',')
-        ->check(CLI::IsMember({"links", "stalls", "crashes", "restarts"}));
+        ->check(CLI::IsMember({"links", "stalls", "crashes", "restarts", "syscalls"}));
   };
   among_routers(on_badday, bad_day);
   on_badday->add_option("--routers", bad_day.routers, "how many")->check(CLI::Range(1, 64));
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -1,12 +1,15 @@
 #include "command/serve.h"
 
 #include <csignal>
+#include <cstdlib>
 #include <fstream>
 #include <iostream>
 #include <random>
+#include <string>
 
 #include "log/diary.h"
 #include "router/router_process.h"
+#include "standin/faulty_system_calls.h"
 #include "transport/descriptors.h"
 #include "transport/loop.h"
 
@@ -16,6 +19,19 @@
 volatile std::sig_atomic_t asked_to_end = 0;
 void on_signal(int) { asked_to_end = 1; }
 
+constexpr const char* system_call_faults_variable = "RUSHHILL_SYSTEM_CALL_FAULTS";
+constexpr double system_call_fault_rate = 1.0 / 30;
+
+// For acceptance days: system calls that fail, drawn from the seed in the variable and the router's number.
+// Nothing: they go as they go.
+std::unique_ptr<standin::FaultySystemCalls> faulty_system_calls(int router, core::Diary& diary) {
+  const char* seed = std::getenv(system_call_faults_variable);
+  if (seed == nullptr) return nullptr;
+  diary.line(core::Level::warning, "system call faults are injected", {{"seed", seed}});
+  return std::make_unique<standin::FaultySystemCalls>(std::stoull(seed) * 1'000 +
+                                                      static_cast<std::uint64_t>(router));
+}
+
 }  // namespace
 
 int serve(const deployment::Program& program, const std::string& tally_path) {
@@ -26,7 +42,8 @@
                    "router-" + std::to_string(program.module.me));
   const std::uint64_t seed =
       program.seed != 0 ? program.seed : static_cast<std::uint64_t>(std::random_device{}()) << 20U;
-  transport::Loop reactor;
+  const auto faulty_calls = faulty_system_calls(program.module.me, diary);
+  transport::Loop reactor(faulty_calls ? *faulty_calls : transport::SystemCalls::real());
   deployment::Program counted = program;
   counted.descriptors = transport::descriptors_left(0);
   router::RouterProcess router(reactor, counted, seed, diary);
@@ -34,6 +51,7 @@
   reactor.every_turn([&] {
     if (asked_to_end != 0) router.wind_up([&] { reactor.halt(); });
   });
+  if (faulty_calls) faulty_calls->fail_all_at_rate(system_call_fault_rate);
   reactor.run();
   const std::string tally = router.tally();
   diary.line(core::Level::info, "ended", {{"tally", tally}});
--- a/src/lab/badday.cpp
+++ b/src/lab/badday.cpp
@@ -31,7 +31,8 @@
 
 constexpr int peer_descriptor = 20;            // what a router's datagram socket is handed down as
 constexpr std::int64_t lead_ns = 300'000'000;  // from all being ready to the day's start
-constexpr int grace_seconds = 30;              // beyond the day's length, before it is called off
+constexpr const char* system_call_faults_variable = "RUSHHILL_SYSTEM_CALL_FAULTS";  // of the routers: a seed
+constexpr int grace_seconds = 30;  // beyond the day's length, before it is called off
 
 std::string text_of(const fs::path& path) {
   std::ifstream in(path, std::ios::binary);
@@ -279,6 +280,8 @@
                 ? standin::scripted_bad_day(of.events, of.rate, of.seed, !of.loads_by_themselves, of.calm)
                 : standin::day_from_json(text_of(of.day_file));
   make_among_routers(day, of);
+  if (std::ranges::find(of.faults, "syscalls") != of.faults.end())
+    setenv(system_call_faults_variable, std::to_string(day.seed).c_str(), 1);  // the routers inherit it
   const Folder folder(of.folder);
   {
     Stage stage(day, folder, of.front);
--- a/src/lab/badday.h
+++ b/src/lab/badday.h
@@ -21,7 +21,7 @@
   std::string marks{};                // none, told, held; empty: as the day says
   bool repeats = false;               // clients send again, to another router, what must not run twice
   bool quiet = false;                 // none of the scripted troubles
-  std::vector<std::string> faults{};  // among routers: links, stalls, crashes, restarts
+  std::vector<std::string> faults{};  // among routers: links, stalls, crashes, restarts, syscalls
 };
 
 // The day with what is told of its routers.
