--- a/src/lab/badday.cpp
+++ b/src/lab/badday.cpp
@@ -32,6 +32,8 @@
 constexpr int peer_descriptor = 20;            // what a router's datagram socket is handed down as
 constexpr std::int64_t lead_ns = 300'000'000;  // from all being ready to the day's start
 constexpr const char* storage_faults_variable = "RUSHHILL_STORAGE_FAULTS";  // of the routers' files: a seed
+constexpr const char* system_call_faults_variable =
+    "RUSHHILL_SYSTEM_CALL_FAULTS";  // of the routers' system calls: a seed
 constexpr std::string_view roster_section = "[roster]\n";
 constexpr const char* remembered_suffix = ".list";  // of a router's remembered endpoint list
 constexpr int grace_seconds = 30;                   // beyond the day's length, before it is called off
@@ -320,6 +322,8 @@
   make_among_routers(day, of);
   if (std::ranges::find(of.faults, "storage") != of.faults.end())
     setenv(storage_faults_variable, std::to_string(day.seed).c_str(), 1);  // the routers inherit it
+  if (std::ranges::find(of.faults, "syscalls") != of.faults.end())
+    setenv(system_call_faults_variable, std::to_string(day.seed).c_str(), 1);  // the routers inherit it
   const Folder folder(of.folder);
   {
     Stage stage(day, folder, of.front, std::ranges::find(of.faults, "wallclock") != of.faults.end());
--- a/src/lab/badday.h
+++ b/src/lab/badday.h
@@ -21,7 +21,7 @@
   std::string marks{};   // none, told, held; empty: as the day says
   bool repeats = false;  // clients send again, to another router, what must not run twice
   bool quiet = false;    // none of the scripted troubles
-  // Among routers: links, stalls, crashes, restarts; within them: storage, wallclock.
+  // Among routers: links, stalls, crashes, restarts; within them: storage, syscalls, wallclock.
   std::vector<std::string> faults{};
 };
 
