--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -6,21 +6,22 @@
 namespace rushhill::core {
 namespace {
 
-constexpr std::size_t most_peer_bytes = 256;      // bytes; what one message to a peer may hold
-constexpr std::uint64_t id_space = 1ULL << 51U;   // ids start anywhere below, so that routers' ids differ
-constexpr std::size_t unlimited = 1'000'000'000;  // events; where no cap is told
-constexpr Time probe_limit = 10'000;              // tenths of a millisecond; a report older than that is none
+constexpr std::size_t peer_message_limit = 256;  // bytes; what one message to a peer may hold
+constexpr std::uint64_t first_id_limit = 1ULL
+                                         << 51U;  // ids start anywhere below, so that routers' ids differ
+constexpr std::size_t unlimited_requests = 1'000'000'000;  // events; where no cap is told
+constexpr Time probe_limit = 10'000;  // tenths of a millisecond; a report older than that is none
 
 std::size_t index(Ending ending) { return static_cast<std::size_t>(ending); }
 
 // SplitMix64's last step: spreads the seed over the whole space of ids.
-std::uint64_t spread(std::uint64_t value) {
+std::uint64_t mix(std::uint64_t value) {
   value = (value ^ value >> 30U) * 0xbf58476d1ce4e5b9ULL;
   value = (value ^ value >> 27U) * 0x94d049bb133111ebULL;
   return value ^ value >> 31U;
 }
 
-const char* word(admission::Yielding::End end) {
+const char* name_of(admission::Yielding::End end) {
   using End = admission::Yielding::End;
   return end == End::honoured ? "honoured" : end == End::given_up ? "given up" : "gone";
 }
@@ -36,25 +37,25 @@
 
 Gateway::Gateway(const Deployment& deployment, std::uint64_t seed, const Ports& ports)
     : deployment_(deployment), to_(ports), router_(make_router(deployment, seed, *this)),
-      next_(static_cast<EventId>(spread(seed) % id_space) + 1),
-      shares_(deployment.open_cap > 0 ? static_cast<std::size_t>(deployment.open_cap) : unlimited) {}
+      next_id_(static_cast<EventId>(mix(seed) % first_id_limit) + 1),
+      shares_(deployment.open_cap > 0 ? static_cast<std::size_t>(deployment.open_cap) : unlimited_requests) {}
 
 Gateway::~Gateway() {
-  for (auto& [id, open] : open_) {
-    to_.clock.withdraw(open.at_limit);
-    for (Leg& leg : open.legs) to_.clock.withdraw(leg.time_out);
+  for (auto& [id, request] : requests_) {
+    to_.clock.withdraw(request.deadline_timer);
+    for (Attempt& attempt : request.attempts) to_.clock.withdraw(attempt.timeout_timer);
   }
 }
 
 template <typename Call>
-void Gateway::decide(Call call) {
+void Gateway::run_decision(Call call) {
   const std::int64_t began = to_.clock.nanoseconds();
   call(*router_, to_.clock.now());
   module_ns_ += to_.clock.nanoseconds() - began;
 }
 
 // What is put off is void when the gateway is gone.
-void Gateway::soon(Clockwork::Call call) {
+void Gateway::run_soon(Clockwork::Call call) {
   to_.clock.soon([call = std::move(call), alive = std::weak_ptr(life_)] {
     if (!alive.expired()) call();
   });
@@ -71,43 +72,43 @@
     ++tally_.refused;
     return std::nullopt;
   }
-  const EventId id = next_++;
+  const EventId id = next_id_++;
   told.id = id;
-  Open& open = open_[id];
-  open.client = &client;
-  open.message = std::move(message);
-  open.taken = to_.clock.now();
-  open.limit = open.taken + told.left;
-  open.at_limit = to_.clock.at(open.limit, [this, id] { expire(id); });
-  open.source = source;
+  Request& request = requests_[id];
+  request.client = &client;
+  request.message = std::move(message);
+  request.accepted = to_.clock.now();
+  request.deadline = request.accepted + told.left;
+  request.deadline_timer = to_.clock.at(request.deadline, [this, id] { expire(id); });
+  request.source = source;
   shares_.took(source);
-  yielding_.took(open.taken, source);
+  yielding_.took(request.accepted, source);
   ++tally_.taken;
   const Taking how = to_.ledger == nullptr
                          ? Taking::unmarked
-                         : to_.ledger->taking(id, told.traffic_type, open.message, told.left);
-  proceed(id, open, std::move(told), how);
+                         : to_.ledger->taking(id, told.traffic_type, request.message, told.left);
+  apply_verdict(id, request, std::move(told), how);
   return id;
 }
 
 // What is not gone on with is answered at once.
-void Gateway::proceed(EventId event, Open& open, Event told, Taking how) {
-  open.waiting.reset();
+void Gateway::apply_verdict(EventId event, Request& request, Event told, Taking how) {
+  request.awaiting_record.reset();
   switch (how) {
     case Taking::marked:
-      open.marked = true;
+      request.recorded = true;
       [[fallthrough]];
     case Taking::unmarked:
-      return decide([&](Router& router, Time now) { router.event(now, told); });
+      return run_decision([&](Router& router, Time now) { router.event(now, told); });
     case Taking::wait:
-      open.marked = true;
-      open.waiting = std::move(told);
+      request.recorded = true;
+      request.awaiting_record = std::move(told);
       return;
     case Taking::known:
       ++tally_.abandoned;
       ++tally_.known;
-      conclude(event, open, End::given_up, Fate::unrun);
-      return hand_over(event, [event](Client& client) { client.known(event); });
+      conclude(event, request, End::given_up, Fate::unrun);
+      return answer_soon(event, [event](Client& client) { client.known(event); });
     case Taking::not_now:
       ++tally_.not_held;
       return shed(event, deployment_.retry_advice ? deployment_.longest_retry_advice : 0);
@@ -115,123 +116,125 @@
 }
 
 void Gateway::marked(EventId event, Taking how) {
-  const auto it = open_.find(event);
-  if (it == open_.end() || !it->second.waiting || it->second.concluded) return;
-  Event told = std::move(*it->second.waiting);
-  const Time left = it->second.limit - to_.clock.now();
+  const auto it = requests_.find(event);
+  if (it == requests_.end() || !it->second.awaiting_record || it->second.concluded) return;
+  Event told = std::move(*it->second.awaiting_record);
+  const Time left = it->second.deadline - to_.clock.now();
   // In the tick of the hard limit the limit comes first.
   if (left <= 0) return expire(event);
   told.left = left;
-  proceed(event, it->second, std::move(told), how);
+  apply_verdict(event, it->second, std::move(told), how);
 }
 
 void Gateway::client_gone(EventId event, std::uint64_t unread) {
   tally_.attempts_after_cancel += unread;
-  const auto it = open_.find(event);
-  if (it == open_.end() || it->second.client == nullptr) return;
+  const auto it = requests_.find(event);
+  if (it == requests_.end() || it->second.client == nullptr) return;
   it->second.client = nullptr;
   if (it->second.concluded) return;
   ++tally_.gone;
-  const bool waiting = it->second.waiting.has_value();
-  conclude(event, it->second, End::gone, fate_of(it->second));
+  const bool waiting = it->second.awaiting_record.has_value();
+  conclude(event, it->second, End::gone, fate_without_reply(it->second));
   if (waiting) return;
-  decide([&](Router& router, Time now) { router.client_gone(now, event); });
+  run_decision([&](Router& router, Time now) { router.client_gone(now, event); });
 }
 
 // From here on the event only waits for the ends of its shots.
-void Gateway::conclude(EventId event, Open& open, End end, Fate fate) {
-  if (open.marked) to_.ledger->ended(open.message, fate);
+void Gateway::conclude(EventId event, Request& request, End end, Fate fate) {
+  if (request.recorded) to_.ledger->ended(request.message, fate);
   // Nothing is sent for it any more, whether or not what is out may be called off.
-  for (std::size_t leg = 0; leg < open.legs.size(); ++leg) {
-    if (open.legs[leg].open && to_.carrier.recall(event, static_cast<int>(leg)))
-      close_leg(event, open, static_cast<int>(leg), Ending::not_sent);
+  for (std::size_t leg = 0; leg < request.attempts.size(); ++leg) {
+    if (request.attempts[leg].open && to_.carrier.recall(event, static_cast<int>(leg)))
+      close_attempt(event, request, static_cast<int>(leg), Ending::not_sent);
   }
-  shares_.ended(open.source);
-  yielding_.ended(to_.clock.now(), open.source, end);
-  open.concluded = true;
-  soon([this, event] { drop_if_over(event); });
+  shares_.ended(request.source);
+  yielding_.ended(to_.clock.now(), request.source, end);
+  request.concluded = true;
+  run_soon([this, event] { erase_if_over(event); });
   if (!to_.diary.wants(Level::debug)) return;
   to_.diary.line(Level::debug, "final answer",
-                 {{"outcome", word(end)},
-                  {"event", open.message.id},
-                  {"source", open.message.source},
-                  {"shots", std::to_string(open.legs.size())},
-                  {"ms", std::to_string(static_cast<double>(to_.clock.now() - open.taken) / 10)}});
-}
-
-void Gateway::drop_if_over(EventId event) {
-  const auto it = open_.find(event);
-  if (it == open_.end()) return;
-  Open& open = it->second;
-  if (!open.concluded || open.owed > 0 || std::ranges::any_of(open.legs, &Leg::open)) return;
-  to_.clock.withdraw(open.at_limit);
-  open_.erase(it);
+                 {{"outcome", name_of(end)},
+                  {"event", request.message.id},
+                  {"source", request.message.source},
+                  {"shots", std::to_string(request.attempts.size())},
+                  {"ms", std::to_string(static_cast<double>(to_.clock.now() - request.accepted) / 10)}});
+}
+
+void Gateway::erase_if_over(EventId event) {
+  const auto it = requests_.find(event);
+  if (it == requests_.end()) return;
+  Request& request = it->second;
+  if (!request.concluded || request.deferred_calls > 0 ||
+      std::ranges::any_of(request.attempts, &Attempt::open))
+    return;
+  to_.clock.withdraw(request.deadline_timer);
+  requests_.erase(it);
 }
 
 // The client's time is up. The module has given its answer before; where it has not, the core does.
 void Gateway::expire(EventId event) {
-  const auto it = open_.find(event);
-  if (it == open_.end()) return;
-  Open& open = it->second;
-  if (!open.concluded) {
-    if (open.waiting) return shed(event, 0);  // the module has not heard of it
+  const auto it = requests_.find(event);
+  if (it == requests_.end()) return;
+  Request& request = it->second;
+  if (!request.concluded) {
+    if (request.awaiting_record) return shed(event, 0);  // the module has not heard of it
     ++tally_.overdue;
-    to_.diary.line(Level::error, "no answer by the hard limit", {{"event", open.message.id}});
+    to_.diary.line(Level::error, "no answer by the hard limit", {{"event", request.message.id}});
     abandon(event);
-    decide([&](Router& router, Time now) { router.client_gone(now, event); });
+    run_decision([&](Router& router, Time now) { router.client_gone(now, event); });
   }
-  for (std::size_t leg = 0; leg < open.legs.size(); ++leg) {
-    if (open.legs[leg].open) give_up_leg(event, static_cast<int>(leg), Ending::no_answer);
+  for (std::size_t leg = 0; leg < request.attempts.size(); ++leg) {
+    if (request.attempts[leg].open) cancel_attempt(event, static_cast<int>(leg), Ending::no_answer);
   }
 }
 
 // Closes the shot's connection now; the module hears of it when what it does now is done.
-void Gateway::give_up_leg(EventId event, int leg, Ending ending) {
+void Gateway::cancel_attempt(EventId event, int leg, Ending ending) {
   to_.carrier.drop(event, leg);
-  close_leg(event, open_.at(event), leg, ending);
+  close_attempt(event, requests_.at(event), leg, ending);
 }
 
-void Gateway::close_leg(EventId event, Open& open, int leg, Ending ending) {
-  Leg& closed = open.legs[static_cast<std::size_t>(leg)];
+void Gateway::close_attempt(EventId event, Request& request, int leg, Ending ending) {
+  Attempt& closed = request.attempts[static_cast<std::size_t>(leg)];
   closed.open = false;
-  to_.clock.withdraw(closed.time_out);
-  ++open.owed;
-  soon([this, event, leg, ending] {
-    --open_.at(event).owed;
-    tell_end(event, leg, {.ending = ending});
+  to_.clock.withdraw(closed.timeout_timer);
+  ++request.deferred_calls;
+  run_soon([this, event, leg, ending] {
+    --requests_.at(event).deferred_calls;
+    report_end(event, leg, {.ending = ending});
   });
 }
 
 void Gateway::attempt_started(EventId event) {
-  const auto it = open_.find(event);
-  if (it != open_.end() && it->second.client != nullptr) it->second.client->attempt_started(event);
+  const auto it = requests_.find(event);
+  if (it != requests_.end() && it->second.client != nullptr) it->second.client->attempt_started(event);
 }
 
 void Gateway::shot_ended(EventId event, int leg, ShotResult result) {
-  const auto it = open_.find(event);
-  if (it == open_.end() || static_cast<std::size_t>(leg) >= it->second.legs.size()) return;
-  Open& open = it->second;
-  Leg& ended = open.legs[static_cast<std::size_t>(leg)];
+  const auto it = requests_.find(event);
+  if (it == requests_.end() || static_cast<std::size_t>(leg) >= it->second.attempts.size()) return;
+  Request& request = it->second;
+  Attempt& ended = request.attempts[static_cast<std::size_t>(leg)];
   if (!ended.open) return;
   // In the very tick of the hard limit the limit comes first.
-  if (!open.concluded && to_.clock.now() >= open.limit) return expire(event);
+  if (!request.concluded && to_.clock.now() >= request.deadline) return expire(event);
   ended.open = false;
-  to_.clock.withdraw(ended.time_out);
-  if (result.ending == Ending::honoured && !open.concluded) {
+  to_.clock.withdraw(ended.timeout_timer);
+  if (result.ending == Ending::honoured && !request.concluded) {
     ++tally_.honoured;
-    conclude(event, open, End::honoured, Fate::honoured);
-    std::exchange(open.client, nullptr)->honoured(event, std::move(result.reply));
+    conclude(event, request, End::honoured, Fate::honoured);
+    std::exchange(request.client, nullptr)->honoured(event, std::move(result.reply));
   }
-  tell_end(event, leg, result);
+  report_end(event, leg, result);
 }
 
-void Gateway::tell_end(EventId event, int leg, const ShotResult& result) {
-  const Open& open = open_.at(event);
-  const Leg& ended = open.legs[static_cast<std::size_t>(leg)];
+void Gateway::report_end(EventId event, int leg, const ShotResult& result) {
+  const Request& request = requests_.at(event);
+  const Attempt& ended = request.attempts[static_cast<std::size_t>(leg)];
   ++tally_.endings[index(result.ending)];
   if (to_.diary.wants(Level::debug))
     to_.diary.line(Level::debug, "shot ended",
-                   {{"event", open.message.id},
+                   {{"event", request.message.id},
                     {"leg", std::to_string(leg)},
                     {"server", ended.server},
                     {"ending", std::to_string(static_cast<int>(result.ending))}});
@@ -239,28 +242,28 @@
                     .leg = leg,
                     .server = ended.server,
                     .ending = result.ending,
-                    .final = open.concluded,
-                    .taken = to_.clock.now() - ended.sent,
+                    .final = request.concluded,
+                    .taken = to_.clock.now() - ended.started,
                     .warmth = result.warmth,
                     .crowd = result.crowd,
                     .report = result.report};
-  decide([&](Router& router, Time now) { router.shot_ended(now, end); });
-  drop_if_over(event);
+  run_decision([&](Router& router, Time now) { router.shot_ended(now, end); });
+  erase_if_over(event);
 }
 
 void Gateway::probe_ended(const ServerId& server, Ending ending, const LoadReport& report) {
   const Time now_is = to_.clock.now();
-  const ProbeEnd end{server, ending, now_is - oldest(probes_out_[server], now_is), report};
-  if (probes_out_[server].empty()) probes_out_.erase(server);
-  decide([&](Router& router, Time now) { router.probe_ended(now, end); });
+  const ProbeEnd end{server, ending, now_is - oldest(probes_[server], now_is), report};
+  if (probes_[server].empty()) probes_.erase(server);
+  run_decision([&](Router& router, Time now) { router.probe_ended(now, end); });
 }
 
 void Gateway::order_ended(const ServerId& server, const FunctionId& function, Ending ending, int copies) {
   const Time now_is = to_.clock.now();
   const auto key = std::pair(server, function);
-  const OrderEnd end{server, function, ending, now_is - oldest(orders_out_[key], now_is), copies};
-  if (orders_out_[key].empty()) orders_out_.erase(key);
-  decide([&](Router& router, Time now) { router.order_ended(now, end); });
+  const OrderEnd end{server, function, ending, now_is - oldest(orders_[key], now_is), copies};
+  if (orders_[key].empty()) orders_.erase(key);
+  run_decision([&](Router& router, Time now) { router.order_ended(now, end); });
 }
 
 void Gateway::roster(RosterForm form, const std::vector<RosterEntry>& entries) {
@@ -283,7 +286,7 @@
       addresses_[id] = address;
     }
   }
-  decide([&](Router& router, Time now) { router.roster(now, form, servers); });
+  run_decision([&](Router& router, Time now) { router.roster(now, form, servers); });
   // What was chosen before the word came and has not left yet is chosen again elsewhere.
   for (const RosterEntry& entry : entries) {
     if (entry.server.condition == Condition::leaving) to_.carrier.recall_all(entry.server.id);
@@ -294,104 +297,107 @@
 }
 
 bool Gateway::owes() const {
-  return std::ranges::any_of(open_, [](const auto& item) { return item.second.client != nullptr; });
+  return std::ranges::any_of(requests_, [](const auto& item) { return item.second.client != nullptr; });
 }
 
 void Gateway::end_all() {
   std::vector<EventId> all;
-  for (const auto& [event, open] : open_) {
-    if (!open.concluded) all.push_back(event);
+  for (const auto& [event, request] : requests_) {
+    if (!request.concluded) all.push_back(event);
   }
   std::ranges::sort(all);
   for (const EventId event : all) expire(event);
 }
 
 void Gateway::peer_told(int router_number, const std::string& bytes) {
-  decide([&](Router& router, Time now) { router.told(now, router_number, bytes); });
+  run_decision([&](Router& router, Time now) { router.told(now, router_number, bytes); });
 }
 
 void Gateway::ration_known(double orders) {
-  decide([&](Router& router, Time now) { router.ration_known(now, orders); });
+  run_decision([&](Router& router, Time now) { router.ration_known(now, orders); });
 }
 
 void Gateway::shoot(EventId event, const ServerId& server, Time time_out) {
-  const auto it = open_.find(event);
-  if (it == open_.end()) {
+  const auto it = requests_.find(event);
+  if (it == requests_.end()) {
     to_.diary.line(Level::error, "shot for an event that is not open", {{"server", server}});
     return;
   }
-  Open& open = it->second;
+  Request& request = it->second;
   const Time now = to_.clock.now();
-  const int leg = static_cast<int>(open.legs.size());
-  open.legs.push_back({.server = server, .sent = now});
-  if (open.concluded || now >= open.limit || leg >= deployment_.shot_cap) {
-    open.legs.back().open = false;
-    ++open.owed;
-    soon([this, event, leg] {
-      --open_.at(event).owed;
-      tell_end(event, leg, {.ending = Ending::not_sent});
+  const int leg = static_cast<int>(request.attempts.size());
+  request.attempts.push_back({.server = server, .started = now});
+  if (request.concluded || now >= request.deadline || leg >= deployment_.shot_cap) {
+    request.attempts.back().open = false;
+    ++request.deferred_calls;
+    run_soon([this, event, leg] {
+      --requests_.at(event).deferred_calls;
+      report_end(event, leg, {.ending = Ending::not_sent});
     });
     return;
   }
   ++tally_.shots;
   if (time_out > 0) {
-    open.legs.back().time_out =
-        to_.clock.at(now + time_out, [this, event, leg] { give_up_leg(event, leg, Ending::no_answer); });
+    request.attempts.back().timeout_timer =
+        to_.clock.at(now + time_out, [this, event, leg] { cancel_attempt(event, leg, Ending::no_answer); });
   }
-  to_.carrier.shoot(
-      {.event = event, .leg = leg, .server = server, .left = open.limit - now, .message = open.message});
+  to_.carrier.shoot({.event = event,
+                     .leg = leg,
+                     .server = server,
+                     .left = request.deadline - now,
+                     .message = request.message});
 }
 
 void Gateway::call_off(EventId event, int leg) {
-  const auto it = open_.find(event);
-  if (it == open_.end() || static_cast<std::size_t>(leg) >= it->second.legs.size()) return;
-  if (it->second.legs[static_cast<std::size_t>(leg)].open) give_up_leg(event, leg, Ending::called_off);
+  const auto it = requests_.find(event);
+  if (it == requests_.end() || static_cast<std::size_t>(leg) >= it->second.attempts.size()) return;
+  if (it->second.attempts[static_cast<std::size_t>(leg)].open) cancel_attempt(event, leg, Ending::called_off);
 }
 
 // Answers that the module gives leave when it has returned.
 void Gateway::shed(EventId event, Time come_back) {
-  const auto it = open_.find(event);
-  if (it == open_.end() || it->second.concluded) return;
+  const auto it = requests_.find(event);
+  if (it == requests_.end() || it->second.concluded) return;
   ++tally_.shed;
   conclude(event, it->second, End::given_up, Fate::unrun);
-  hand_over(event, [come_back, event](Client& client) { client.shed(event, come_back); });
+  answer_soon(event, [come_back, event](Client& client) { client.shed(event, come_back); });
 }
 
 void Gateway::abandon(EventId event) {
-  const auto it = open_.find(event);
-  if (it == open_.end() || it->second.concluded) return;
+  const auto it = requests_.find(event);
+  if (it == requests_.end() || it->second.concluded) return;
   ++tally_.abandoned;
-  conclude(event, it->second, End::given_up, fate_of(it->second));
-  hand_over(event, [event](Client& client) { client.abandoned(event); });
+  conclude(event, it->second, End::given_up, fate_without_reply(it->second));
+  answer_soon(event, [event](Client& client) { client.abandoned(event); });
 }
 
-void Gateway::hand_over(EventId event, std::function<void(Client&)> answer) {
-  ++open_.at(event).owed;
-  soon([this, event, answer = std::move(answer)] {
-    Open& open = open_.at(event);
-    --open.owed;
-    if (open.client != nullptr) answer(*std::exchange(open.client, nullptr));
-    drop_if_over(event);
+void Gateway::answer_soon(EventId event, std::function<void(Client&)> answer) {
+  ++requests_.at(event).deferred_calls;
+  run_soon([this, event, answer = std::move(answer)] {
+    Request& request = requests_.at(event);
+    --request.deferred_calls;
+    if (request.client != nullptr) answer(*std::exchange(request.client, nullptr));
+    erase_if_over(event);
   });
 }
 
 void Gateway::wake(std::int64_t token, Time at) {
   to_.clock.at(at, [this, token, alive = std::weak_ptr(life_)] {
-    if (!alive.expired()) decide([token](Router& router, Time now) { router.woken(now, token); });
+    if (!alive.expired()) run_decision([token](Router& router, Time now) { router.woken(now, token); });
   });
 }
 
 void Gateway::probe(const ServerId& server) {
   ++tally_.probes;
-  probes_out_[server].push_back(to_.clock.now());
+  probes_[server].push_back(to_.clock.now());
   to_.carrier.probe(server, probe_limit);
 }
 void Gateway::close_idle(const ServerId& server) { to_.carrier.close_idle(server); }
 
 void Gateway::order(const ServerId& server, const FunctionId& function, int copies) {
-  orders_out_[{server, function}].push_back(to_.clock.now());
+  orders_[{server, function}].push_back(to_.clock.now());
   if (to_.ledger != nullptr && !to_.ledger->ordering())
-    return soon([this, server, function] { order_ended(server, function, Ending::not_sent, 0); });
+    return run_soon([this, server, function] { order_ended(server, function, Ending::not_sent, 0); });
   ++tally_.orders;
   to_.carrier.order(server, function, copies, deployment_.order_limit);
 }
@@ -401,7 +407,7 @@
 }
 
 void Gateway::tell(int router, const std::string& bytes) {
-  if (!deployment_.peers || bytes.size() > most_peer_bytes) return;
+  if (!deployment_.peers || bytes.size() > peer_message_limit) return;
   ++tally_.told;
   to_.peers.tell(router, bytes);
 }
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -82,23 +82,24 @@
   void order_ended(const ServerId& server, const FunctionId& function, Ending ending, int copies) override;
 
  private:
-  struct Leg {
+  struct Attempt {
     ServerId server;
-    Time sent = 0;
+    Time started = 0;
     bool open = true;
-    Alarm time_out{};
+    Alarm timeout_timer{};
   };
-  struct Open {
+  struct Request {
     admission::Shares::Source source = 0;
     Client* client = nullptr;  // none: it has been handed its final answer, or its client has gone
     bool concluded = false;
-    bool marked = false;           // the ledger is to hear how it ends
-    std::optional<Event> waiting;  // for its mark; the module has not heard of it
+    bool recorded = false;                 // the ledger is to hear how it ends
+    std::optional<Event> awaiting_record;  // for its mark; the module has not heard of it
     events::CloudEvent message;
-    Time taken = 0, limit = 0;
-    Alarm at_limit;
-    std::vector<Leg> legs;
-    int owed = 0;  // what is put off until the present call returns: ends of shots, the answer
+    Time accepted = 0;
+    Time deadline = 0;
+    Alarm deadline_timer;
+    std::vector<Attempt> attempts;
+    int deferred_calls = 0;  // what is put off until the present call returns: ends of shots, the answer
   };
 
   // Host
@@ -116,28 +117,30 @@
   void reload() override;
   void log(const std::string& line) override;
 
-  void soon(Clockwork::Call call);
+  void run_soon(Clockwork::Call call);
   using End = admission::Yielding::End;
-  void conclude(EventId event, Open& open, End end, Fate fate);
-  static Fate fate_of(const Open& open) { return open.legs.empty() ? Fate::unrun : Fate::may_have_run; }
-  void proceed(EventId event, Open& open, Event told, Taking how);
-  void hand_over(EventId event, std::function<void(Client&)> answer);
+  void conclude(EventId event, Request& request, End end, Fate fate);
+  static Fate fate_without_reply(const Request& request) {
+    return request.attempts.empty() ? Fate::unrun : Fate::may_have_run;
+  }
+  void apply_verdict(EventId event, Request& request, Event told, Taking how);
+  void answer_soon(EventId event, std::function<void(Client&)> answer);
   void expire(EventId event);
-  void give_up_leg(EventId event, int leg, Ending ending);
-  void close_leg(EventId event, Open& open, int leg, Ending ending);
-  void tell_end(EventId event, int leg, const ShotResult& result);
-  void drop_if_over(EventId event);
+  void cancel_attempt(EventId event, int leg, Ending ending);
+  void close_attempt(EventId event, Request& request, int leg, Ending ending);
+  void report_end(EventId event, int leg, const ShotResult& result);
+  void erase_if_over(EventId event);
   template <typename Call>
-  void decide(Call call);
+  void run_decision(Call call);
 
   Deployment deployment_;
   Ports to_;
   std::unique_ptr<Router> router_;
-  std::unordered_map<EventId, Open> open_;
+  std::unordered_map<EventId, Request> requests_;
   std::map<std::string, std::string> addresses_;
-  std::map<std::pair<ServerId, FunctionId>, std::vector<Time>> orders_out_;
-  std::map<ServerId, std::vector<Time>> probes_out_;
-  EventId next_ = 1;
+  std::map<std::pair<ServerId, FunctionId>, std::vector<Time>> orders_;
+  std::map<ServerId, std::vector<Time>> probes_;
+  EventId next_id_ = 1;
   admission::Shares shares_;
   admission::Yielding yielding_;
   std::int64_t module_ns_ = 0;
