--- /dev/null
+++ b/src/core/decision_module.h
@@ -0,0 +1,35 @@
+// The decision module as the core calls it, with the time that it takes.
+#pragma once
+
+#include <cstdint>
+#include <memory>
+#include <utility>
+
+#include "core/clockwork.h"
+#include "decide.h"
+
+namespace rushhill::core {
+
+class DecisionModule {
+ public:
+  DecisionModule(std::unique_ptr<Router> router, Clockwork& clock)
+      : clock_(clock), router_(std::move(router)) {}
+
+  // Runs `call(Router&, Time now)`. Calls must not nest: what the module asks for is reported to it later.
+  template <typename Call>
+  void run(Call call) {
+    const std::int64_t began_ns = clock_.nanoseconds();
+    call(*router_, clock_.now());
+    spent_ns_ += clock_.nanoseconds() - began_ns;
+  }
+
+  // Time spent within the module, in nanoseconds; 0 where the clock does not measure it.
+  std::int64_t spent_ns() const { return spent_ns_; }
+
+ private:
+  Clockwork& clock_;
+  std::unique_ptr<Router> router_;
+  std::int64_t spent_ns_ = 0;
+};
+
+}  // namespace rushhill::core
--- /dev/null
+++ b/src/core/deferred_calls.h
@@ -0,0 +1,30 @@
+// Calls that run later: once the present call has returned, or at a moment of the clock.
+#pragma once
+
+#include <memory>
+#include <utility>
+
+#include "core/clockwork.h"
+
+namespace rushhill::core {
+
+// Hands calls to the clock that are void when this object is gone, so that they may capture their owner.
+class DeferredCalls {
+ public:
+  explicit DeferredCalls(Clockwork& clock) : clock_(clock) {}
+
+  void run_soon(Clockwork::Call call) { clock_.soon(guarded(std::move(call))); }
+  void run_at(Time when, Clockwork::Call call) { clock_.at(when, guarded(std::move(call))); }
+
+ private:
+  Clockwork::Call guarded(Clockwork::Call call) const {
+    return [call = std::move(call), alive = std::weak_ptr(alive_)] {
+      if (!alive.expired()) call();
+    };
+  }
+
+  Clockwork& clock_;
+  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+};
+
+}  // namespace rushhill::core
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -36,7 +36,8 @@
 }  // namespace
 
 Gateway::Gateway(const Deployment& deployment, std::uint64_t seed, const Ports& ports)
-    : deployment_(deployment), to_(ports), router_(make_router(deployment, seed, *this)),
+    : deployment_(deployment), to_(ports), deferred_(ports.clock),
+      decisions_(make_router(deployment, seed, *this), ports.clock),
       next_id_(static_cast<EventId>(mix(seed) % first_id_limit) + 1),
       shares_(deployment.open_cap > 0 ? static_cast<std::size_t>(deployment.open_cap) : unlimited_requests) {}
 
@@ -47,20 +48,6 @@
   }
 }
 
-template <typename Call>
-void Gateway::run_decision(Call call) {
-  const std::int64_t began = to_.clock.nanoseconds();
-  call(*router_, to_.clock.now());
-  module_ns_ += to_.clock.nanoseconds() - began;
-}
-
-// What is put off is void when the gateway is gone.
-void Gateway::run_soon(Clockwork::Call call) {
-  to_.clock.soon([call = std::move(call), alive = std::weak_ptr(life_)] {
-    if (!alive.expired()) call();
-  });
-}
-
 Effect Gateway::effect_of(const std::string& traffic_type) const {
   const auto it = std::ranges::find(deployment_.traffic_types, traffic_type, &TrafficType::name);
   return it == deployment_.traffic_types.end() ? Effect::at_most_once : it->effect;
@@ -99,7 +86,7 @@
       request.recorded = true;
       [[fallthrough]];
     case Taking::unmarked:
-      return run_decision([&](Router& router, Time now) { router.event(now, told); });
+      return decisions_.run([&](Router& router, Time now) { router.event(now, told); });
     case Taking::wait:
       request.recorded = true;
       request.awaiting_record = std::move(told);
@@ -136,7 +123,7 @@
   const bool waiting = it->second.awaiting_record.has_value();
   conclude(event, it->second, End::gone, fate_without_reply(it->second));
   if (waiting) return;
-  run_decision([&](Router& router, Time now) { router.client_gone(now, event); });
+  decisions_.run([&](Router& router, Time now) { router.client_gone(now, event); });
 }
 
 // From here on the event only waits for the ends of its shots.
@@ -150,7 +137,7 @@
   shares_.ended(request.source);
   yielding_.ended(to_.clock.now(), request.source, end);
   request.concluded = true;
-  run_soon([this, event] { erase_if_over(event); });
+  deferred_.run_soon([this, event] { erase_if_over(event); });
   if (!to_.diary.wants(Level::debug)) return;
   to_.diary.line(Level::debug, "final answer",
                  {{"outcome", name_of(end)},
@@ -181,7 +168,7 @@
     ++tally_.overdue;
     to_.diary.line(Level::error, "no answer by the hard limit", {{"event", request.message.id}});
     abandon(event);
-    run_decision([&](Router& router, Time now) { router.client_gone(now, event); });
+    decisions_.run([&](Router& router, Time now) { router.client_gone(now, event); });
   }
   for (std::size_t leg = 0; leg < request.attempts.size(); ++leg) {
     if (request.attempts[leg].open) cancel_attempt(event, static_cast<int>(leg), Ending::no_answer);
@@ -199,7 +186,7 @@
   closed.open = false;
   to_.clock.withdraw(closed.timeout_timer);
   ++request.deferred_calls;
-  run_soon([this, event, leg, ending] {
+  deferred_.run_soon([this, event, leg, ending] {
     --requests_.at(event).deferred_calls;
     report_end(event, leg, {.ending = ending});
   });
@@ -247,7 +234,7 @@
                     .warmth = result.warmth,
                     .crowd = result.crowd,
                     .report = result.report};
-  run_decision([&](Router& router, Time now) { router.shot_ended(now, end); });
+  decisions_.run([&](Router& router, Time now) { router.shot_ended(now, end); });
   erase_if_over(event);
 }
 
@@ -255,7 +242,7 @@
   const Time now_is = to_.clock.now();
   const ProbeEnd end{server, ending, now_is - oldest(probes_[server], now_is), report};
   if (probes_[server].empty()) probes_.erase(server);
-  run_decision([&](Router& router, Time now) { router.probe_ended(now, end); });
+  decisions_.run([&](Router& router, Time now) { router.probe_ended(now, end); });
 }
 
 void Gateway::order_ended(const ServerId& server, const FunctionId& function, Ending ending, int copies) {
@@ -263,7 +250,7 @@
   const auto key = std::pair(server, function);
   const OrderEnd end{server, function, ending, now_is - oldest(orders_[key], now_is), copies};
   if (orders_[key].empty()) orders_.erase(key);
-  run_decision([&](Router& router, Time now) { router.order_ended(now, end); });
+  decisions_.run([&](Router& router, Time now) { router.order_ended(now, end); });
 }
 
 void Gateway::roster(RosterForm form, const std::vector<RosterEntry>& entries) {
@@ -286,7 +273,7 @@
       addresses_[id] = address;
     }
   }
-  run_decision([&](Router& router, Time now) { router.roster(now, form, servers); });
+  decisions_.run([&](Router& router, Time now) { router.roster(now, form, servers); });
   // What was chosen before the word came and has not left yet is chosen again elsewhere.
   for (const RosterEntry& entry : entries) {
     if (entry.server.condition == Condition::leaving) to_.carrier.recall_all(entry.server.id);
@@ -310,11 +297,11 @@
 }
 
 void Gateway::peer_told(int router_number, const std::string& bytes) {
-  run_decision([&](Router& router, Time now) { router.told(now, router_number, bytes); });
+  decisions_.run([&](Router& router, Time now) { router.told(now, router_number, bytes); });
 }
 
 void Gateway::ration_known(double orders) {
-  run_decision([&](Router& router, Time now) { router.ration_known(now, orders); });
+  decisions_.run([&](Router& router, Time now) { router.ration_known(now, orders); });
 }
 
 void Gateway::shoot(EventId event, const ServerId& server, Time time_out) {
@@ -330,7 +317,7 @@
   if (request.concluded || now >= request.deadline || leg >= deployment_.shot_cap) {
     request.attempts.back().open = false;
     ++request.deferred_calls;
-    run_soon([this, event, leg] {
+    deferred_.run_soon([this, event, leg] {
       --requests_.at(event).deferred_calls;
       report_end(event, leg, {.ending = Ending::not_sent});
     });
@@ -373,7 +360,7 @@
 
 void Gateway::answer_soon(EventId event, std::function<void(Client&)> answer) {
   ++requests_.at(event).deferred_calls;
-  run_soon([this, event, answer = std::move(answer)] {
+  deferred_.run_soon([this, event, answer = std::move(answer)] {
     Request& request = requests_.at(event);
     --request.deferred_calls;
     if (request.client != nullptr) answer(*std::exchange(request.client, nullptr));
@@ -382,9 +369,8 @@
 }
 
 void Gateway::wake(std::int64_t token, Time at) {
-  to_.clock.at(at, [this, token, alive = std::weak_ptr(life_)] {
-    if (!alive.expired()) run_decision([token](Router& router, Time now) { router.woken(now, token); });
-  });
+  deferred_.run_at(
+      at, [this, token] { decisions_.run([token](Router& router, Time now) { router.woken(now, token); }); });
 }
 
 void Gateway::probe(const ServerId& server) {
@@ -397,7 +383,8 @@
 void Gateway::order(const ServerId& server, const FunctionId& function, int copies) {
   orders_[{server, function}].push_back(to_.clock.now());
   if (to_.ledger != nullptr && !to_.ledger->ordering())
-    return run_soon([this, server, function] { order_ended(server, function, Ending::not_sent, 0); });
+    return deferred_.run_soon(
+        [this, server, function] { order_ended(server, function, Ending::not_sent, 0); });
   ++tally_.orders;
   to_.carrier.order(server, function, copies, deployment_.order_limit);
 }
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -12,6 +12,8 @@
 #include "admission/shares.h"
 #include "admission/yielding.h"
 #include "core/clockwork.h"
+#include "core/decision_module.h"
+#include "core/deferred_calls.h"
 #include "core/ports.h"
 #include "decide.h"
 
@@ -72,7 +74,7 @@
   // Answers every open event now, as at its hard limit: for a router that must end.
   void end_all();
   const Tally& tally() const { return tally_; }
-  std::int64_t module_ns() const { return module_ns_; }
+  std::int64_t module_ns() const { return decisions_.spent_ns(); }
   const Deployment& deployment() const { return deployment_; }
 
   // Carried
@@ -117,7 +119,6 @@
   void reload() override;
   void log(const std::string& line) override;
 
-  void run_soon(Clockwork::Call call);
   using End = admission::Yielding::End;
   void conclude(EventId event, Request& request, End end, Fate fate);
   static Fate fate_without_reply(const Request& request) {
@@ -130,12 +131,11 @@
   void close_attempt(EventId event, Request& request, int leg, Ending ending);
   void report_end(EventId event, int leg, const ShotResult& result);
   void erase_if_over(EventId event);
-  template <typename Call>
-  void run_decision(Call call);
 
   Deployment deployment_;
   Ports to_;
-  std::unique_ptr<Router> router_;
+  DeferredCalls deferred_;
+  DecisionModule decisions_;
   std::unordered_map<EventId, Request> requests_;
   std::map<std::string, std::string> addresses_;
   std::map<std::pair<ServerId, FunctionId>, std::vector<Time>> orders_;
@@ -143,9 +143,7 @@
   EventId next_id_ = 1;
   admission::Shares shares_;
   admission::Yielding yielding_;
-  std::int64_t module_ns_ = 0;
   Tally tally_;
-  std::shared_ptr<int> life_ = std::make_shared<int>(0);
 };
 
 }  // namespace rushhill::core
--- a/tests/core/gateway_test.cpp
+++ b/tests/core/gateway_test.cpp
@@ -3,43 +3,13 @@
 
 #include <gtest/gtest.h>
 
-#include "core/alarms.h"
+#include "core/manual_clock.h"
 
 namespace rushhill::core {
 namespace {
 
 constexpr Time second = 10'000;
 
-class HandClock final : public Clockwork {
- public:
-  Time now() const override { return now_; }
-  Alarm at(Time when, Call call) override { return alarms_.set(when, std::move(call)); }
-  void withdraw(Alarm& alarm) override { alarms_.withdraw(alarm); }
-  void soon(Call call) override { soon_.push_back(std::move(call)); }
-  void settle() {
-    while (!soon_.empty()) {
-      for (const Call& call : std::exchange(soon_, {})) call();
-    }
-  }
-  void pass(Time span) {
-    const Time end = now_ + span;
-    settle();
-    while (alarms_.next() && *alarms_.next() <= end) {
-      now_ = std::max(now_, *alarms_.next());
-      alarms_.ring(now_);
-      settle();
-    }
-    now_ = end;
-  }
-  void jump(Time span) { now_ += span; }  // the moment has come, and nothing has rung yet
-  std::size_t standing() const { return alarms_.count(); }
-
- private:
-  Time now_ = 100 * second;
-  Alarms alarms_;
-  std::vector<Call> soon_;
-};
-
 struct Told final : Carrier, Peers, RosterSource, Diary, Client {
   void shoot(const ShotCall& call) override {
     shots.push_back({call.event, call.leg, call.server});
