--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -10,9 +10,6 @@
 constexpr std::uint64_t first_id_limit = 1ULL
                                          << 51U;  // ids start anywhere below, so that routers' ids differ
 constexpr std::size_t unlimited_requests = 1'000'000'000;  // events; where no cap is told
-constexpr Time probe_limit = 10'000;  // tenths of a millisecond; a report older than that is none
-
-std::size_t index(Ending ending) { return static_cast<std::size_t>(ending); }
 
 // SplitMix64's last step: spreads the seed over the whole space of ids.
 std::uint64_t mix(std::uint64_t value) {
@@ -26,18 +23,17 @@
   return end == End::honoured ? "honoured" : end == End::given_up ? "given up" : "gone";
 }
 
-Time oldest(std::vector<Time>& since, Time otherwise) {
-  if (since.empty()) return otherwise;
-  const Time first = since.front();
-  since.erase(since.begin());
-  return first;
-}
-
 }  // namespace
 
 Gateway::Gateway(const Deployment& deployment, std::uint64_t seed, const Ports& ports)
     : deployment_(deployment), to_(ports), deferred_(ports.clock),
-      decisions_(make_router(deployment, seed, *this), ports.clock),
+      decisions_(make_router(deployment, seed, *this), ports.clock), server_calls_({.clock = ports.clock,
+                                                                                    .carrier = ports.carrier,
+                                                                                    .ledger = ports.ledger,
+                                                                                    .deferred = deferred_,
+                                                                                    .decisions = decisions_,
+                                                                                    .tally = tally_},
+                                                                                   deployment.order_limit),
       next_id_(static_cast<EventId>(mix(seed) % first_id_limit) + 1),
       shares_(deployment.open_cap > 0 ? static_cast<std::size_t>(deployment.open_cap) : unlimited_requests) {}
 
@@ -218,7 +214,7 @@
 void Gateway::report_end(EventId event, int leg, const ShotResult& result) {
   const Request& request = requests_.at(event);
   const Attempt& ended = request.attempts[static_cast<std::size_t>(leg)];
-  ++tally_.endings[index(result.ending)];
+  tally_.count_ending(result.ending);
   if (to_.diary.wants(Level::debug))
     to_.diary.line(Level::debug, "shot ended",
                    {{"event", request.message.id},
@@ -239,18 +235,11 @@
 }
 
 void Gateway::probe_ended(const ServerId& server, Ending ending, const LoadReport& report) {
-  const Time now_is = to_.clock.now();
-  const ProbeEnd end{server, ending, now_is - oldest(probes_[server], now_is), report};
-  if (probes_[server].empty()) probes_.erase(server);
-  decisions_.run([&](Router& router, Time now) { router.probe_ended(now, end); });
+  server_calls_.probe_ended(server, ending, report);
 }
 
 void Gateway::order_ended(const ServerId& server, const FunctionId& function, Ending ending, int copies) {
-  const Time now_is = to_.clock.now();
-  const auto key = std::pair(server, function);
-  const OrderEnd end{server, function, ending, now_is - oldest(orders_[key], now_is), copies};
-  if (orders_[key].empty()) orders_.erase(key);
-  decisions_.run([&](Router& router, Time now) { router.order_ended(now, end); });
+  server_calls_.order_ended(server, function, ending, copies);
 }
 
 void Gateway::roster(RosterForm form, const std::vector<RosterEntry>& entries) {
@@ -373,24 +362,16 @@
       at, [this, token] { decisions_.run([token](Router& router, Time now) { router.woken(now, token); }); });
 }
 
-void Gateway::probe(const ServerId& server) {
-  ++tally_.probes;
-  probes_[server].push_back(to_.clock.now());
-  to_.carrier.probe(server, probe_limit);
-}
+void Gateway::probe(const ServerId& server) { server_calls_.probe(server); }
+
 void Gateway::close_idle(const ServerId& server) { to_.carrier.close_idle(server); }
 
 void Gateway::order(const ServerId& server, const FunctionId& function, int copies) {
-  orders_[{server, function}].push_back(to_.clock.now());
-  if (to_.ledger != nullptr && !to_.ledger->ordering())
-    return deferred_.run_soon(
-        [this, server, function] { order_ended(server, function, Ending::not_sent, 0); });
-  ++tally_.orders;
-  to_.carrier.order(server, function, copies, deployment_.order_limit);
+  server_calls_.order(server, function, copies);
 }
+
 void Gateway::unload(const ServerId& server, const FunctionId& function) {
-  ++tally_.unloads;
-  to_.carrier.unload(server, function);
+  server_calls_.unload(server, function);
 }
 
 void Gateway::tell(int router, const std::string& bytes) {
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -2,7 +2,6 @@
 // the ports, and gives every event its one final answer. Free of sockets; time comes from the Clockwork.
 #pragma once
 
-#include <array>
 #include <cstdint>
 #include <memory>
 #include <optional>
@@ -15,21 +14,12 @@
 #include "core/decision_module.h"
 #include "core/deferred_calls.h"
 #include "core/ports.h"
+#include "core/server_call_execution.h"
+#include "core/tally.h"
 #include "decide.h"
 
 namespace rushhill::core {
 
-struct Tally {
-  std::uint64_t taken = 0, honoured = 0, shed = 0, abandoned = 0, gone = 0, refused = 0;
-  std::uint64_t overdue = 0;  // answered by the core at the hard limit, since the module had not
-  std::uint64_t known = 0,
-                not_held = 0;  // of abandoned: taken before; of shed: its mark was not held in time
-  // Of shots: they started when their client's leaving stood to be read already.
-  std::uint64_t attempts_after_cancel = 0;
-  std::uint64_t shots = 0, probes = 0, orders = 0, unloads = 0, told = 0;
-  std::array<std::uint64_t, 9> endings{};  // by Ending
-};
-
 class Gateway final : public Host, public Carried {
  public:
   struct Ports {
@@ -134,16 +124,15 @@
 
   Deployment deployment_;
   Ports to_;
+  Tally tally_;
   DeferredCalls deferred_;
   DecisionModule decisions_;
+  ServerCallExecution server_calls_;
   std::unordered_map<EventId, Request> requests_;
   std::map<std::string, std::string> addresses_;
-  std::map<std::pair<ServerId, FunctionId>, std::vector<Time>> orders_;
-  std::map<ServerId, std::vector<Time>> probes_;
   EventId next_id_ = 1;
   admission::Shares shares_;
   admission::Yielding yielding_;
-  Tally tally_;
 };
 
 }  // namespace rushhill::core
