--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -9,7 +9,6 @@
 constexpr std::size_t peer_message_limit = 256;  // bytes; what one message to a peer may hold
 constexpr std::uint64_t first_id_limit = 1ULL
                                          << 51U;  // ids start anywhere below, so that routers' ids differ
-constexpr std::size_t unlimited_requests = 1'000'000'000;  // events; where no cap is told
 
 // SplitMix64's last step: spreads the seed over the whole space of ids.
 std::uint64_t mix(std::uint64_t value) {
@@ -18,8 +17,8 @@
   return value ^ value >> 31U;
 }
 
-const char* name_of(admission::Yielding::End end) {
-  using End = admission::Yielding::End;
+const char* name_of(SourceRoom::End end) {
+  using End = SourceRoom::End;
   return end == End::honoured ? "honoured" : end == End::given_up ? "given up" : "gone";
 }
 
@@ -34,8 +33,7 @@
                                                                                     .decisions = decisions_,
                                                                                     .tally = tally_},
                                                                                    deployment.order_limit),
-      next_id_(static_cast<EventId>(mix(seed) % first_id_limit) + 1),
-      shares_(deployment.open_cap > 0 ? static_cast<std::size_t>(deployment.open_cap) : unlimited_requests) {}
+      next_id_(static_cast<EventId>(mix(seed) % first_id_limit) + 1), room_(deployment.open_cap) {}
 
 Gateway::~Gateway() {
   for (auto& [id, request] : requests_) {
@@ -51,7 +49,7 @@
 
 std::optional<EventId> Gateway::take(admission::Shares::Source source, Client& client, Event told,
                                      events::CloudEvent message) {
-  if (!shares_.may_take(source)) {
+  if (!room_.within_share(source)) {
     ++tally_.refused;
     return std::nullopt;
   }
@@ -64,8 +62,7 @@
   request.deadline = request.accepted + told.left;
   request.deadline_timer = to_.clock.at(request.deadline, [this, id] { expire(id); });
   request.source = source;
-  shares_.took(source);
-  yielding_.took(request.accepted, source);
+  room_.accepted(request.accepted, source);
   ++tally_.taken;
   const Taking how = to_.ledger == nullptr
                          ? Taking::unmarked
@@ -130,8 +127,7 @@
     if (request.attempts[leg].open && to_.carrier.recall(event, static_cast<int>(leg)))
       close_attempt(event, request, static_cast<int>(leg), Ending::not_sent);
   }
-  shares_.ended(request.source);
-  yielding_.ended(to_.clock.now(), request.source, end);
+  room_.concluded(to_.clock.now(), request.source, end);
   request.concluded = true;
   deferred_.run_soon([this, event] { erase_if_over(event); });
   if (!to_.diary.wants(Level::debug)) return;
@@ -244,31 +240,18 @@
 
 void Gateway::roster(RosterForm form, const std::vector<RosterEntry>& entries) {
   std::vector<ModelServer> servers;
-  std::map<std::string, std::string> told;
-  for (const RosterEntry& entry : entries) {
-    servers.push_back(entry.server);
-    told[entry.server.id] = entry.server.condition == Condition::left ? "" : entry.address;
-  }
-  if (form == RosterForm::complete || form == RosterForm::remembered) {
-    for (const auto& [id, address] : addresses_) told.try_emplace(id, "");
-  }
-  for (const auto& [id, address] : told) {
-    const auto known = addresses_.find(id);
-    if (known != addresses_.end() ? known->second == address : address.empty()) continue;
-    to_.carrier.reach(id, address);
-    if (address.empty()) {
-      addresses_.erase(id);
-    } else {
-      addresses_[id] = address;
-    }
+  for (const RosterEntry& entry : entries) servers.push_back(entry.server);
+  const ServerAddresses::Map listed = addresses_.listed(form, entries);
+  for (const auto& [server, address] : listed) {
+    if (addresses_.set(server, address)) to_.carrier.reach(server, address);
   }
   decisions_.run([&](Router& router, Time now) { router.roster(now, form, servers); });
-  // What was chosen before the word came and has not left yet is chosen again elsewhere.
+  // What was chosen before the message came and has not left yet is chosen again elsewhere.
   for (const RosterEntry& entry : entries) {
     if (entry.server.condition == Condition::leaving) to_.carrier.recall_all(entry.server.id);
   }
-  for (const auto& [id, address] : told) {
-    if (address.empty()) to_.carrier.recall_all(id);  // has left, or is missing from a whole list
+  for (const auto& [server, address] : listed) {
+    if (address.empty()) to_.carrier.recall_all(server);  // has left, or is missing from a whole list
   }
 }
 
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -8,13 +8,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "admission/shares.h"
-#include "admission/yielding.h"
 #include "core/clockwork.h"
 #include "core/decision_module.h"
 #include "core/deferred_calls.h"
 #include "core/ports.h"
+#include "core/server_addresses.h"
 #include "core/server_call_execution.h"
+#include "core/source_room.h"
 #include "core/tally.h"
 #include "decide.h"
 
@@ -35,13 +35,8 @@
 
   // A front, or a part of one, that takes events; its weight beside the others' when there is not room for
   // all; `waits`: what it does not take now waits outside and is not lost.
-  admission::Shares::Source add_source(double weight, bool waits = false) {
-    yielding_.add(weight, waits);
-    return shares_.add(weight);
-  }
-  bool has_room(admission::Shares::Source source) {
-    return shares_.may_take(source) && yielding_.may_take(to_.clock.now(), source);
-  }
+  admission::Shares::Source add_source(double weight, bool waits = false) { return room_.add(weight, waits); }
+  bool has_room(admission::Shares::Source source) { return room_.has_room(to_.clock.now(), source); }
   Effect effect_of(const std::string& traffic_type) const;
 
   // An event whose function, type and times the front has read; `told.id` and, where 0, `told.left` are set
@@ -58,7 +53,7 @@
   // What earlier lives ordered, where the deployment says that it is told.
   void ration_known(double orders);
 
-  std::size_t open() const { return shares_.open(); }
+  std::size_t open() const { return room_.open(); }
   // Whether a client still waits for its final answer, or for one that has been decided and not handed over.
   bool owes() const;
   // Answers every open event now, as at its hard limit: for a router that must end.
@@ -109,7 +104,7 @@
   void reload() override;
   void log(const std::string& line) override;
 
-  using End = admission::Yielding::End;
+  using End = SourceRoom::End;
   void conclude(EventId event, Request& request, End end, Fate fate);
   static Fate fate_without_reply(const Request& request) {
     return request.attempts.empty() ? Fate::unrun : Fate::may_have_run;
@@ -129,10 +124,9 @@
   DecisionModule decisions_;
   ServerCallExecution server_calls_;
   std::unordered_map<EventId, Request> requests_;
-  std::map<std::string, std::string> addresses_;
+  ServerAddresses addresses_;
   EventId next_id_ = 1;
-  admission::Shares shares_;
-  admission::Yielding yielding_;
+  SourceRoom room_;
 };
 
 }  // namespace rushhill::core
--- /dev/null
+++ b/src/core/source_room.h
@@ -0,0 +1,50 @@
+// Which sources of requests have room: by their weighted share of the requests open at once, and by what they
+// leave to others while requests are rejected.
+#pragma once
+
+#include <cstddef>
+
+#include "admission/shares.h"
+#include "admission/yielding.h"
+#include "decide.h"
+
+namespace rushhill::core {
+
+class SourceRoom {
+ public:
+  using Source = admission::Shares::Source;
+  using End = admission::Yielding::End;
+
+  // `open_cap`: requests open at once, over all sources; 0 or less: unlimited.
+  explicit SourceRoom(int open_cap)
+      : shares_(open_cap > 0 ? static_cast<std::size_t>(open_cap) : unlimited_requests) {}
+
+  // `can_wait`: what the source does not hand over now waits outside and is not lost.
+  Source add(double weight, bool can_wait) {
+    yielding_.add(weight, can_wait);
+    return shares_.add(weight);
+  }
+  // Whether the source should hand over a request now.
+  bool has_room(Time now, Source source) { return within_share(source) && yielding_.may_take(now, source); }
+  // Whether a request that the source hands over all the same may be accepted.
+  bool within_share(Source source) const { return shares_.may_take(source); }
+
+  void accepted(Time now, Source source) {
+    shares_.took(source);
+    yielding_.took(now, source);
+  }
+  void concluded(Time now, Source source, End end) {
+    shares_.ended(source);
+    yielding_.ended(now, source, end);
+  }
+  // Requests accepted and not concluded.
+  std::size_t open() const { return shares_.open(); }
+
+ private:
+  static constexpr std::size_t unlimited_requests = 1'000'000'000;
+
+  admission::Shares shares_;
+  admission::Yielding yielding_;
+};
+
+}  // namespace rushhill::core
