--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -1,17 +1,19 @@
-// The core: holds one module instance, takes events from fronts, carries out what the module decides through
-// the ports, and gives every event its one final answer. Free of sockets; time comes from the Clockwork.
+// The core: one router's requests and decisions, free of sockets; time comes from the Clockwork. Its parts,
+// each in a file of its own, do the work: request_lifecycle, attempt_execution, server_call_execution.
 #pragma once
 
 #include <cstdint>
-#include <memory>
 #include <optional>
-#include <unordered_map>
+#include <string>
 #include <vector>
 
+#include "core/attempt_execution.h"
 #include "core/clockwork.h"
 #include "core/decision_module.h"
 #include "core/deferred_calls.h"
 #include "core/ports.h"
+#include "core/request_lifecycle.h"
+#include "core/request_table.h"
 #include "core/server_addresses.h"
 #include "core/server_call_execution.h"
 #include "core/source_room.h"
@@ -20,6 +22,8 @@
 
 namespace rushhill::core {
 
+// Joins the decision module to the front ends and to the ports: takes each happening to the part that handles
+// it, and each decision to the part that carries it out. Every request gets exactly one final answer.
 class Gateway final : public Host, public Carried {
  public:
   struct Ports {
@@ -31,34 +35,38 @@
     Ledger* ledger = nullptr;  // none: nothing outlives this router
   };
   Gateway(const Deployment& deployment, std::uint64_t seed, const Ports& ports);
-  ~Gateway() override;
 
-  // A front, or a part of one, that takes events; its weight beside the others' when there is not room for
-  // all; `waits`: what it does not take now waits outside and is not lost.
+  // A front end, or a part of one, that hands over requests; its weight beside the others' when there is not
+  // room for all; `waits`: what it does not hand over now waits outside and is not lost.
   admission::Shares::Source add_source(double weight, bool waits = false) { return room_.add(weight, waits); }
   bool has_room(admission::Shares::Source source) { return room_.has_room(to_.clock.now(), source); }
   Effect effect_of(const std::string& traffic_type) const;
 
-  // An event whose function, type and times the front has read; `told.id` and, where 0, `told.left` are set
-  // here. Nothing: the source has no room. The answer never comes before this returns.
+  // Accepts a request whose function, type and times the front end has read; `told.id` is set here. Nothing:
+  // the source has no room. The answer never comes before this returns.
   std::optional<EventId> take(admission::Shares::Source source, Client& client, Event told,
                               events::CloudEvent message);
-  // `unread`: attempts that started for it while something stood unread of which this is a part.
+  // The client has left. `unread`: attempts that started for its request while something stood unread of
+  // which this is a part.
   void client_gone(EventId event, std::uint64_t unread = 0);
 
+  // A message from the server list: servers and the addresses at which they are reached.
   void roster(RosterForm form, const std::vector<RosterEntry>& entries);
+  // A message from another router.
   void peer_told(int router, const std::string& bytes);
-  // What the ledger had an event wait for; from no call of this gateway's.
+  // The ledger's verdict on a request that waited for it; from no call of this gateway's.
   void marked(EventId event, Taking how);
   // What earlier lives ordered, where the deployment says that it is told.
   void ration_known(double orders);
 
+  // Requests accepted that have no final answer.
   std::size_t open() const { return room_.open(); }
   // Whether a client still waits for its final answer, or for one that has been decided and not handed over.
-  bool owes() const;
-  // Answers every open event now, as at its hard limit: for a router that must end.
+  bool owes() const { return requests_.any_client_waits(); }
+  // Answers every open request now, as at its deadline: for a router that must end.
   void end_all();
   const Tally& tally() const { return tally_; }
+  // Time spent within the decision module, in nanoseconds.
   std::int64_t module_ns() const { return decisions_.spent_ns(); }
   const Deployment& deployment() const { return deployment_; }
 
@@ -69,26 +77,6 @@
   void order_ended(const ServerId& server, const FunctionId& function, Ending ending, int copies) override;
 
  private:
-  struct Attempt {
-    ServerId server;
-    Time started = 0;
-    bool open = true;
-    Alarm timeout_timer{};
-  };
-  struct Request {
-    admission::Shares::Source source = 0;
-    Client* client = nullptr;  // none: it has been handed its final answer, or its client has gone
-    bool concluded = false;
-    bool recorded = false;                 // the ledger is to hear how it ends
-    std::optional<Event> awaiting_record;  // for its mark; the module has not heard of it
-    events::CloudEvent message;
-    Time accepted = 0;
-    Time deadline = 0;
-    Alarm deadline_timer;
-    std::vector<Attempt> attempts;
-    int deferred_calls = 0;  // what is put off until the present call returns: ends of shots, the answer
-  };
-
   // Host
   void shoot(EventId event, const ServerId& server, Time time_out) override;
   void call_off(EventId event, int leg) override;
@@ -104,29 +92,17 @@
   void reload() override;
   void log(const std::string& line) override;
 
-  using End = SourceRoom::End;
-  void conclude(EventId event, Request& request, End end, Fate fate);
-  static Fate fate_without_reply(const Request& request) {
-    return request.attempts.empty() ? Fate::unrun : Fate::may_have_run;
-  }
-  void apply_verdict(EventId event, Request& request, Event told, Taking how);
-  void answer_soon(EventId event, std::function<void(Client&)> answer);
-  void expire(EventId event);
-  void cancel_attempt(EventId event, int leg, Ending ending);
-  void close_attempt(EventId event, Request& request, int leg, Ending ending);
-  void report_end(EventId event, int leg, const ShotResult& result);
-  void erase_if_over(EventId event);
-
   Deployment deployment_;
   Ports to_;
   Tally tally_;
   DeferredCalls deferred_;
   DecisionModule decisions_;
-  ServerCallExecution server_calls_;
-  std::unordered_map<EventId, Request> requests_;
+  RequestTable requests_;
   ServerAddresses addresses_;
-  EventId next_id_ = 1;
   SourceRoom room_;
+  AttemptExecution attempts_;
+  ServerCallExecution server_calls_;
+  RequestLifecycle lifecycle_;
 };
 
 }  // namespace rushhill::core
--- /dev/null
+++ b/src/core/request_table.cpp
@@ -0,0 +1,68 @@
+#include "core/request_table.h"
+
+#include <algorithm>
+
+namespace rushhill::core {
+namespace {
+
+constexpr std::uint64_t first_id_limit = 1ULL << 51U;  // ids start anywhere below
+
+// The finalizer of SplitMix64: spreads the seed over the whole space of ids.
+std::uint64_t mix(std::uint64_t value) {
+  value = (value ^ value >> 30U) * 0xbf58476d1ce4e5b9ULL;
+  value = (value ^ value >> 27U) * 0x94d049bb133111ebULL;
+  return value ^ value >> 31U;
+}
+
+}  // namespace
+
+RequestTable::RequestTable(Clockwork& clock, std::uint64_t seed)
+    : clock_(clock), next_id_(static_cast<EventId>(mix(seed) % first_id_limit) + 1) {}
+
+RequestTable::~RequestTable() {
+  for (auto& [id, request] : requests_) {
+    clock_.withdraw(request.deadline_timer);
+    for (Attempt& attempt : request.attempts) clock_.withdraw(attempt.timeout_timer);
+  }
+}
+
+RequestTable::Added RequestTable::add() {
+  const EventId id = next_id_++;
+  return {id, requests_[id]};
+}
+
+Request* RequestTable::find(EventId id) {
+  const auto it = requests_.find(id);
+  return it == requests_.end() ? nullptr : &it->second;
+}
+
+Attempt* RequestTable::find_attempt(EventId id, int number) {
+  Request* request = find(id);
+  if (request == nullptr || static_cast<std::size_t>(number) >= request->attempts.size()) return nullptr;
+  return &request->attempts[static_cast<std::size_t>(number)];
+}
+
+void RequestTable::erase_if_over(EventId id) {
+  const auto it = requests_.find(id);
+  if (it == requests_.end()) return;
+  Request& request = it->second;
+  if (!request.concluded || request.deferred_calls > 0) return;
+  if (std::ranges::any_of(request.attempts, &Attempt::open)) return;
+  clock_.withdraw(request.deadline_timer);
+  requests_.erase(it);
+}
+
+bool RequestTable::any_client_waits() const {
+  return std::ranges::any_of(requests_, [](const auto& item) { return item.second.client != nullptr; });
+}
+
+std::vector<EventId> RequestTable::not_concluded() const {
+  std::vector<EventId> ids;
+  for (const auto& [id, request] : requests_) {
+    if (!request.concluded) ids.push_back(id);
+  }
+  std::ranges::sort(ids);
+  return ids;
+}
+
+}  // namespace rushhill::core
--- /dev/null
+++ b/tests/core/attempt_execution_test.cpp
@@ -0,0 +1,109 @@
+// Attempts as the decision module asks for them: each has exactly one end, never told from within the asking.
+#include "core/attempt_execution.h"
+
+#include "core/parts_fixture.h"
+
+namespace rushhill::core {
+namespace {
+
+class AttemptExecutionTest : public PartsFixture {
+ protected:
+  AttemptExecutionTest() { request.deadline = clock.now() + second; }
+  std::vector<Ending> endings() const {
+    std::vector<Ending> all;
+    for (const ShotEnd& end : heard.attempt_ends) all.push_back(end.ending);
+    return all;
+  }
+  RequestTable::Added added = requests.add();
+  EventId id = added.id;
+  Request& request = added.request;
+};
+
+TEST_F(AttemptExecutionTest, AnAttemptIsSentWithTheTimeThatTheRequestHasLeft) {
+  clock.pass(second / 4);
+  attempts.start(id, "a", 0);
+  attempts.start(id, "b", 0);
+  ASSERT_EQ(carrier.sent.size(), 2U);
+  EXPECT_EQ(carrier.sent[1].number, 1);
+  EXPECT_EQ(carrier.sent[1].server, "b");
+  EXPECT_EQ(carrier.sent[1].left, second - second / 4);
+  EXPECT_EQ(tally.shots, 2U);
+  EXPECT_EQ(clock.standing(), 0U) << "no timeout is set";
+}
+
+TEST_F(AttemptExecutionTest, AtItsTimeoutAnAttemptIsDroppedAndReportedOnce) {
+  attempts.start(id, "a", second / 10);
+  clock.pass(second / 10);
+  EXPECT_EQ(carrier.dropped, (std::vector{std::pair(id, 0)}));
+  EXPECT_EQ(endings(), std::vector<Ending>{Ending::no_answer});
+  EXPECT_EQ(heard.attempt_ends[0].taken, second / 10);
+  EXPECT_EQ(heard.attempt_ends[0].server, "a");
+  attempts.cancel(id, 0);
+  clock.settle();
+  EXPECT_EQ(heard.attempt_ends.size(), 1U);
+}
+
+TEST_F(AttemptExecutionTest, ACancelledAttemptIsReportedWhenThePresentCallHasReturned) {
+  attempts.start(id, "a", second / 10);
+  attempts.cancel(id, 0);
+  EXPECT_TRUE(heard.attempt_ends.empty());
+  EXPECT_EQ(request.deferred_calls, 1);
+  clock.settle();
+  EXPECT_EQ(endings(), std::vector<Ending>{Ending::called_off});
+  EXPECT_EQ(request.deferred_calls, 0);
+  EXPECT_EQ(clock.standing(), 0U) << "its timeout is withdrawn";
+}
+
+TEST_F(AttemptExecutionTest, WhatMayNotBeSentEndsAsNotSent) {
+  for (int i = 0; i < attempt_cap; ++i) attempts.start(id, "a", 0);
+  attempts.start(id, "beyond the cap", 0);
+  const auto [late_id, late] = requests.add();
+  late.deadline = clock.now();
+  attempts.start(late_id, "at the deadline", 0);
+  const auto [concluded_id, concluded] = requests.add();
+  concluded.deadline = clock.now() + second;
+  concluded.concluded = true;
+  attempts.start(concluded_id, "after the answer", 0);
+  clock.settle();
+  EXPECT_EQ(carrier.sent.size(), static_cast<std::size_t>(attempt_cap));
+  EXPECT_EQ(endings(), std::vector<Ending>(3, Ending::not_sent));
+  EXPECT_TRUE(heard.attempt_ends[2].final);
+  EXPECT_EQ(requests.find(concluded_id), nullptr) << "it is over with the report";
+}
+
+TEST_F(AttemptExecutionTest, AnAttemptForAnUnknownRequestIsAnErrorInTheLogAndNothingElse) {
+  attempts.start(id + 1, "a", 0);
+  attempts.cancel(id + 1, 0);
+  attempts.cancel(id, 0);
+  clock.settle();
+  EXPECT_EQ(log.errors, 1);
+  EXPECT_TRUE(carrier.sent.empty());
+  EXPECT_TRUE(heard.attempt_ends.empty());
+}
+
+TEST_F(AttemptExecutionTest, CancellingTheUnsentLeavesWhatIsOut) {
+  attempts.start(id, "a", 0);
+  attempts.start(id, "b", 0);
+  carrier.unsent.insert({id, 1});
+  attempts.cancel_unsent(id, request);
+  clock.settle();
+  EXPECT_TRUE(request.attempts[0].open);
+  EXPECT_FALSE(request.attempts[1].open);
+  EXPECT_EQ(endings(), std::vector<Ending>{Ending::not_sent});
+  EXPECT_TRUE(carrier.dropped.empty());
+}
+
+TEST_F(AttemptExecutionTest, AtTheDeadlineAllOpenAttemptsEnd) {
+  attempts.start(id, "a", 0);
+  attempts.start(id, "b", 0);
+  attempts.close(request.attempts[0]);
+  attempts.report_end(id, 0, {.ending = Ending::error, .crowd = 4});
+  attempts.cancel_at_deadline(id, request);
+  clock.settle();
+  EXPECT_EQ(endings(), (std::vector<Ending>{Ending::error, Ending::no_answer}));
+  EXPECT_EQ(heard.attempt_ends[0].crowd, 4);
+  EXPECT_EQ(tally.endings[static_cast<std::size_t>(Ending::error)], 1U);
+}
+
+}  // namespace
+}  // namespace rushhill::core
--- a/tests/core/parts_fixture.h
+++ b/tests/core/parts_fixture.h
@@ -9,11 +9,8 @@
 #include <utility>
 #include <vector>
 
-#include "core/decision_module.h"
-#include "core/deferred_calls.h"
+#include "core/attempt_execution.h"
 #include "core/manual_clock.h"
-#include "core/ports.h"
-#include "core/tally.h"
 
 namespace rushhill::core {
 
@@ -85,6 +82,7 @@
 class PartsFixture : public testing::Test {
  protected:
   static constexpr Time second = 10'000;
+  static constexpr int attempt_cap = 3;
 
   HandClock clock;
   RecordingCarrier carrier;
@@ -93,6 +91,15 @@
   Tally tally;
   DeferredCalls deferred{clock};
   DecisionModule decisions{std::make_unique<RecordingRouter>(heard), clock};
+  RequestTable requests{clock, 7};
+  AttemptExecution attempts{{.clock = clock,
+                             .carrier = carrier,
+                             .log = log,
+                             .requests = requests,
+                             .deferred = deferred,
+                             .decisions = decisions,
+                             .tally = tally},
+                            attempt_cap};
 };
 
 }  // namespace rushhill::core
