--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -6,59 +6,40 @@
 namespace rushhill::core {
 namespace {
 
-constexpr std::size_t most_peer_bytes = 256;      // bytes; what one message to a peer may hold
-constexpr std::uint64_t id_space = 1ULL << 51U;   // ids start anywhere below, so that routers' ids differ
-constexpr std::size_t unlimited = 1'000'000'000;  // events; where no cap is told
-constexpr Time probe_limit = 10'000;              // tenths of a millisecond; a report older than that is none
-
-std::size_t index(Ending ending) { return static_cast<std::size_t>(ending); }
-
-// SplitMix64's last step: spreads the seed over the whole space of ids.
-std::uint64_t spread(std::uint64_t value) {
-  value = (value ^ value >> 30U) * 0xbf58476d1ce4e5b9ULL;
-  value = (value ^ value >> 27U) * 0x94d049bb133111ebULL;
-  return value ^ value >> 31U;
-}
-
-const char* word(admission::Yielding::End end) {
-  using End = admission::Yielding::End;
-  return end == End::honoured ? "honoured" : end == End::given_up ? "given up" : "gone";
-}
-
-Time oldest(std::vector<Time>& since, Time otherwise) {
-  if (since.empty()) return otherwise;
-  const Time first = since.front();
-  since.erase(since.begin());
-  return first;
-}
+constexpr std::size_t peer_message_limit = 256;  // bytes; what one message to a peer may hold
 
 }  // namespace
 
 Gateway::Gateway(const Deployment& deployment, std::uint64_t seed, const Ports& ports)
-    : deployment_(deployment), to_(ports), router_(make_router(deployment, seed, *this)),
-      next_(static_cast<EventId>(spread(seed) % id_space) + 1),
-      shares_(deployment.open_cap > 0 ? static_cast<std::size_t>(deployment.open_cap) : unlimited) {}
-
-Gateway::~Gateway() {
-  for (auto& [id, open] : open_) {
-    to_.clock.withdraw(open.at_limit);
-    for (Leg& leg : open.legs) to_.clock.withdraw(leg.time_out);
-  }
-}
-
-template <typename Call>
-void Gateway::decide(Call call) {
-  const std::int64_t began = to_.clock.nanoseconds();
-  call(*router_, to_.clock.now());
-  module_ns_ += to_.clock.nanoseconds() - began;
-}
-
-// What is put off is void when the gateway is gone.
-void Gateway::soon(Clockwork::Call call) {
-  to_.clock.soon([call = std::move(call), alive = std::weak_ptr(life_)] {
-    if (!alive.expired()) call();
-  });
-}
+    : deployment_(deployment), to_(ports), deferred_(ports.clock),
+      decisions_(make_router(deployment, seed, *this), ports.clock), requests_(ports.clock, seed),
+      room_(deployment.open_cap), attempts_({.clock = ports.clock,
+                                             .carrier = ports.carrier,
+                                             .log = ports.diary,
+                                             .requests = requests_,
+                                             .deferred = deferred_,
+                                             .decisions = decisions_,
+                                             .tally = tally_},
+                                            deployment.shot_cap),
+      server_calls_({.clock = ports.clock,
+                     .carrier = ports.carrier,
+                     .ledger = ports.ledger,
+                     .deferred = deferred_,
+                     .decisions = decisions_,
+                     .tally = tally_},
+                    deployment.order_limit),
+      lifecycle_({.clock = ports.clock,
+                  .log = ports.diary,
+                  .ledger = ports.ledger,
+                  .requests = requests_,
+                  .attempts = attempts_,
+                  .room = room_,
+                  .deferred = deferred_,
+                  .decisions = decisions_,
+                  .tally = tally_},
+                 deployment.retry_advice ? deployment.longest_retry_advice : 0) {}
+
+// What happens: from the front ends, the server list, the peers and the ledger.
 
 Effect Gateway::effect_of(const std::string& traffic_type) const {
   const auto it = std::ranges::find(deployment_.traffic_types, traffic_type, &TrafficType::name);
@@ -67,346 +48,97 @@
 
 std::optional<EventId> Gateway::take(admission::Shares::Source source, Client& client, Event told,
                                      events::CloudEvent message) {
-  if (!shares_.may_take(source)) {
-    ++tally_.refused;
-    return std::nullopt;
-  }
-  const EventId id = next_++;
-  told.id = id;
-  Open& open = open_[id];
-  open.client = &client;
-  open.message = std::move(message);
-  open.taken = to_.clock.now();
-  open.limit = open.taken + told.left;
-  open.at_limit = to_.clock.at(open.limit, [this, id] { expire(id); });
-  open.source = source;
-  shares_.took(source);
-  yielding_.took(open.taken, source);
-  ++tally_.taken;
-  const Taking how = to_.ledger == nullptr
-                         ? Taking::unmarked
-                         : to_.ledger->taking(id, told.traffic_type, open.message, told.left);
-  proceed(id, open, std::move(told), how);
-  return id;
+  return lifecycle_.accept(source, client, std::move(told), std::move(message));
 }
 
-// What is not gone on with is answered at once.
-void Gateway::proceed(EventId event, Open& open, Event told, Taking how) {
-  open.waiting.reset();
-  switch (how) {
-    case Taking::marked:
-      open.marked = true;
-      [[fallthrough]];
-    case Taking::unmarked:
-      return decide([&](Router& router, Time now) { router.event(now, told); });
-    case Taking::wait:
-      open.marked = true;
-      open.waiting = std::move(told);
-      return;
-    case Taking::known:
-      ++tally_.abandoned;
-      ++tally_.known;
-      conclude(event, open, End::given_up, Fate::unrun);
-      return hand_over(event, [event](Client& client) { client.known(event); });
-    case Taking::not_now:
-      ++tally_.not_held;
-      return shed(event, deployment_.retry_advice ? deployment_.longest_retry_advice : 0);
-  }
-}
+void Gateway::client_gone(EventId event, std::uint64_t unread) { lifecycle_.cancelled(event, unread); }
 
-void Gateway::marked(EventId event, Taking how) {
-  const auto it = open_.find(event);
-  if (it == open_.end() || !it->second.waiting || it->second.concluded) return;
-  Event told = std::move(*it->second.waiting);
-  const Time left = it->second.limit - to_.clock.now();
-  // In the tick of the hard limit the limit comes first.
-  if (left <= 0) return expire(event);
-  told.left = left;
-  proceed(event, it->second, std::move(told), how);
-}
+void Gateway::marked(EventId event, Taking how) { lifecycle_.verdict(event, how); }
 
-void Gateway::client_gone(EventId event, std::uint64_t unread) {
-  tally_.attempts_after_cancel += unread;
-  const auto it = open_.find(event);
-  if (it == open_.end() || it->second.client == nullptr) return;
-  it->second.client = nullptr;
-  if (it->second.concluded) return;
-  ++tally_.gone;
-  const bool waiting = it->second.waiting.has_value();
-  conclude(event, it->second, End::gone, fate_of(it->second));
-  if (waiting) return;
-  decide([&](Router& router, Time now) { router.client_gone(now, event); });
+void Gateway::end_all() {
+  for (const EventId event : requests_.not_concluded()) lifecycle_.expire(event);
 }
 
-// From here on the event only waits for the ends of its shots.
-void Gateway::conclude(EventId event, Open& open, End end, Fate fate) {
-  if (open.marked) to_.ledger->ended(open.message, fate);
-  // Nothing is sent for it any more, whether or not what is out may be called off.
-  for (std::size_t leg = 0; leg < open.legs.size(); ++leg) {
-    if (open.legs[leg].open && to_.carrier.recall(event, static_cast<int>(leg)))
-      close_leg(event, open, static_cast<int>(leg), Ending::not_sent);
+void Gateway::roster(RosterForm form, const std::vector<RosterEntry>& entries) {
+  std::vector<ModelServer> servers;
+  for (const RosterEntry& entry : entries) servers.push_back(entry.server);
+  const ServerAddresses::Map listed = addresses_.listed(form, entries);
+  for (const auto& [server, address] : listed) {
+    if (addresses_.set(server, address)) to_.carrier.reach(server, address);
   }
-  shares_.ended(open.source);
-  yielding_.ended(to_.clock.now(), open.source, end);
-  open.concluded = true;
-  soon([this, event] { drop_if_over(event); });
-  if (!to_.diary.wants(Level::debug)) return;
-  to_.diary.line(Level::debug, "final answer",
-                 {{"outcome", word(end)},
-                  {"event", open.message.id},
-                  {"source", open.message.source},
-                  {"shots", std::to_string(open.legs.size())},
-                  {"ms", std::to_string(static_cast<double>(to_.clock.now() - open.taken) / 10)}});
-}
-
-void Gateway::drop_if_over(EventId event) {
-  const auto it = open_.find(event);
-  if (it == open_.end()) return;
-  Open& open = it->second;
-  if (!open.concluded || open.owed > 0 || std::ranges::any_of(open.legs, &Leg::open)) return;
-  to_.clock.withdraw(open.at_limit);
-  open_.erase(it);
-}
-
-// The client's time is up. The module has given its answer before; where it has not, the core does.
-void Gateway::expire(EventId event) {
-  const auto it = open_.find(event);
-  if (it == open_.end()) return;
-  Open& open = it->second;
-  if (!open.concluded) {
-    if (open.waiting) return shed(event, 0);  // the module has not heard of it
-    ++tally_.overdue;
-    to_.diary.line(Level::error, "no answer by the hard limit", {{"event", open.message.id}});
-    abandon(event);
-    decide([&](Router& router, Time now) { router.client_gone(now, event); });
+  decisions_.run([&](Router& router, Time now) { router.roster(now, form, servers); });
+  // What was chosen before the message came and has not left yet is chosen again elsewhere.
+  for (const RosterEntry& entry : entries) {
+    if (entry.server.condition == Condition::leaving) to_.carrier.recall_all(entry.server.id);
   }
-  for (std::size_t leg = 0; leg < open.legs.size(); ++leg) {
-    if (open.legs[leg].open) give_up_leg(event, static_cast<int>(leg), Ending::no_answer);
+  for (const auto& [server, address] : listed) {
+    if (address.empty()) to_.carrier.recall_all(server);  // has left, or is missing from a whole list
   }
 }
 
-// Closes the shot's connection now; the module hears of it when what it does now is done.
-void Gateway::give_up_leg(EventId event, int leg, Ending ending) {
-  to_.carrier.drop(event, leg);
-  close_leg(event, open_.at(event), leg, ending);
+void Gateway::peer_told(int router_number, const std::string& bytes) {
+  decisions_.run([&](Router& router, Time now) { router.told(now, router_number, bytes); });
 }
 
-void Gateway::close_leg(EventId event, Open& open, int leg, Ending ending) {
-  Leg& closed = open.legs[static_cast<std::size_t>(leg)];
-  closed.open = false;
-  to_.clock.withdraw(closed.time_out);
-  ++open.owed;
-  soon([this, event, leg, ending] {
-    --open_.at(event).owed;
-    tell_end(event, leg, {.ending = ending});
-  });
+void Gateway::ration_known(double orders) {
+  decisions_.run([&](Router& router, Time now) { router.ration_known(now, orders); });
 }
 
-void Gateway::attempt_started(EventId event) {
-  const auto it = open_.find(event);
-  if (it != open_.end() && it->second.client != nullptr) it->second.client->attempt_started(event);
-}
+// Ends of what the carrier was asked for.
 
-void Gateway::shot_ended(EventId event, int leg, ShotResult result) {
-  const auto it = open_.find(event);
-  if (it == open_.end() || static_cast<std::size_t>(leg) >= it->second.legs.size()) return;
-  Open& open = it->second;
-  Leg& ended = open.legs[static_cast<std::size_t>(leg)];
-  if (!ended.open) return;
-  // In the very tick of the hard limit the limit comes first.
-  if (!open.concluded && to_.clock.now() >= open.limit) return expire(event);
-  ended.open = false;
-  to_.clock.withdraw(ended.time_out);
-  if (result.ending == Ending::honoured && !open.concluded) {
-    ++tally_.honoured;
-    conclude(event, open, End::honoured, Fate::honoured);
-    std::exchange(open.client, nullptr)->honoured(event, std::move(result.reply));
-  }
-  tell_end(event, leg, result);
-}
+void Gateway::attempt_started(EventId event) { lifecycle_.attempt_started(event); }
 
-void Gateway::tell_end(EventId event, int leg, const ShotResult& result) {
-  const Open& open = open_.at(event);
-  const Leg& ended = open.legs[static_cast<std::size_t>(leg)];
-  ++tally_.endings[index(result.ending)];
-  if (to_.diary.wants(Level::debug))
-    to_.diary.line(Level::debug, "shot ended",
-                   {{"event", open.message.id},
-                    {"leg", std::to_string(leg)},
-                    {"server", ended.server},
-                    {"ending", std::to_string(static_cast<int>(result.ending))}});
-  const ShotEnd end{.event = event,
-                    .leg = leg,
-                    .server = ended.server,
-                    .ending = result.ending,
-                    .final = open.concluded,
-                    .taken = to_.clock.now() - ended.sent,
-                    .warmth = result.warmth,
-                    .crowd = result.crowd,
-                    .report = result.report};
-  decide([&](Router& router, Time now) { router.shot_ended(now, end); });
-  drop_if_over(event);
+void Gateway::shot_ended(EventId event, int leg, ShotResult result) {
+  lifecycle_.attempt_ended(event, leg, std::move(result));
 }
 
 void Gateway::probe_ended(const ServerId& server, Ending ending, const LoadReport& report) {
-  const Time now_is = to_.clock.now();
-  const ProbeEnd end{server, ending, now_is - oldest(probes_out_[server], now_is), report};
-  if (probes_out_[server].empty()) probes_out_.erase(server);
-  decide([&](Router& router, Time now) { router.probe_ended(now, end); });
+  server_calls_.probe_ended(server, ending, report);
 }
 
 void Gateway::order_ended(const ServerId& server, const FunctionId& function, Ending ending, int copies) {
-  const Time now_is = to_.clock.now();
-  const auto key = std::pair(server, function);
-  const OrderEnd end{server, function, ending, now_is - oldest(orders_out_[key], now_is), copies};
-  if (orders_out_[key].empty()) orders_out_.erase(key);
-  decide([&](Router& router, Time now) { router.order_ended(now, end); });
-}
-
-void Gateway::roster(RosterForm form, const std::vector<RosterEntry>& entries) {
-  std::vector<ModelServer> servers;
-  std::map<std::string, std::string> told;
-  for (const RosterEntry& entry : entries) {
-    servers.push_back(entry.server);
-    told[entry.server.id] = entry.server.condition == Condition::left ? "" : entry.address;
-  }
-  if (form == RosterForm::complete || form == RosterForm::remembered) {
-    for (const auto& [id, address] : addresses_) told.try_emplace(id, "");
-  }
-  for (const auto& [id, address] : told) {
-    const auto known = addresses_.find(id);
-    if (known != addresses_.end() ? known->second == address : address.empty()) continue;
-    to_.carrier.reach(id, address);
-    if (address.empty()) {
-      addresses_.erase(id);
-    } else {
-      addresses_[id] = address;
-    }
-  }
-  decide([&](Router& router, Time now) { router.roster(now, form, servers); });
-  // What was chosen before the word came and has not left yet is chosen again elsewhere.
-  for (const RosterEntry& entry : entries) {
-    if (entry.server.condition == Condition::leaving) to_.carrier.recall_all(entry.server.id);
-  }
-  for (const auto& [id, address] : told) {
-    if (address.empty()) to_.carrier.recall_all(id);  // has left, or is missing from a whole list
-  }
-}
-
-bool Gateway::owes() const {
-  return std::ranges::any_of(open_, [](const auto& item) { return item.second.client != nullptr; });
-}
-
-void Gateway::end_all() {
-  std::vector<EventId> all;
-  for (const auto& [event, open] : open_) {
-    if (!open.concluded) all.push_back(event);
-  }
-  std::ranges::sort(all);
-  for (const EventId event : all) expire(event);
-}
-
-void Gateway::peer_told(int router_number, const std::string& bytes) {
-  decide([&](Router& router, Time now) { router.told(now, router_number, bytes); });
+  server_calls_.order_ended(server, function, ending, copies);
 }
 
-void Gateway::ration_known(double orders) {
-  decide([&](Router& router, Time now) { router.ration_known(now, orders); });
-}
+// What the decision module asks for.
 
 void Gateway::shoot(EventId event, const ServerId& server, Time time_out) {
-  const auto it = open_.find(event);
-  if (it == open_.end()) {
-    to_.diary.line(Level::error, "shot for an event that is not open", {{"server", server}});
-    return;
-  }
-  Open& open = it->second;
-  const Time now = to_.clock.now();
-  const int leg = static_cast<int>(open.legs.size());
-  open.legs.push_back({.server = server, .sent = now});
-  if (open.concluded || now >= open.limit || leg >= deployment_.shot_cap) {
-    open.legs.back().open = false;
-    ++open.owed;
-    soon([this, event, leg] {
-      --open_.at(event).owed;
-      tell_end(event, leg, {.ending = Ending::not_sent});
-    });
-    return;
-  }
-  ++tally_.shots;
-  if (time_out > 0) {
-    open.legs.back().time_out =
-        to_.clock.at(now + time_out, [this, event, leg] { give_up_leg(event, leg, Ending::no_answer); });
-  }
-  to_.carrier.shoot(
-      {.event = event, .leg = leg, .server = server, .left = open.limit - now, .message = open.message});
+  attempts_.start(event, server, time_out);
 }
 
-void Gateway::call_off(EventId event, int leg) {
-  const auto it = open_.find(event);
-  if (it == open_.end() || static_cast<std::size_t>(leg) >= it->second.legs.size()) return;
-  if (it->second.legs[static_cast<std::size_t>(leg)].open) give_up_leg(event, leg, Ending::called_off);
-}
+void Gateway::call_off(EventId event, int leg) { attempts_.cancel(event, leg); }
 
-// Answers that the module gives leave when it has returned.
-void Gateway::shed(EventId event, Time come_back) {
-  const auto it = open_.find(event);
-  if (it == open_.end() || it->second.concluded) return;
-  ++tally_.shed;
-  conclude(event, it->second, End::given_up, Fate::unrun);
-  hand_over(event, [come_back, event](Client& client) { client.shed(event, come_back); });
-}
+void Gateway::shed(EventId event, Time come_back) { lifecycle_.reject(event, come_back); }
 
-void Gateway::abandon(EventId event) {
-  const auto it = open_.find(event);
-  if (it == open_.end() || it->second.concluded) return;
-  ++tally_.abandoned;
-  conclude(event, it->second, End::given_up, fate_of(it->second));
-  hand_over(event, [event](Client& client) { client.abandoned(event); });
-}
-
-void Gateway::hand_over(EventId event, std::function<void(Client&)> answer) {
-  ++open_.at(event).owed;
-  soon([this, event, answer = std::move(answer)] {
-    Open& open = open_.at(event);
-    --open.owed;
-    if (open.client != nullptr) answer(*std::exchange(open.client, nullptr));
-    drop_if_over(event);
-  });
-}
+void Gateway::abandon(EventId event) { lifecycle_.fail(event); }
 
 void Gateway::wake(std::int64_t token, Time at) {
-  to_.clock.at(at, [this, token, alive = std::weak_ptr(life_)] {
-    if (!alive.expired()) decide([token](Router& router, Time now) { router.woken(now, token); });
-  });
+  deferred_.run_at(
+      at, [this, token] { decisions_.run([token](Router& router, Time now) { router.woken(now, token); }); });
 }
 
-void Gateway::probe(const ServerId& server) {
-  ++tally_.probes;
-  probes_out_[server].push_back(to_.clock.now());
-  to_.carrier.probe(server, probe_limit);
-}
+void Gateway::probe(const ServerId& server) { server_calls_.probe(server); }
+
 void Gateway::close_idle(const ServerId& server) { to_.carrier.close_idle(server); }
 
 void Gateway::order(const ServerId& server, const FunctionId& function, int copies) {
-  orders_out_[{server, function}].push_back(to_.clock.now());
-  if (to_.ledger != nullptr && !to_.ledger->ordering())
-    return soon([this, server, function] { order_ended(server, function, Ending::not_sent, 0); });
-  ++tally_.orders;
-  to_.carrier.order(server, function, copies, deployment_.order_limit);
+  server_calls_.order(server, function, copies);
 }
+
 void Gateway::unload(const ServerId& server, const FunctionId& function) {
-  ++tally_.unloads;
-  to_.carrier.unload(server, function);
+  server_calls_.unload(server, function);
 }
 
 void Gateway::tell(int router, const std::string& bytes) {
-  if (!deployment_.peers || bytes.size() > most_peer_bytes) return;
+  if (!deployment_.peers || bytes.size() > peer_message_limit) return;
   ++tally_.told;
   to_.peers.tell(router, bytes);
 }
+
 void Gateway::follow(bool on) { to_.roster.follow(on); }
+
 void Gateway::reload() { to_.roster.reload(); }
+
 void Gateway::log(const std::string& line) { to_.diary.line(Level::info, "decision", {{"text", line}}); }
 
 }  // namespace rushhill::core
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -1,33 +1,29 @@
-// The core: holds one module instance, takes events from fronts, carries out what the module decides through
-// the ports, and gives every event its one final answer. Free of sockets; time comes from the Clockwork.
+// The core: one router's requests and decisions, free of sockets; time comes from the Clockwork. Its parts,
+// each in a file of its own, do the work: request_lifecycle, attempt_execution, server_call_execution.
 #pragma once
 
-#include <array>
 #include <cstdint>
-#include <memory>
 #include <optional>
-#include <unordered_map>
+#include <string>
 #include <vector>
 
-#include "admission/shares.h"
-#include "admission/yielding.h"
+#include "core/attempt_execution.h"
 #include "core/clockwork.h"
+#include "core/decision_module.h"
+#include "core/deferred_calls.h"
 #include "core/ports.h"
+#include "core/request_lifecycle.h"
+#include "core/request_table.h"
+#include "core/server_addresses.h"
+#include "core/server_call_execution.h"
+#include "core/source_room.h"
+#include "core/tally.h"
 #include "decide.h"
 
 namespace rushhill::core {
 
-struct Tally {
-  std::uint64_t taken = 0, honoured = 0, shed = 0, abandoned = 0, gone = 0, refused = 0;
-  std::uint64_t overdue = 0;  // answered by the core at the hard limit, since the module had not
-  std::uint64_t known = 0,
-                not_held = 0;  // of abandoned: taken before; of shed: its mark was not held in time
-  // Of shots: they started when their client's leaving stood to be read already.
-  std::uint64_t attempts_after_cancel = 0;
-  std::uint64_t shots = 0, probes = 0, orders = 0, unloads = 0, told = 0;
-  std::array<std::uint64_t, 9> endings{};  // by Ending
-};
-
+// Joins the decision module to the front ends and to the ports: takes each happening to the part that handles
+// it, and each decision to the part that carries it out. Every request gets exactly one final answer.
 class Gateway final : public Host, public Carried {
  public:
   struct Ports {
@@ -39,40 +35,39 @@
     Ledger* ledger = nullptr;  // none: nothing outlives this router
   };
   Gateway(const Deployment& deployment, std::uint64_t seed, const Ports& ports);
-  ~Gateway() override;
 
-  // A front, or a part of one, that takes events; its weight beside the others' when there is not room for
-  // all; `waits`: what it does not take now waits outside and is not lost.
-  admission::Shares::Source add_source(double weight, bool waits = false) {
-    yielding_.add(weight, waits);
-    return shares_.add(weight);
-  }
-  bool has_room(admission::Shares::Source source) {
-    return shares_.may_take(source) && yielding_.may_take(to_.clock.now(), source);
-  }
+  // A front end, or a part of one, that hands over requests; its weight beside the others' when there is not
+  // room for all; `waits`: what it does not hand over now waits outside and is not lost.
+  admission::Shares::Source add_source(double weight, bool waits = false) { return room_.add(weight, waits); }
+  bool has_room(admission::Shares::Source source) { return room_.has_room(to_.clock.now(), source); }
   Effect effect_of(const std::string& traffic_type) const;
 
-  // An event whose function, type and times the front has read; `told.id` and, where 0, `told.left` are set
-  // here. Nothing: the source has no room. The answer never comes before this returns.
+  // Accepts a request whose function, type and times the front end has read; `told.id` is set here. Nothing:
+  // the source has no room. The answer never comes before this returns.
   std::optional<EventId> take(admission::Shares::Source source, Client& client, Event told,
                               events::CloudEvent message);
-  // `unread`: attempts that started for it while something stood unread of which this is a part.
+  // The client has left. `unread`: attempts that started for its request while something stood unread of
+  // which this is a part.
   void client_gone(EventId event, std::uint64_t unread = 0);
 
+  // A message from the server list: servers and the addresses at which they are reached.
   void roster(RosterForm form, const std::vector<RosterEntry>& entries);
+  // A message from another router.
   void peer_told(int router, const std::string& bytes);
-  // What the ledger had an event wait for; from no call of this gateway's.
+  // The ledger's verdict on a request that waited for it; from no call of this gateway's.
   void marked(EventId event, Taking how);
   // What earlier lives ordered, where the deployment says that it is told.
   void ration_known(double orders);
 
-  std::size_t open() const { return shares_.open(); }
+  // Requests accepted that have no final answer.
+  std::size_t open() const { return room_.open(); }
   // Whether a client still waits for its final answer, or for one that has been decided and not handed over.
-  bool owes() const;
-  // Answers every open event now, as at its hard limit: for a router that must end.
+  bool owes() const { return requests_.any_client_waits(); }
+  // Answers every open request now, as at its deadline: for a router that must end.
   void end_all();
   const Tally& tally() const { return tally_; }
-  std::int64_t module_ns() const { return module_ns_; }
+  // Time spent within the decision module, in nanoseconds.
+  std::int64_t module_ns() const { return decisions_.spent_ns(); }
   const Deployment& deployment() const { return deployment_; }
 
   // Carried
@@ -82,25 +77,6 @@
   void order_ended(const ServerId& server, const FunctionId& function, Ending ending, int copies) override;
 
  private:
-  struct Leg {
-    ServerId server;
-    Time sent = 0;
-    bool open = true;
-    Alarm time_out{};
-  };
-  struct Open {
-    admission::Shares::Source source = 0;
-    Client* client = nullptr;  // none: it has been handed its final answer, or its client has gone
-    bool concluded = false;
-    bool marked = false;           // the ledger is to hear how it ends
-    std::optional<Event> waiting;  // for its mark; the module has not heard of it
-    events::CloudEvent message;
-    Time taken = 0, limit = 0;
-    Alarm at_limit;
-    std::vector<Leg> legs;
-    int owed = 0;  // what is put off until the present call returns: ends of shots, the answer
-  };
-
   // Host
   void shoot(EventId event, const ServerId& server, Time time_out) override;
   void call_off(EventId event, int leg) override;
@@ -116,33 +92,17 @@
   void reload() override;
   void log(const std::string& line) override;
 
-  void soon(Clockwork::Call call);
-  using End = admission::Yielding::End;
-  void conclude(EventId event, Open& open, End end, Fate fate);
-  static Fate fate_of(const Open& open) { return open.legs.empty() ? Fate::unrun : Fate::may_have_run; }
-  void proceed(EventId event, Open& open, Event told, Taking how);
-  void hand_over(EventId event, std::function<void(Client&)> answer);
-  void expire(EventId event);
-  void give_up_leg(EventId event, int leg, Ending ending);
-  void close_leg(EventId event, Open& open, int leg, Ending ending);
-  void tell_end(EventId event, int leg, const ShotResult& result);
-  void drop_if_over(EventId event);
-  template <typename Call>
-  void decide(Call call);
-
   Deployment deployment_;
   Ports to_;
-  std::unique_ptr<Router> router_;
-  std::unordered_map<EventId, Open> open_;
-  std::map<std::string, std::string> addresses_;
-  std::map<std::pair<ServerId, FunctionId>, std::vector<Time>> orders_out_;
-  std::map<ServerId, std::vector<Time>> probes_out_;
-  EventId next_ = 1;
-  admission::Shares shares_;
-  admission::Yielding yielding_;
-  std::int64_t module_ns_ = 0;
   Tally tally_;
-  std::shared_ptr<int> life_ = std::make_shared<int>(0);
+  DeferredCalls deferred_;
+  DecisionModule decisions_;
+  RequestTable requests_;
+  ServerAddresses addresses_;
+  SourceRoom room_;
+  AttemptExecution attempts_;
+  ServerCallExecution server_calls_;
+  RequestLifecycle lifecycle_;
 };
 
 }  // namespace rushhill::core
