--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -158,7 +158,8 @@
   std::unique_ptr<Router> router_;
 };
 
-Link::Link(std::istream& in, std::ostream& out) : in_(in), out_(out) {}
+Link::Link(std::istream& in, std::ostream& out, std::ostream* recording)
+    : in_(in), out_(out), recording_(recording) {}
 Link::~Link() = default;
 
 void Link::run() {
@@ -166,6 +167,7 @@
   while (std::getline(in_, text)) {
     ++line_number_;
     if (text.empty()) continue;
+    if (recording_ != nullptr) batch_text_ += text + '\n';
     try {
       handle(Json::parse(text));
     } catch (const Json::exception&) {
@@ -296,6 +298,13 @@
   out_ << reply_ << std::flush;
   reply_.clear();
   in_batch_ = false;
+  if (recording_ != nullptr) record_batch();
+}
+
+// Only whole batches: the simulator may end the adapter at any moment, and a recording has to be readable.
+void Link::record_batch() {
+  *recording_ << batch_text_ << std::flush;
+  batch_text_.clear();
 }
 
 }  // namespace rushhill::benchlink
--- a/src/benchlink/wire.h
+++ b/src/benchlink/wire.h
@@ -22,7 +22,8 @@
 
 class Link {
  public:
-  Link(std::istream& in, std::ostream& out);
+  // Where `recording` is given, each batch of input lines is written there as soon as it is complete.
+  Link(std::istream& in, std::ostream& out, std::ostream* recording = nullptr);
   ~Link();
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
@@ -37,9 +38,12 @@
   void handle_instance(const std::string& op, const Json& line);
   void guarded(std::int64_t number, const std::function<void(Instance&, Time)>& call);
   void flush();
+  void record_batch();
 
   std::istream& in_;
   std::ostream& out_;
+  std::ostream* recording_;
+  std::string batch_text_;  // lines of the present batch; kept only while recording
   std::size_t line_number_ = 0;
   bool in_batch_ = false;
   std::int64_t clock_ns_ = 0;
