--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -5,23 +5,34 @@
 #include "decide.h"
 
 #include <algorithm>
-#include <array>
 #include <cmath>
 #include <random>
 #include <ranges>
 #include <set>
 #include <utility>
 
+#include "routing/duration.h"
+#include "routing/gossip.h"
+#include "routing/load_budget.h"
+#include "routing/rendezvous_hash.h"
+#include "routing/sliding_window.h"
+#include "routing/statistics.h"
+
 namespace rushhill {
 namespace {
 
+using routing::add_sample;
+using routing::median;
+using routing::rendezvous_hash;
+
+constexpr int every_peer = -1;
+
 // Constants: unit and reason for the size of each.
-constexpr Time second = 10'000;                    // tenths of a millisecond
+constexpr Time second = routing::one_second;
 constexpr Time housekeeping_period = second / 10;  // time; short beside any due time, long beside a tick
 constexpr int ring_buckets = 20;  // buckets of a second; what a server bears is steady over that
 constexpr Time ring_span = ring_buckets * second;  // time; the whole ring
 constexpr int recent_buckets = 4;           // buckets at the least, so that trouble shows within one or two
-constexpr int span_parts = 16;              // parts of a rule's span; its count is at most 1/16 too high
 constexpr double few_events = 20;           // events; a router that has seen fewer knows no function's part
 constexpr double first_event = 0.5;         // events; the first of a router that has seen nothing: 1/40
 constexpr double prior_answers = 3;         // answers; what a server must show before its figures are its own
@@ -52,50 +63,13 @@
 constexpr double cold_part = 0.75;      // of the rule's budget comes in as credit; the rest may stand unspent
 constexpr double order_credit = 0.2;    // credits left at a cold server; an order weighs there as a request
 constexpr double ramp_step = 0.6180339887498949;  // credits from router to router: the most even spread
-constexpr double most_ease = 4.5;     // times; a server stays home to some functions, however busy
-constexpr int refusals_of_shut = 3;   // turned away in a row; a full server still honours some between
-constexpr int cuts_of_death = 3;      // connections lost in a row; a process that dies loses all it has
-constexpr double learn = 0.05;        // weight of a new answer; some twenty answers make the mean
-constexpr double load_worth = 0.5;    // of an event's importance; a load makes about that many late
-constexpr std::size_t order_cap = 4;  // orders pending; a store shared by all is soon crowded
+constexpr double most_ease = 4.5;    // times; a server stays home to some functions, however busy
+constexpr int refusals_of_shut = 3;  // turned away in a row; a full server still honours some between
+constexpr int cuts_of_death = 3;     // connections lost in a row; a process that dies loses all it has
+constexpr double load_worth = 0.5;   // of an event's importance; a load makes about that many late
 constexpr Time forget_after = 120 * second;     // time; a function not asked for so long leaves the Index
 constexpr std::int64_t housekeeping_token = 0;  // other tokens are an event's id + 1, for its limit
 
-// Sums over the recent past: fixed buckets of time, used again in a ring.
-template <typename Sum, int count>
-class Ring {
- public:
-  explicit Ring(Time width) : width_(std::max<Time>(width, 1)) {}
-  Sum& at(Time now) {
-    newest_ = now / width_;
-    auto& [number, sum] = slots_[static_cast<std::size_t>(newest_ % count)];
-    if (std::exchange(number, newest_) != newest_) sum = Sum{};
-    return sum;
-  }
-  // Over the bucket of now and the last - 1 before it.
-  Sum over(Time now, int last = count) const {
-    Sum total{};
-    const Time before = now / width_ - last;
-    if (newest_ <= before) return total;
-    const auto add = [&](Time from, Time to) {
-      for (Time i = from; i <= to; ++i) {
-        const auto& [number, sum] = slots_[static_cast<std::size_t>(i)];
-        if (number > before) total += sum;
-      }
-    };
-    // Only where buckets of that span can lie, always in the order of the slots: sums do not depend on it.
-    const Time first = std::max({before + 1, newest_ - count + 1, Time{0}}) % count, end = newest_ % count;
-    if (first <= end) return add(first, end), total;
-    add(0, end);
-    add(first, count - 1);
-    return total;
-  }
-
- private:
-  Time width_, newest_ = 0;
-  std::array<std::pair<Time, Sum>, count> slots_{};
-};
-
 // What the shots that ended at a server showed.
 struct Tally {
   double honoured = 0;
@@ -110,9 +84,8 @@
   }
 };
 
-using Past = Ring<Tally, ring_buckets>;
-using Counts = Ring<double, ring_buckets>;
-using SpanRing = Ring<double, span_parts + 1>;
+using Past = routing::SlidingWindow<Tally, ring_buckets>;
+using Counts = routing::SlidingWindow<double, ring_buckets>;
 
 struct Entry;
 
@@ -194,7 +167,7 @@
   Decider(const Deployment& deployment, std::uint64_t seed, Host& host)
       : d_(deployment), host_(host),
         chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24U) ^ (seed >> 48U))),
-        orders_(span_part(d_.load_window)), events_taken_(span_part(d_.load_window)) {
+        load_budget_(load_budget_limits(deployment)) {
     const auto price = [&](const char* name) { return d_.prices.contains(name) ? d_.prices.at(name) : 0; };
     crossing_ = price("cross-zone") / (price("origin") + load_worth);
     for (const TrafficType& type : d_.traffic_types) usual_ = std::max(usual_, row(type).usual);
@@ -210,7 +183,7 @@
       named.insert(told.id);
       auto [it, fresh] = servers_.try_emplace(told.id);
       Server& server = it->second;
-      if (fresh) server.credit = std::fmod(d_.me * ramp_step + even(told.id, ""), 1.0);
+      if (fresh) server.credit = std::fmod(d_.me * ramp_step + rendezvous_hash(told.id, ""), 1.0);
       if (!fresh && told.started != server.told.started) {
         server.aside = false, server.reborn = 0, server.past = Past{second};
         forget_copies(told.id);
@@ -231,7 +204,7 @@
   }
 
   void event(Time now, const Event& told) override {
-    if (d_.load_window > 0) events_taken_.at(now) += 1;
+    load_budget_.request_taken(now);
     Pending& pending = events_[told.id];
     pending.told = told;
     // A traffic type that was not told at start is of the strictest kind.
@@ -243,14 +216,14 @@
     Function& function = functions_[told.function];
     function.lanes = std::max(told.lanes, 1.0);
     function.asked = now;
-    function.heat.at(now) += 1;
-    heat_.at(now) += 1;
+    function.heat.bucket_at(now) += 1;
+    heat_.bucket_at(now) += 1;
     if (told.load_time > 0) function.load = static_cast<double>(told.load_time);
     pending.over_share = beyond_share(now, told.customer);
     if (told.left <= d_.tick) return give_up(pending, 0);
     host_.wake(told.id + 1, pending.limit);
     // Standing copies are crowded: a part is shed at once, at every router alike, for the rest to be in time.
-    const Tally past = accounts_[told.customer].past.over(now, recent_buckets);
+    const Tally past = accounts_[told.customer].past.total(now, recent_buckets);
     const double excess = crowded_gain * (past.bad / (past.judged + prior_answers) - crowded_share);
     const bool shed = may_shed(pending) && draw() < std::min(excess, shed_most);
     if (shed) return give_up(pending, d_.longest_retry_advice);
@@ -302,27 +275,27 @@
     if (!end.report.contains("util")) return;
     const double busy = end.report.at("util");
     weigh_use(now, it->second, busy);
-    if (d_.peers) host_.tell(-1, end.server + " u" + std::to_string(std::lround(100 * busy)));
+    if (d_.peers) tell_peers(routing::UtilizationReported{end.server, busy});
   }
   // A peer saw a server die, lost a connection to it, or saw how busy it is.
   void told(Time now, int, const std::string& bytes) override {
-    const auto gap = bytes.find(' ');
-    const auto it = servers_.find(bytes.substr(0, gap));
+    const routing::GossipMessage message = routing::decode(bytes);
+    const auto it = servers_.find(routing::endpoint_of(message));
     if (it == servers_.end()) return;
-    if (gap + 2 < bytes.size() && gap != std::string::npos)
-      return weigh_use(now, it->second, std::atof(bytes.c_str() + gap + 2) / 100);
-    if (gap != std::string::npos && !cut(now, it->second)) return;
-    it->second.noted = now;
-    seems_dead(now, it->second);
+    Server& server = it->second;
+    if (const auto* report = std::get_if<routing::UtilizationReported>(&message)) {
+      weigh_use(now, server, report->utilization);
+      return;
+    }
+    if (std::holds_alternative<routing::ConnectionLost>(message) && !cut(now, server)) return;
+    server.noted = now;
+    seems_dead(now, server);
   }
 
-  void ration_known(Time now, double orders) override {
-    orders_.at(now) += orders;
-    ration_known_ = true;
-  }
+  void ration_known(Time now, double orders) override { load_budget_.earlier_orders_known(now, orders); }
 
   void order_ended(Time now, const OrderEnd& end) override {
-    if (pending_orders_ > 0) --pending_orders_;
+    load_budget_.order_ended();
     Entry& entry = functions_[end.function].entries[end.server];
     entry.ordered = false;
     entry.confirmed = end.ending == Ending::honoured || end.copies > 0;
@@ -331,6 +304,14 @@
   }
 
  private:
+  static routing::LoadBudgetLimits load_budget_limits(const Deployment& deployment) {
+    return {.orders_permitted = deployment.orders,
+            .window = deployment.load_window,
+            .free_orders = deployment.load_free,
+            .orders_per_request = deployment.loads_per_event,
+            .earlier_orders_follow = deployment.ration_told};
+  }
+
   // The guards: every shot and order passes through these.
   // Rule 3. Nothing new for a server that drains or is gone, from the moment this router was told.
   static bool may_receive(const Server& server) { return server.told.condition == Condition::active; }
@@ -388,13 +369,11 @@
     return now - since < d_.cold_span ? since : 0;
   }
 
-  // Rule 5. Whether one more order to load is within the ration; the counts err to the safe side.
+  // Rule 5. Whether one more function may be prewarmed at this server.
   bool may_order(Time now, const Server& server) const {
-    if (!d_.orders || !may_receive(server) || pending_orders_ >= order_cap) return false;
+    if (!may_receive(server)) return false;
     if (cold_since(now, server) != 0 && server.credit < order_credit) return false;
-    if (d_.load_window <= 0) return true;
-    if (d_.ration_told && !ration_known_) return false;
-    return orders_.over(now) + 1 <= d_.load_free + d_.loads_per_event * events_taken_.over(now, span_parts);
+    return load_budget_.allows_order(now);
   }
 
   bool may_shed(const Pending& pending) const {
@@ -433,7 +412,7 @@
   // as warm where the function's heat says that others keep a copy there.
   double score(Time now, const Pending& pending, const Function& function, const Server& server, int rank,
                const Entry* entry) const {
-    const Tally recent = server.past.over(now, recent_);
+    const Tally recent = server.past.total(now, recent_);
     const int open = entry == nullptr ? 0 : entry->open;
     const double excess = std::max(0.0, open + 1 - function.lanes) / function.lanes;
     const double wait = wait_at(now, pending, function, server, recent) / load_time(pending, function);
@@ -451,28 +430,21 @@
     if (std::exchange(function.ranked, roster_version_) != roster_version_) {
       function.homes.clear();
       for (auto& [server, known] : servers_) {
-        if (may_receive(known)) function.homes.emplace_back(-std::log(even(id, server)), &known);
+        if (may_receive(known)) function.homes.emplace_back(-std::log(rendezvous_hash(id, server)), &known);
       }
     }
     // Abilities move slowly: mostly the order still holds.
     const auto far = [](const auto& home) { return home.first / ability(*home.second); };
     if (!std::ranges::is_sorted(function.homes, {}, far)) std::ranges::sort(function.homes, {}, far);
     // One event alone says little, but more the fewer came before it: what is seen first is likely hot.
-    const double others = std::max(function.heat.over(now) - 1, first_event);
-    const double part = others / (heat_.over(now) + few_events) / home_share;
+    const double others = std::max(function.heat.total(now) - 1, first_event);
+    const double part = others / (heat_.total(now) + few_events) / home_share;
     function.hot_homes =
         (others < 1 ? 0 : 1) + static_cast<int>(part * static_cast<double>(function.homes.size()));
   }
 
   static double weight(const Server& server) { return server.told.rating > 0 ? server.told.rating : 1; }
   static double ability(const Server& server) { return weight(server) * server.ease; }
-  // A number above 0 and up to 1, the same at every router.
-  static double even(const std::string& one, const std::string& other) {
-    std::uint64_t hash = 14695981039346656037ULL;
-    for (const char c : one + other) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
-    hash = (hash ^ hash >> 33U) * 0xff51afd7ed558ccdULL;
-    return (static_cast<double>((hash ^ hash >> 33U) >> 11U) + 1) * 0x1p-53;
-  }
   // By chance, above 0 and below 1.
   double draw() { return (static_cast<double>(chance_()) + 0.5) / (static_cast<double>(chance_.max()) + 1); }
 
@@ -543,7 +515,7 @@
     }
     // What can't be answered in its time, or before its client leaves, is shed at once: such work is wasted.
     const double usual = usual_time(pending, function), calm = usual * calm_pace_;
-    const double wait = wait_at(now, pending, function, *server, server->past.over(now, recent_));
+    const double wait = wait_at(now, pending, function, *server, server->past.total(now, recent_));
     const double tolerated = pending.over_share ? due_left * over_share_part : due_left;
     const double in_crowd = due_left * (pending.over_share ? d_.over_share_worth : 1) * crowd_part;
     const bool too_late = wait > std::max(tolerated, 2 * usual) || wait > left ||
@@ -571,8 +543,7 @@
     Entry& entry = functions_[pending.told.function].entries[id];
     if (!entry.ordered && !may_order(now, servers_.at(id))) return false;
     if (!std::exchange(entry.ordered, true)) {
-      ++pending_orders_;
-      orders_.at(now) += 1;
+      load_budget_.order_sent(now);
       servers_.at(id).credit -= 1;
       host_.order(id, pending.told.function, 1);
     }
@@ -613,7 +584,7 @@
   // out at the usual pace, tell how long answers take now, well before the first late one comes.
   void weigh_crowd(Time now) {
     const Time span = std::clamp(now - born_, second, Time{recent_buckets} * second);
-    const double usual_open = ideal_.over(now, recent_buckets) / static_cast<double>(span);
+    const double usual_open = ideal_.total(now, recent_buckets) / static_cast<double>(span);
     // What hangs at one sick server is no crowd: none counts for more than twice the middle one.
     std::vector<double> outlasting;
     for (const auto& [id, server] : servers_) {
@@ -623,7 +594,7 @@
     double all = 0;
     for (const double here : outlasting) all += std::min(here, most);
     const double crowd = std::max(0.0, all - outlast_share * usual_open);
-    crowding_ = heat_.over(now) < few_events ? 1 : 1 + crowd / (usual_open + crowd_prior);
+    crowding_ = heat_.total(now) < few_events ? 1 : 1 + crowd / (usual_open + crowd_prior);
   }
 
   void move_on(Time now, Pending& pending, Function& function) {
@@ -678,7 +649,7 @@
     if (end.ending == Ending::honoured) {
       entry.confirmed = true;
       entry.used = now;
-      server.past.at(now).honoured += 1;
+      server.past.bucket_at(now).honoured += 1;
       server.refusals = 0, server.shut_until = 0;
       // A process that dies takes along all that it has in hand: what it took before and answers now tells
       // that it lived. What was on its way at that moment does not.
@@ -686,7 +657,7 @@
       moves_ = std::min(moves_ + move_share, move_burst);
       learn_times(now, pending, function, server, shot, end);
       const bool loaded = d_.tells_warm ? end.warmth != Warmth::found : !shot.confirmed;
-      ideal_.at(now) +=
+      ideal_.bucket_at(now) +=
           usual_time(pending, function) * calm_pace_ + (loaded ? load_time(pending, function) : 0);
     } else if (end.ending == Ending::turned_away) {
       // Full, or draining before the roster says so: home to fewer functions. Where no copy stood it may be
@@ -705,7 +676,7 @@
     const bool stood = d_.tells_warm ? end.warmth == Warmth::found : end.ending == Ending::honoured;
     if (stood || (end.ending == Ending::turned_away && shot.confirmed)) {
       const bool bad = end.ending == Ending::turned_away || 4 * end.taken > 3 * pending.type->told.due;
-      accounts_[pending.told.customer].past.at(now) += Tally{.judged = 1, .bad = bad ? 1.0 : 0.0};
+      accounts_[pending.told.customer].past.bucket_at(now) += Tally{.judged = 1, .bad = bad ? 1.0 : 0.0};
     }
     if (!called_off && end.ending != Ending::turned_away)
       judge_shot(now, server, shot, end.ending != Ending::honoured && end.ending != Ending::not_stored);
@@ -718,7 +689,7 @@
     server.ease = std::clamp(server.ease, 1 / most_ease, most_ease);
   }
   void weigh_use(Time now, Server& server, double busy) {
-    if (cold_since(now, server) == 0) blend(busy_usual_, busy);
+    if (cold_since(now, server) == 0) add_sample(busy_usual_, busy);
     if (busy_usual_ > 0) weigh(server, busy / busy_usual_ - 1);
   }
 
@@ -732,7 +703,7 @@
     } else if (!up || ending == Ending::connection_lost) {
       const bool lively = server.answered != 0 && now - server.answered <= second;
       if (cut(now, server) || (!lively && !(up && d_.peers))) return seems_dead(now, server);
-      if (d_.peers) host_.tell(-1, server.told.id + " c");
+      if (d_.peers) tell_peers(routing::ConnectionLost{server.told.id});
     } else if (ending != Ending::no_answer && ending != Ending::called_off && ending != Ending::not_sent) {
       server.cuts = server.silences = 0, server.answered = now;
     }
@@ -747,24 +718,26 @@
   void seems_dead(Time now, Server& server) {
     server.reborn = now;
     forget_copies(server.told.id);
-    if (d_.peers && now - std::exchange(server.noted, now) >= second) host_.tell(-1, server.told.id);
+    if (d_.peers && now - std::exchange(server.noted, now) >= second)
+      tell_peers(routing::EndpointDied{server.told.id});
   }
 
+  void tell_peers(const routing::GossipMessage& message) { host_.tell(every_peer, routing::encode(message)); }
+
   void learn_times(Time now, Pending& pending, Function& function, Server& server, const Shot& shot,
                    const ShotEnd& end) {
     const auto taken = static_cast<double>(end.taken);
     const bool found = d_.tells_warm ? end.warmth == Warmth::found : shot.confirmed;
     if (!found && d_.tells_warm && end.warmth != Warmth::began_load) return;
-    if (!found) return blend(load_usual_, std::max(taken - usual_time(pending, function), 0.0));
-    blend(pending.type->usual, taken), blend(usual_, taken);
+    if (!found) return add_sample(load_usual_, std::max(taken - usual_time(pending, function), 0.0));
+    add_sample(pending.type->usual, taken);
+    add_sample(usual_, taken);
     if (function.usual == 0) function.usual = pending.type->usual / fleet_pace_;
-    blend(function.usual, taken / fleet_pace_);
-    server.past.at(now).paced += 1;
-    server.past.at(now).pace_sum += taken / function.usual;
+    add_sample(function.usual, taken / fleet_pace_);
+    server.past.bucket_at(now).paced += 1;
+    server.past.bucket_at(now).pace_sum += taken / function.usual;
   }
 
-  static void blend(double& mean, double value) { mean = mean == 0 ? value : mean + learn * (value - mean); }
-
   static double usual_time(const Pending& pending, const Function& function) {
     return function.usual > 0 ? function.usual : pending.type->usual;
   }
@@ -780,11 +753,11 @@
     if (shot.judged) return;
     shot.judged = true;
     const Tally tally{.judged = 1, .bad = bad ? 1.0 : 0.0};
-    server.past.at(now) += tally;
+    server.past.bucket_at(now) += tally;
     server.period += tally;
     if (server.aside) return;
     if (!bad) server.pause = 0;
-    if (!bad || bad_share(server.past.over(now, recent_)) <= median_bad_ + aside_excess) return;
+    if (!bad || bad_share(server.past.total(now, recent_)) <= median_bad_ + aside_excess) return;
     if (2 * aside_ >= serving_) return;  // most look bad: the measure is wrong
     aside_ += 1;
     server.aside = true;
@@ -829,14 +802,14 @@
       ask_load(now, server);
       serving_ += 1;
       aside_ += server.aside ? 1 : 0;
-      const Tally recent = server.past.over(now, recent_);
+      const Tally recent = server.past.total(now, recent_);
       bad.push_back(recent.judged > 0 ? recent.bad / recent.judged : 0);
       if (recent.paced >= prior_answers) paces.push_back(recent.pace_sum / recent.paced);
       const bool cold = cold_since(now, server) != 0;
       if (cold) ramp(now, server);
       if (cold) continue;
       server.credit -= std::floor(server.credit);  // of a warm one only the phase is kept
-      done += server.past.over(now).honoured;
+      done += server.past.total(now).honoured;
       warm_weight += weight(server);
     }
     median_bad_ = median(bad, 0);
@@ -845,7 +818,7 @@
     const Time seen = std::clamp(now - born_, second, ring_span);
     borne_ = done / std::max(warm_weight, 0.1) / static_cast<double>(seen);
     // All that is judged over time follows the time in which each server gets one of this router's events.
-    const double beat = serving_ * static_cast<double>(seen) / (heat_.over(now) + 1);
+    const double beat = serving_ * static_cast<double>(seen) / (heat_.total(now) + 1);
     beat_ = std::min(static_cast<Time>(beat), ring_span);
     recent_ = static_cast<int>(std::clamp<Time>(2 * beat_ / second, recent_buckets, ring_buckets));
     prior_ = std::clamp(static_cast<double>(recent_ * second) / (beat + 1), 1.0, prior_answers);
@@ -873,18 +846,13 @@
     if (!d_.probing || !d_.peers || d_.reports != "probe") return;
     const Time turn = now / probe_period;
     if (std::exchange(server.probe_turn, turn) == turn) return;
-    const double whose = std::ceil(even(std::to_string(turn), server.told.id) * std::max(1, d_.routers));
+    const double whose =
+        std::ceil(rendezvous_hash(std::to_string(turn), server.told.id) * std::max(1, d_.routers));
     if (static_cast<int>(whose) != d_.me + 1) return;
     server.credit -= 1;
     host_.probe(server.told.id);
   }
 
-  static double median(std::vector<double>& values, double otherwise) {
-    if (values.empty()) return otherwise;
-    std::ranges::nth_element(values, values.begin() + static_cast<std::ptrdiff_t>(values.size() / 2));
-    return values[values.size() / 2];
-  }
-
   void wake_housekeeping(Time now) { host_.wake(housekeeping_token, now + housekeeping_period); }
 
   // Whether the event is beyond its customer's share: tokens fill at this router's part of the quota.
@@ -920,8 +888,6 @@
     const auto it = std::ranges::find(newest_first, server, &Shot::server);
     return it == newest_first.end() ? nullptr : &*it;
   }
-  static Time span_part(Time span) { return (span + span_parts - 1) / span_parts; }
-
   const Deployment d_;
   Host& host_;
   std::ranlux24_base chance_;
@@ -931,8 +897,7 @@
   std::map<EventId, Pending> events_;
   std::map<std::string, Account> accounts_;
   std::set<EventId> waiting_;
-  SpanRing orders_, events_taken_;  // for the ration of orders
-  std::size_t pending_orders_ = 0;
+  routing::LoadBudget load_budget_;
   double crowding_ = 1;                  // times the usual that answers take now
   Counts heat_{second}, ideal_{second};  // events taken; time that those honoured would take without a crowd
   double usual_ = 0, load_usual_ = 0, busy_usual_ = 0;  // time of an answer, of a load; use of cores
@@ -947,7 +912,7 @@
   double moves_ = move_burst;  // overdue shots that may be sent again now
   Time born_ = 0, kept_ = 0,
        swept_ = 0;  // first word of the roster; last housekeeping; second of the last sweep
-  bool follow_due_ = false, ration_known_ = false;
+  bool follow_due_ = false;
 };
 
 }  // namespace
--- /dev/null
+++ b/tests/routing/statistics_test.cpp
@@ -0,0 +1,39 @@
+#include "routing/statistics.h"
+
+#include <gtest/gtest.h>
+
+namespace rushhill::routing {
+namespace {
+
+TEST(Statistics, FirstSampleIsTheMean) {
+  double mean = 0;
+  add_sample(mean, 40);
+  EXPECT_EQ(mean, 40);
+}
+
+TEST(Statistics, LaterSamplesMoveTheMeanByTheirWeight) {
+  double mean = 40;
+  add_sample(mean, 60);
+  EXPECT_DOUBLE_EQ(mean, 40 + 20 * new_sample_weight);
+}
+
+TEST(Statistics, MeanFollowsALastingChange) {
+  double mean = 40;
+  for (int i = 0; i < 100; ++i) add_sample(mean, 60);
+  EXPECT_NEAR(mean, 60, 0.2);
+}
+
+TEST(Statistics, MedianOfNothingIsWhatWasSaid) {
+  std::vector<double> none;
+  EXPECT_EQ(median(none, 7), 7);
+}
+
+TEST(Statistics, MedianIsTheMiddleOrTheUpperOfTwo) {
+  std::vector<double> odd{9, 1, 5};
+  EXPECT_EQ(median(odd, 0), 5);
+  std::vector<double> even{4, 1, 3, 2};
+  EXPECT_EQ(median(even, 0), 3);
+}
+
+}  // namespace
+}  // namespace rushhill::routing
