--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -61,6 +61,8 @@
 constexpr double move_share = 0.1;      // overdue shots sent again, of answers; a silent server costs as many
 constexpr double move_burst = 5;        // of these at once
 constexpr double cold_part = 0.75;      // of the rule's budget comes in as credit; the rest may stand unspent
+constexpr double few_calls = 30;        // N; under that the rule leaves three roots to chance, not two
+constexpr double credit_margin = 1;     // credits over all routers; only whole ones lapse
 constexpr double order_credit = 0.2;    // credits left at a cold server; an order weighs there as a request
 constexpr double ramp_step = 0.6180339887498949;  // credits from router to router: the most even spread
 constexpr double most_ease = 4.5;    // times; a server stays home to some functions, however busy
@@ -341,14 +343,23 @@
     const double ahead = 1 - static_cast<double>(now - since) / fall_span();
     return ahead > 0 && server.credit + ahead * cold_part_of(now, server) >= 1;
   }
+  // What all routers may send to a cold server within the span, as one of them guesses N: N + 2 x root of N
+  // + 2, under few_calls N + 3 x root of N + 3, but no more than the tangent of the former at few_calls. So
+  // it is concave: routers with uneven guesses allow together no more than the rule does at their mean.
+  static double most_in_span(double n) {
+    if (n >= few_calls) return n + 2 * std::sqrt(n) + 2;
+    const double root = std::sqrt(few_calls);
+    const double tangent = few_calls + 2 * root + 2 - (few_calls - n) * (1 + 1 / root);
+    return std::min(n + 3 * std::sqrt(n) + 3, tangent);
+  }
   // Credit grows by this router's part, and lapses unspent after so long that all routers' unspent credits
-  // fill the rest of N and what the rule leaves to chance, 2 x root of N + 2. Its phase is spread evenly over
+  // fill the rest of N and what the rule leaves to chance, less a margin. Its phase is spread evenly over
   // the routers by their numbers: parts under one request add up with little noise, without a message.
   void ramp(Time now, Server& server) const {
     const double part = cold_part_of(now, server);
     const int routers = std::max(1, d_.routers);
     const double n = part * routers / cold_part;  // if all routers are like this one
-    const double unspent = ((1 - cold_part) * n + 2 * std::sqrt(n) + 2) / routers;
+    const double unspent = (most_in_span(n) - cold_part * n - credit_margin) / routers;
     server.credit += part * static_cast<double>(now - kept_) / fall_span();
     server.credit -= std::floor(std::max(server.credit - unspent, 0.0));
   }
