--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -16,6 +16,7 @@
 #include "routing/load_budget.h"
 #include "routing/rendezvous_hash.h"
 #include "routing/sliding_window.h"
+#include "routing/slow_start.h"
 #include "routing/statistics.h"
 
 namespace rushhill {
@@ -60,15 +61,10 @@
 constexpr double quota_slack = 3;       // events; a part of a quota under one event comes by chance
 constexpr double move_share = 0.1;      // overdue shots sent again, of answers; a silent server costs as many
 constexpr double move_burst = 5;        // of these at once
-constexpr double cold_part = 0.75;      // of the rule's budget comes in as credit; the rest may stand unspent
-constexpr double few_calls = 30;        // N; under that the rule leaves three roots to chance, not two
-constexpr double credit_margin = 1;     // credits over all routers; only whole ones lapse
-constexpr double order_credit = 0.2;    // credits left at a cold server; an order weighs there as a request
-constexpr double ramp_step = 0.6180339887498949;  // credits from router to router: the most even spread
-constexpr double most_ease = 4.5;    // times; a server stays home to some functions, however busy
-constexpr int refusals_of_shut = 3;  // turned away in a row; a full server still honours some between
-constexpr int cuts_of_death = 3;     // connections lost in a row; a process that dies loses all it has
-constexpr double load_worth = 0.5;   // of an event's importance; a load makes about that many late
+constexpr double most_ease = 4.5;       // times; a server stays home to some functions, however busy
+constexpr int refusals_of_shut = 3;     // turned away in a row; a full server still honours some between
+constexpr int cuts_of_death = 3;        // connections lost in a row; a process that dies loses all it has
+constexpr double load_worth = 0.5;      // of an event's importance; a load makes about that many late
 constexpr Time forget_after = 120 * second;     // time; a function not asked for so long leaves the Index
 constexpr std::int64_t housekeeping_token = 0;  // other tokens are an event's id + 1, for its limit
 
@@ -93,18 +89,18 @@
 
 struct Server {
   ModelServer told;
-  int open = 0, outlasting = 0;    // own shots out; of these, out for longer than usual
-  double credit = 0;               // requests that it may get from here while it is cold
-  double ease = 1;                 // part of its weight that it bears with ease
-  Time gone_at = 0, reborn = 0;    // left the list; last sign that the process died: what answers is cold
-  int cuts = 0, silences = 0;      // connections lost, or never come up, since anything was answered
-  Time cut = 0;                    // the last one lost, here or at a peer
-  Time answered = 0;               // last time that something was
-  Time unanswered_since = 0;       // first send after the last answer; 0: none out
-  Time no_loads_until = 0;         // turned work away that it would have to load for
-  Time shut_until = 0;             // turns all away, as what drains does before the roster says so
-  int refusals = 0;                // turned away since it honoured anything
-  Time probe_turn = 0, noted = 0;  // last turn to probe it; when peers last told of it or were told
+  int open = 0, outlasting = 0;     // own shots out; of these, out for longer than usual
+  routing::SlowStartTokens tokens;  // at it, while it is cold
+  double ease = 1;                  // part of its weight that it bears with ease
+  Time gone_at = 0, reborn = 0;     // left the list; last sign that the process died: what answers is cold
+  int cuts = 0, silences = 0;       // connections lost, or never come up, since anything was answered
+  Time cut = 0;                     // the last one lost, here or at a peer
+  Time answered = 0;                // last time that something was
+  Time unanswered_since = 0;        // first send after the last answer; 0: none out
+  Time no_loads_until = 0;          // turned work away that it would have to load for
+  Time shut_until = 0;              // turns all away, as what drains does before the roster says so
+  int refusals = 0;                 // turned away since it honoured anything
+  Time probe_turn = 0, noted = 0;   // last turn to probe it; when peers last told of it or were told
   Past past{second};
   bool aside = false;
   double trickle = 0;              // share of its usual shots that it gets while set aside
@@ -169,7 +165,7 @@
   Decider(const Deployment& deployment, std::uint64_t seed, Host& host)
       : d_(deployment), host_(host),
         chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24U) ^ (seed >> 48U))),
-        load_budget_(load_budget_limits(deployment)) {
+        slow_start_(slow_start_limits(deployment)), load_budget_(load_budget_limits(deployment)) {
     const auto price = [&](const char* name) { return d_.prices.contains(name) ? d_.prices.at(name) : 0; };
     crossing_ = price("cross-zone") / (price("origin") + load_worth);
     for (const TrafficType& type : d_.traffic_types) usual_ = std::max(usual_, row(type).usual);
@@ -185,7 +181,7 @@
       named.insert(told.id);
       auto [it, fresh] = servers_.try_emplace(told.id);
       Server& server = it->second;
-      if (fresh) server.credit = std::fmod(d_.me * ramp_step + rendezvous_hash(told.id, ""), 1.0);
+      if (fresh) server.tokens = slow_start_.first_tokens(told.id);
       if (!fresh && told.started != server.told.started) {
         server.aside = false, server.reborn = 0, server.past = Past{second};
         forget_copies(told.id);
@@ -306,6 +302,14 @@
   }
 
  private:
+  static routing::SlowStartLimits slow_start_limits(const Deployment& deployment) {
+    return {.budget_multiple = deployment.fall_multiple,
+            .budget_span = deployment.fall_span,
+            .initial_capacity = deployment.cold_share,
+            .warm_up_span = deployment.cold_span,
+            .routers = deployment.routers,
+            .router_number = deployment.me};
+  }
   static routing::LoadBudgetLimits load_budget_limits(const Deployment& deployment) {
     return {.orders_permitted = deployment.orders,
             .window = deployment.load_window,
@@ -335,55 +339,23 @@
     return true;
   }
 
-  // Rule 4, the ramp. Whether a cold server can bear one more request from this router: each needs a whole
-  // credit. The first span's credit may be spent ahead; what comes in then pays it off first.
+  // Rule 4. Whether a cold server can bear one more request from this router.
   bool cold_room(Time now, const Server& server) const {
     const Time since = cold_since(now, server);
-    if (since == 0 || server.credit >= 1) return true;
-    const double ahead = 1 - static_cast<double>(now - since) / fall_span();
-    return ahead > 0 && server.credit + ahead * cold_part_of(now, server) >= 1;
-  }
-  // What all routers may send to a cold server within the span, as one of them guesses N: N + 2 x root of N
-  // + 2, under few_calls N + 3 x root of N + 3, but no more than the tangent of the former at few_calls. So
-  // it is concave: routers with uneven guesses allow together no more than the rule does at their mean.
-  static double most_in_span(double n) {
-    if (n >= few_calls) return n + 2 * std::sqrt(n) + 2;
-    const double root = std::sqrt(few_calls);
-    const double tangent = few_calls + 2 * root + 2 - (few_calls - n) * (1 + 1 / root);
-    return std::min(n + 3 * std::sqrt(n) + 3, tangent);
-  }
-  // Credit grows by this router's part, and lapses unspent after so long that all routers' unspent credits
-  // fill the rest of N and what the rule leaves to chance, less a margin. Its phase is spread evenly over
-  // the routers by their numbers: parts under one request add up with little noise, without a message.
-  void ramp(Time now, Server& server) const {
-    const double part = cold_part_of(now, server);
-    const int routers = std::max(1, d_.routers);
-    const double n = part * routers / cold_part;  // if all routers are like this one
-    const double unspent = (most_in_span(n) - cold_part * n - credit_margin) / routers;
-    server.credit += part * static_cast<double>(now - kept_) / fall_span();
-    server.credit -= std::floor(std::max(server.credit - unspent, 0.0));
-  }
-  // What this router may send to a cold server within the span. Its capacity is guessed low, from an even
-  // share of this router's own honoured requests: all routers' parts add up to what it bears.
-  double cold_part_of(Time now, const Server& server) const {
-    const double age = std::max(0.0, static_cast<double>(now - cold_since(now, server)) - fall_span());
-    const double share = d_.cold_share + (1 - d_.cold_share) * age / static_cast<double>(d_.cold_span);
-    const double idle = busy_usual_ > 0 ? std::clamp(1 / busy_usual_, 1.0, 2.0) : 1;
-    const double least = 1.0 / (std::max(1, d_.routers) * std::max(usual_, 1.0));
-    return cold_part * d_.fall_multiple * share * std::max(borne_ * idle * weight(server), least) *
-           fall_span();
-  }
-  double fall_span() const { return static_cast<double>(std::max<Time>(d_.fall_span, 1)); }
-
+    return since == 0 ||
+           slow_start_.admits_request(now, since, weight(server), server.tokens, observed_load());
+  }
   Time cold_since(Time now, const Server& server) const {
-    const Time since = std::max(server.told.started, server.reborn);
-    return now - since < d_.cold_span ? since : 0;
+    return slow_start_.warming_since(now, server.told.started, server.reborn);
+  }
+  routing::ObservedLoad observed_load() const {
+    return {.response_time = usual_, .utilization = busy_usual_, .successes = borne_};
   }
 
   // Rule 5. Whether one more function may be prewarmed at this server.
   bool may_order(Time now, const Server& server) const {
     if (!may_receive(server)) return false;
-    if (cold_since(now, server) != 0 && server.credit < order_credit) return false;
+    if (cold_since(now, server) != 0 && !server.tokens.allow_order()) return false;
     return load_budget_.allows_order(now);
   }
 
@@ -546,7 +518,7 @@
     if (server.unanswered_since == 0) server.unanswered_since = now;
     // Every send weighs as the mean work of its class.
     if (cold_since(now, server) != 0)
-      server.credit -= std::max(1.0, pending.type->usual / std::max(usual_, 1.0));
+      server.tokens.take(routing::SlowStart::cost_of_request(pending.type->usual, observed_load()));
     host_.shoot(pending.told.id, id, 0);
   }
 
@@ -555,7 +527,7 @@
     if (!entry.ordered && !may_order(now, servers_.at(id))) return false;
     if (!std::exchange(entry.ordered, true)) {
       load_budget_.order_sent(now);
-      servers_.at(id).credit -= 1;
+      servers_.at(id).tokens.take(1);
       host_.order(id, pending.told.function, 1);
     }
     // A shot sent now could overtake the order: the event follows in housekeeping, or when the order ends.
@@ -816,10 +788,12 @@
       const Tally recent = server.past.total(now, recent_);
       bad.push_back(recent.judged > 0 ? recent.bad / recent.judged : 0);
       if (recent.paced >= prior_answers) paces.push_back(recent.pace_sum / recent.paced);
-      const bool cold = cold_since(now, server) != 0;
-      if (cold) ramp(now, server);
-      if (cold) continue;
-      server.credit -= std::floor(server.credit);  // of a warm one only the phase is kept
+      const Time since = cold_since(now, server);
+      if (since != 0) {
+        slow_start_.refill(now, since, now - kept_, weight(server), observed_load(), server.tokens);
+        continue;
+      }
+      server.tokens.keep_phase();
       done += server.past.total(now).honoured;
       warm_weight += weight(server);
     }
@@ -860,7 +834,7 @@
     const double whose =
         std::ceil(rendezvous_hash(std::to_string(turn), server.told.id) * std::max(1, d_.routers));
     if (static_cast<int>(whose) != d_.me + 1) return;
-    server.credit -= 1;
+    server.tokens.take(1);
     host_.probe(server.told.id);
   }
 
@@ -908,6 +882,7 @@
   std::map<EventId, Pending> events_;
   std::map<std::string, Account> accounts_;
   std::set<EventId> waiting_;
+  routing::SlowStart slow_start_;
   routing::LoadBudget load_budget_;
   double crowding_ = 1;                  // times the usual that answers take now
   Counts heat_{second}, ideal_{second};  // events taken; time that those honoured would take without a crowd
--- /dev/null
+++ b/tests/routing/slow_start_test.cpp
@@ -0,0 +1,133 @@
+#include "routing/slow_start.h"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <vector>
+
+#include "routing/duration.h"
+
+namespace rushhill::routing {
+namespace {
+
+constexpr Time started = 1'000 * one_second;
+constexpr Time maintenance_period = one_second / 10;
+
+SlowStartLimits limits() {
+  return {.budget_multiple = 2,
+          .budget_span = one_second,
+          .initial_capacity = 0.2,
+          .warm_up_span = 10 * one_second,
+          .routers = 10};
+}
+
+// A router that sees warm endpoints bear so many requests a second.
+ObservedLoad load_of(double requests_per_s) {
+  return {.response_time = 200, .utilization = 0, .successes = requests_per_s / one_second};
+}
+
+// Sends whenever it may, for so long from the endpoint's start on.
+int sent_within(const SlowStart& slow_start, Time span, const ObservedLoad& load) {
+  SlowStartTokens tokens = slow_start.first_tokens("box-1");
+  int sent = 0;
+  for (Time now = started; now < started + span; now += maintenance_period) {
+    if (now > started) slow_start.refill(now, started, maintenance_period, 1, load, tokens);
+    while (slow_start.admits_request(now, started, 1, tokens, load)) {
+      tokens.take(SlowStart::cost_of_request(load.response_time, load));
+      ++sent;
+    }
+  }
+  return sent;
+}
+
+TEST(SlowStart, EndpointWarmsUpForTheStatedSpanFromTheNewestSign) {
+  const SlowStart slow_start(limits());
+  EXPECT_EQ(slow_start.warming_since(started + 1, started, 0), started);
+  EXPECT_EQ(slow_start.warming_since(started + 10 * one_second, started, 0), 0);
+  const Time died = started + 20 * one_second;
+  EXPECT_EQ(slow_start.warming_since(died + 1, started, died), died);
+}
+
+TEST(SlowStart, WarmEndpointIsAlwaysAdmitted) {
+  const SlowStart slow_start(limits());
+  EXPECT_TRUE(slow_start.admits_request(started, 0, 1, SlowStartTokens(-100), load_of(0)));
+}
+
+TEST(SlowStart, FirstTokensAreSpreadEvenlyOverTheRouters) {
+  constexpr int routers = 100;
+  std::vector<double> levels;
+  for (int number = 0; number < routers; ++number) {
+    SlowStartLimits own = limits();
+    own.router_number = number;
+    levels.push_back(SlowStart(own).first_tokens("box-1").level());
+  }
+  std::sort(levels.begin(), levels.end());
+  for (int i = 0; i < routers; ++i) {
+    EXPECT_NEAR(levels[static_cast<std::size_t>(i)], (i + 0.5) / routers, 0.02);
+  }
+}
+
+TEST(SlowStart, SumOverTheRoutersInTheFirstSpanStaysWithinTheRule) {
+  const ObservedLoad load = load_of(5);
+  int sum = 0;
+  for (int number = 0; number < limits().routers; ++number) {
+    SlowStartLimits own = limits();
+    own.router_number = number;
+    sum += sent_within(SlowStart(own), own.budget_span, load);
+  }
+  const double budget = limits().budget_multiple * limits().initial_capacity * 5 * limits().routers;
+  EXPECT_GT(sum, budget / 2);
+  EXPECT_LE(sum, budget + 3 * std::sqrt(budget) + 3);
+}
+
+TEST(SlowStart, MoreIsSentAsTheEndpointWarmsUp) {
+  const SlowStart slow_start(limits());
+  const ObservedLoad load = load_of(50);
+  const int first_half = sent_within(slow_start, 5 * one_second, load);
+  const int all = sent_within(slow_start, 10 * one_second, load);
+  EXPECT_GT(all - first_half, first_half);
+}
+
+TEST(SlowStart, IdleCoresThatAreReportedAllowUpToTwice) {
+  const SlowStart slow_start(limits());
+  ObservedLoad load = load_of(100);
+  const double unreported = sent_within(slow_start, 10 * one_second, load);
+  load.utilization = 0.1;
+  const double idle = sent_within(slow_start, 10 * one_second, load);
+  EXPECT_NEAR(idle / unreported, 2, 0.1);
+}
+
+TEST(SlowStart, UnspentTokensLapse) {
+  const SlowStart slow_start(limits());
+  const ObservedLoad load = load_of(100);
+  SlowStartTokens tokens;
+  double highest = 0;
+  for (Time now = started; now < started + 10 * one_second; now += maintenance_period) {
+    slow_start.refill(now, started, maintenance_period, 1, load, tokens);
+    highest = std::max(highest, tokens.level());
+  }
+  const double budget_at_the_end = limits().budget_multiple * 100;
+  EXPECT_LT(highest, budget_at_the_end);
+}
+
+TEST(SlowStart, LongRequestsCostMoreAndShortOnesAWholeToken) {
+  const ObservedLoad load = load_of(1);
+  EXPECT_EQ(SlowStart::cost_of_request(load.response_time / 4, load), 1);
+  EXPECT_EQ(SlowStart::cost_of_request(load.response_time * 3, load), 3);
+}
+
+TEST(SlowStartTokens, KeepTheirPhaseAndLoseWholeOnes) {
+  SlowStartTokens tokens(3.25);
+  tokens.limit(1.5);
+  EXPECT_DOUBLE_EQ(tokens.level(), 2.25);
+  tokens.keep_phase();
+  EXPECT_DOUBLE_EQ(tokens.level(), 0.25);
+  tokens.take(1);
+  EXPECT_FALSE(tokens.allow_order());
+  tokens.keep_phase();
+  EXPECT_DOUBLE_EQ(tokens.level(), 0.25);
+  EXPECT_TRUE(tokens.allow_order());
+}
+
+}  // namespace
+}  // namespace rushhill::routing
