--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -14,10 +14,12 @@
 #include "routing/duration.h"
 #include "routing/gossip.h"
 #include "routing/load_budget.h"
+#include "routing/overload_control.h"
 #include "routing/rendezvous_hash.h"
 #include "routing/sliding_window.h"
 #include "routing/slow_start.h"
 #include "routing/statistics.h"
+#include "routing/tenant_quotas.h"
 
 namespace rushhill {
 namespace {
@@ -50,21 +52,14 @@
 constexpr double home_share = 0.3;          // of a server's even load; what one home bears of a hot function
 constexpr double near_tie = 0.01;           // score; less apart is noise to one router, and chance decides
 constexpr double over_share_part = 0.5;     // of the due time left; events beyond a share give way first
-constexpr double crowd_part = 0.7;      // of the due time left; the fullest servers take longer than the mean
-constexpr double crowd_prior = 1;       // requests; one out there is no crowd
-constexpr double calm_follow = 0.005;   // of a rise, each tenth of a second: some twenty seconds, as the ring
-constexpr double outlast_after = 0.5;   // usual times; a request just sent tells nothing
-constexpr double outlast_share = 0.6;   // of exponential times that are longer than that
-constexpr double crowded_share = 0.15;  // of shots at standing copies; as many miss without a crowd
-constexpr double crowded_gain = 2;      // events shed for each shot beyond; more would swing
-constexpr double shed_most = 0.9;       // of a customer's events; the rest shows when the crowd is gone
-constexpr double quota_slack = 3;       // events; a part of a quota under one event comes by chance
-constexpr double move_share = 0.1;      // overdue shots sent again, of answers; a silent server costs as many
-constexpr double move_burst = 5;        // of these at once
-constexpr double most_ease = 4.5;       // times; a server stays home to some functions, however busy
-constexpr int refusals_of_shut = 3;     // turned away in a row; a full server still honours some between
-constexpr int cuts_of_death = 3;        // connections lost in a row; a process that dies loses all it has
-constexpr double load_worth = 0.5;      // of an event's importance; a load makes about that many late
+constexpr double calm_follow = 0.005;  // of a rise, each tenth of a second: some twenty seconds, as the ring
+constexpr double outlast_after = 0.5;  // usual times; a request just sent tells nothing
+constexpr double move_share = 0.1;     // overdue shots sent again, of answers; a silent server costs as many
+constexpr double move_burst = 5;       // of these at once
+constexpr double most_ease = 4.5;      // times; a server stays home to some functions, however busy
+constexpr int refusals_of_shut = 3;    // turned away in a row; a full server still honours some between
+constexpr int cuts_of_death = 3;       // connections lost in a row; a process that dies loses all it has
+constexpr double load_worth = 0.5;     // of an event's importance; a load makes about that many late
 constexpr Time forget_after = 120 * second;     // time; a function not asked for so long leaves the Index
 constexpr std::int64_t housekeeping_token = 0;  // other tokens are an event's id + 1, for its limit
 
@@ -153,19 +148,13 @@
   std::vector<Shot> shots;
 };
 
-// A customer: events within its share that it may still send now, and how its shots at standing copies fare.
-struct Account {
-  double left = 0;
-  Time filled = 0;
-  Past past{second};  // bad: turned away, or answered after the due time
-};
-
 class Decider final : public Router {
  public:
   Decider(const Deployment& deployment, std::uint64_t seed, Host& host)
       : d_(deployment), host_(host),
         chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24U) ^ (seed >> 48U))),
-        slow_start_(slow_start_limits(deployment)), load_budget_(load_budget_limits(deployment)) {
+        slow_start_(slow_start_limits(deployment)), load_budget_(load_budget_limits(deployment)),
+        tenant_quotas_(deployment.customers, deployment.routers) {
     const auto price = [&](const char* name) { return d_.prices.contains(name) ? d_.prices.at(name) : 0; };
     crossing_ = price("cross-zone") / (price("origin") + load_worth);
     for (const TrafficType& type : d_.traffic_types) usual_ = std::max(usual_, row(type).usual);
@@ -217,13 +206,12 @@
     function.heat.bucket_at(now) += 1;
     heat_.bucket_at(now) += 1;
     if (told.load_time > 0) function.load = static_cast<double>(told.load_time);
-    pending.over_share = beyond_share(now, told.customer);
+    pending.over_share = !tenant_quotas_.take(now, told.customer);
     if (told.left <= d_.tick) return give_up(pending, 0);
     host_.wake(told.id + 1, pending.limit);
     // Standing copies are crowded: a part is shed at once, at every router alike, for the rest to be in time.
-    const Tally past = accounts_[told.customer].past.total(now, recent_buckets);
-    const double excess = crowded_gain * (past.bad / (past.judged + prior_answers) - crowded_share);
-    const bool shed = may_shed(pending) && draw() < std::min(excess, shed_most);
+    const double rejected = overload_control_.share_to_reject(now, told.customer);
+    const bool shed = may_shed(pending) && draw() < rejected;
     if (shed) return give_up(pending, d_.longest_retry_advice);
     place(now, pending);
   }
@@ -500,9 +488,9 @@
     const double usual = usual_time(pending, function), calm = usual * calm_pace_;
     const double wait = wait_at(now, pending, function, *server, server->past.total(now, recent_));
     const double tolerated = pending.over_share ? due_left * over_share_part : due_left;
-    const double in_crowd = due_left * (pending.over_share ? d_.over_share_worth : 1) * crowd_part;
+    const double in_crowd = due_left * (pending.over_share ? d_.over_share_worth : 1);
     const bool too_late = wait > std::max(tolerated, 2 * usual) || wait > left ||
-                          calm * crowding_ > std::max(in_crowd, 2 * calm);
+                          overload_control_.misses_objective(calm, in_crowd);
     if (too_late && may_shed(pending) && !any_open(pending)) return give_up(pending, d_.longest_retry_advice);
     shoot(now, pending, function, *server);
   }
@@ -563,21 +551,12 @@
       move_on(now, pending, function);
   }
 
-  // By Little's law: own attempts that outlast their usual time, beside those that the answers of late keep
-  // out at the usual pace, tell how long answers take now, well before the first late one comes.
   void weigh_crowd(Time now) {
-    const Time span = std::clamp(now - born_, second, Time{recent_buckets} * second);
-    const double usual_open = ideal_.total(now, recent_buckets) / static_cast<double>(span);
-    // What hangs at one sick server is no crowd: none counts for more than twice the middle one.
     std::vector<double> outlasting;
     for (const auto& [id, server] : servers_) {
       if (may_receive(server)) outlasting.push_back(server.outlasting);
     }
-    const double most = std::max(1.0, 2 * median(outlasting, 0));
-    double all = 0;
-    for (const double here : outlasting) all += std::min(here, most);
-    const double crowd = std::max(0.0, all - outlast_share * usual_open);
-    crowding_ = heat_.total(now) < few_events ? 1 : 1 + crowd / (usual_open + crowd_prior);
+    overload_control_.observe_in_flight(now, now - born_, heat_.total(now), outlasting);
   }
 
   void move_on(Time now, Pending& pending, Function& function) {
@@ -640,8 +619,8 @@
       moves_ = std::min(moves_ + move_share, move_burst);
       learn_times(now, pending, function, server, shot, end);
       const bool loaded = d_.tells_warm ? end.warmth != Warmth::found : !shot.confirmed;
-      ideal_.bucket_at(now) +=
-          usual_time(pending, function) * calm_pace_ + (loaded ? load_time(pending, function) : 0);
+      overload_control_.attempt_succeeded(
+          now, usual_time(pending, function) * calm_pace_ + (loaded ? load_time(pending, function) : 0));
     } else if (end.ending == Ending::turned_away) {
       // Full, or draining before the roster says so: home to fewer functions. Where no copy stood it may be
       // the loads that are too many, a slow store behind them: copies that stand still serve.
@@ -659,7 +638,7 @@
     const bool stood = d_.tells_warm ? end.warmth == Warmth::found : end.ending == Ending::honoured;
     if (stood || (end.ending == Ending::turned_away && shot.confirmed)) {
       const bool bad = end.ending == Ending::turned_away || 4 * end.taken > 3 * pending.type->told.due;
-      accounts_[pending.told.customer].past.bucket_at(now) += Tally{.judged = 1, .bad = bad ? 1.0 : 0.0};
+      overload_control_.attempt_at_loaded_copy(now, pending.told.customer, bad);
     }
     if (!called_off && end.ending != Ending::turned_away)
       judge_shot(now, server, shot, end.ending != Ending::honoured && end.ending != Ending::not_stored);
@@ -840,20 +819,6 @@
 
   void wake_housekeeping(Time now) { host_.wake(housekeeping_token, now + housekeeping_period); }
 
-  // Whether the event is beyond its customer's share: tokens fill at this router's part of the quota.
-  bool beyond_share(Time now, const std::string& name) {
-    const auto told = std::ranges::find(d_.customers, name, &Customer::name);
-    if (told == d_.customers.end() || told->quota_per_s <= 0) return false;
-    const double rate = told->quota_per_s / std::max(1, d_.routers);  // a second
-    Account& account = accounts_[name];
-    account.left += rate * static_cast<double>(now - account.filled) / static_cast<double>(second);
-    account.left = std::min(account.left, rate + quota_slack);
-    account.filled = now;
-    const bool within = account.left >= 1;
-    if (within) account.left -= 1;
-    return !within;
-  }
-
   void forget_copies(const ServerId& server) {
     for (auto& [id, function] : functions_) {
       if (const auto it = function.entries.find(server); it != function.entries.end())
@@ -880,12 +845,12 @@
   std::map<ServerId, Server> servers_;
   std::map<FunctionId, Function> functions_;
   std::map<EventId, Pending> events_;
-  std::map<std::string, Account> accounts_;
   std::set<EventId> waiting_;
   routing::SlowStart slow_start_;
   routing::LoadBudget load_budget_;
-  double crowding_ = 1;                  // times the usual that answers take now
-  Counts heat_{second}, ideal_{second};  // events taken; time that those honoured would take without a crowd
+  routing::TenantQuotas tenant_quotas_;
+  routing::OverloadControl overload_control_;
+  Counts heat_{second};                                 // requests taken
   double usual_ = 0, load_usual_ = 0, busy_usual_ = 0;  // time of an answer, of a load; use of cores
   double fleet_pace_ = 1, calm_pace_ = 1, median_bad_ = 0;
   double borne_ = 0;                // honoured at a warm server, per weight and time
--- /dev/null
+++ b/src/routing/tenant_quotas.cpp
@@ -0,0 +1,35 @@
+#include "routing/tenant_quotas.h"
+
+#include <algorithm>
+
+#include "routing/duration.h"
+
+namespace rushhill::routing {
+namespace {
+
+constexpr double burst_tokens =
+    3;  // beyond a second's part; a part of under one request a second comes by chance
+
+}  // namespace
+
+TenantQuotas::TenantQuotas(const std::vector<Customer>& tenants, int routers) {
+  for (const Customer& tenant : tenants) {
+    const double part = std::max(tenant.quota_per_s, 0.0) / std::max(1, routers);
+    buckets_.try_emplace(tenant.name, TokenBucket{.tokens_per_s = part});
+  }
+}
+
+bool TenantQuotas::take(Time now, const std::string& tenant) {
+  const auto found = buckets_.find(tenant);
+  if (found == buckets_.end() || found->second.tokens_per_s <= 0) return true;
+  TokenBucket& bucket = found->second;
+  const double rate = bucket.tokens_per_s;
+  bucket.tokens += rate * static_cast<double>(now - bucket.refilled_at) / static_cast<double>(one_second);
+  bucket.tokens = std::min(bucket.tokens, rate + burst_tokens);
+  bucket.refilled_at = now;
+  if (bucket.tokens < 1) return false;
+  bucket.tokens -= 1;
+  return true;
+}
+
+}  // namespace rushhill::routing
