--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -5,23 +5,37 @@
 #include "decide.h"
 
 #include <algorithm>
-#include <array>
 #include <cmath>
 #include <random>
 #include <ranges>
 #include <set>
 #include <utility>
 
+#include "routing/duration.h"
+#include "routing/gossip.h"
+#include "routing/load_budget.h"
+#include "routing/overload_control.h"
+#include "routing/rendezvous_hash.h"
+#include "routing/sliding_window.h"
+#include "routing/slow_start.h"
+#include "routing/statistics.h"
+#include "routing/tenant_quotas.h"
+
 namespace rushhill {
 namespace {
 
+using routing::add_sample;
+using routing::median;
+using routing::rendezvous_hash;
+
+constexpr int every_peer = -1;
+
 // Constants: unit and reason for the size of each.
-constexpr Time second = 10'000;                    // tenths of a millisecond
+constexpr Time second = routing::one_second;
 constexpr Time housekeeping_period = second / 10;  // time; short beside any due time, long beside a tick
 constexpr int ring_buckets = 20;  // buckets of a second; what a server bears is steady over that
 constexpr Time ring_span = ring_buckets * second;  // time; the whole ring
 constexpr int recent_buckets = 4;           // buckets at the least, so that trouble shows within one or two
-constexpr int span_parts = 16;              // parts of a rule's span; its count is at most 1/16 too high
 constexpr double few_events = 20;           // events; a router that has seen fewer knows no function's part
 constexpr double first_event = 0.5;         // events; the first of a router that has seen nothing: 1/40
 constexpr double prior_answers = 3;         // answers; what a server must show before its figures are its own
@@ -38,66 +52,17 @@
 constexpr double home_share = 0.3;          // of a server's even load; what one home bears of a hot function
 constexpr double near_tie = 0.01;           // score; less apart is noise to one router, and chance decides
 constexpr double over_share_part = 0.5;     // of the due time left; events beyond a share give way first
-constexpr double crowd_part = 0.7;      // of the due time left; the fullest servers take longer than the mean
-constexpr double crowd_prior = 1;       // requests; one out there is no crowd
-constexpr double calm_follow = 0.005;   // of a rise, each tenth of a second: some twenty seconds, as the ring
-constexpr double outlast_after = 0.5;   // usual times; a request just sent tells nothing
-constexpr double outlast_share = 0.6;   // of exponential times that are longer than that
-constexpr double crowded_share = 0.15;  // of shots at standing copies; as many miss without a crowd
-constexpr double crowded_gain = 2;      // events shed for each shot beyond; more would swing
-constexpr double shed_most = 0.9;       // of a customer's events; the rest shows when the crowd is gone
-constexpr double quota_slack = 3;       // events; a part of a quota under one event comes by chance
-constexpr double move_share = 0.1;      // overdue shots sent again, of answers; a silent server costs as many
-constexpr double move_burst = 5;        // of these at once
-constexpr double cold_part = 0.75;      // of the rule's budget comes in as credit; the rest may stand unspent
-constexpr double few_calls = 30;        // N; under that the rule leaves three roots to chance, not two
-constexpr double credit_margin = 1;     // credits over all routers; only whole ones lapse
-constexpr double order_credit = 0.2;    // credits left at a cold server; an order weighs there as a request
-constexpr double ramp_step = 0.6180339887498949;  // credits from router to router: the most even spread
-constexpr double most_ease = 4.5;     // times; a server stays home to some functions, however busy
-constexpr int refusals_of_shut = 3;   // turned away in a row; a full server still honours some between
-constexpr int cuts_of_death = 3;      // connections lost in a row; a process that dies loses all it has
-constexpr double learn = 0.05;        // weight of a new answer; some twenty answers make the mean
-constexpr double load_worth = 0.5;    // of an event's importance; a load makes about that many late
-constexpr std::size_t order_cap = 4;  // orders pending; a store shared by all is soon crowded
+constexpr double calm_follow = 0.005;  // of a rise, each tenth of a second: some twenty seconds, as the ring
+constexpr double outlast_after = 0.5;  // usual times; a request just sent tells nothing
+constexpr double move_share = 0.1;     // overdue shots sent again, of answers; a silent server costs as many
+constexpr double move_burst = 5;       // of these at once
+constexpr double most_ease = 4.5;      // times; a server stays home to some functions, however busy
+constexpr int refusals_of_shut = 3;    // turned away in a row; a full server still honours some between
+constexpr int cuts_of_death = 3;       // connections lost in a row; a process that dies loses all it has
+constexpr double load_worth = 0.5;     // of an event's importance; a load makes about that many late
 constexpr Time forget_after = 120 * second;     // time; a function not asked for so long leaves the Index
 constexpr std::int64_t housekeeping_token = 0;  // other tokens are an event's id + 1, for its limit
 
-// Sums over the recent past: fixed buckets of time, used again in a ring.
-template <typename Sum, int count>
-class Ring {
- public:
-  explicit Ring(Time width) : width_(std::max<Time>(width, 1)) {}
-  Sum& at(Time now) {
-    newest_ = now / width_;
-    auto& [number, sum] = slots_[static_cast<std::size_t>(newest_ % count)];
-    if (std::exchange(number, newest_) != newest_) sum = Sum{};
-    return sum;
-  }
-  // Over the bucket of now and the last - 1 before it.
-  Sum over(Time now, int last = count) const {
-    Sum total{};
-    const Time before = now / width_ - last;
-    if (newest_ <= before) return total;
-    const auto add = [&](Time from, Time to) {
-      for (Time i = from; i <= to; ++i) {
-        const auto& [number, sum] = slots_[static_cast<std::size_t>(i)];
-        if (number > before) total += sum;
-      }
-    };
-    // Only where buckets of that span can lie, always in the order of the slots: sums do not depend on it.
-    const Time first = std::max({before + 1, newest_ - count + 1, Time{0}}) % count, end = newest_ % count;
-    if (first <= end) return add(first, end), total;
-    add(0, end);
-    add(first, count - 1);
-    return total;
-  }
-
- private:
-  Time width_, newest_ = 0;
-  std::array<std::pair<Time, Sum>, count> slots_{};
-};
-
 // What the shots that ended at a server showed.
 struct Tally {
   double honoured = 0;
@@ -112,26 +77,25 @@
   }
 };
 
-using Past = Ring<Tally, ring_buckets>;
-using Counts = Ring<double, ring_buckets>;
-using SpanRing = Ring<double, span_parts + 1>;
+using Past = routing::SlidingWindow<Tally, ring_buckets>;
+using Counts = routing::SlidingWindow<double, ring_buckets>;
 
 struct Entry;
 
 struct Server {
   ModelServer told;
-  int open = 0, outlasting = 0;    // own shots out; of these, out for longer than usual
-  double credit = 0;               // requests that it may get from here while it is cold
-  double ease = 1;                 // part of its weight that it bears with ease
-  Time gone_at = 0, reborn = 0;    // left the list; last sign that the process died: what answers is cold
-  int cuts = 0, silences = 0;      // connections lost, or never come up, since anything was answered
-  Time cut = 0;                    // the last one lost, here or at a peer
-  Time answered = 0;               // last time that something was
-  Time unanswered_since = 0;       // first send after the last answer; 0: none out
-  Time no_loads_until = 0;         // turned work away that it would have to load for
-  Time shut_until = 0;             // turns all away, as what drains does before the roster says so
-  int refusals = 0;                // turned away since it honoured anything
-  Time probe_turn = 0, noted = 0;  // last turn to probe it; when peers last told of it or were told
+  int open = 0, outlasting = 0;     // own shots out; of these, out for longer than usual
+  routing::SlowStartTokens tokens;  // at it, while it is cold
+  double ease = 1;                  // part of its weight that it bears with ease
+  Time gone_at = 0, reborn = 0;     // left the list; last sign that the process died: what answers is cold
+  int cuts = 0, silences = 0;       // connections lost, or never come up, since anything was answered
+  Time cut = 0;                     // the last one lost, here or at a peer
+  Time answered = 0;                // last time that something was
+  Time unanswered_since = 0;        // first send after the last answer; 0: none out
+  Time no_loads_until = 0;          // turned work away that it would have to load for
+  Time shut_until = 0;              // turns all away, as what drains does before the roster says so
+  int refusals = 0;                 // turned away since it honoured anything
+  Time probe_turn = 0, noted = 0;   // last turn to probe it; when peers last told of it or were told
   Past past{second};
   bool aside = false;
   double trickle = 0;              // share of its usual shots that it gets while set aside
@@ -184,19 +148,13 @@
   std::vector<Shot> shots;
 };
 
-// A customer: events within its share that it may still send now, and how its shots at standing copies fare.
-struct Account {
-  double left = 0;
-  Time filled = 0;
-  Past past{second};  // bad: turned away, or answered after the due time
-};
-
 class Decider final : public Router {
  public:
   Decider(const Deployment& deployment, std::uint64_t seed, Host& host)
       : d_(deployment), host_(host),
         chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24U) ^ (seed >> 48U))),
-        orders_(span_part(d_.load_window)), events_taken_(span_part(d_.load_window)) {
+        slow_start_(slow_start_limits(deployment)), load_budget_(load_budget_limits(deployment)),
+        tenant_quotas_(deployment.customers, deployment.routers) {
     const auto price = [&](const char* name) { return d_.prices.contains(name) ? d_.prices.at(name) : 0; };
     crossing_ = price("cross-zone") / (price("origin") + load_worth);
     for (const TrafficType& type : d_.traffic_types) usual_ = std::max(usual_, row(type).usual);
@@ -212,7 +170,7 @@
       named.insert(told.id);
       auto [it, fresh] = servers_.try_emplace(told.id);
       Server& server = it->second;
-      if (fresh) server.credit = std::fmod(d_.me * ramp_step + even(told.id, ""), 1.0);
+      if (fresh) server.tokens = slow_start_.first_tokens(told.id);
       if (!fresh && told.started != server.told.started) {
         server.aside = false, server.reborn = 0, server.past = Past{second};
         forget_copies(told.id);
@@ -233,7 +191,7 @@
   }
 
   void event(Time now, const Event& told) override {
-    if (d_.load_window > 0) events_taken_.at(now) += 1;
+    load_budget_.request_taken(now);
     Pending& pending = events_[told.id];
     pending.told = told;
     // A traffic type that was not told at start is of the strictest kind.
@@ -245,16 +203,15 @@
     Function& function = functions_[told.function];
     function.lanes = std::max(told.lanes, 1.0);
     function.asked = now;
-    function.heat.at(now) += 1;
-    heat_.at(now) += 1;
+    function.heat.bucket_at(now) += 1;
+    heat_.bucket_at(now) += 1;
     if (told.load_time > 0) function.load = static_cast<double>(told.load_time);
-    pending.over_share = beyond_share(now, told.customer);
+    pending.over_share = !tenant_quotas_.take(now, told.customer);
     if (told.left <= d_.tick) return give_up(pending, 0);
     host_.wake(told.id + 1, pending.limit);
     // Standing copies are crowded: a part is shed at once, at every router alike, for the rest to be in time.
-    const Tally past = accounts_[told.customer].past.over(now, recent_buckets);
-    const double excess = crowded_gain * (past.bad / (past.judged + prior_answers) - crowded_share);
-    const bool shed = may_shed(pending) && draw() < std::min(excess, shed_most);
+    const double rejected = overload_control_.share_to_reject(now, told.customer);
+    const bool shed = may_shed(pending) && draw() < rejected;
     if (shed) return give_up(pending, d_.longest_retry_advice);
     place(now, pending);
   }
@@ -304,27 +261,27 @@
     if (!end.report.contains("util")) return;
     const double busy = end.report.at("util");
     weigh_use(now, it->second, busy);
-    if (d_.peers) host_.tell(-1, end.server + " u" + std::to_string(std::lround(100 * busy)));
+    if (d_.peers) tell_peers(routing::UtilizationReported{end.server, busy});
   }
   // A peer saw a server die, lost a connection to it, or saw how busy it is.
   void told(Time now, int, const std::string& bytes) override {
-    const auto gap = bytes.find(' ');
-    const auto it = servers_.find(bytes.substr(0, gap));
+    const routing::GossipMessage message = routing::decode(bytes);
+    const auto it = servers_.find(routing::endpoint_of(message));
     if (it == servers_.end()) return;
-    if (gap + 2 < bytes.size() && gap != std::string::npos)
-      return weigh_use(now, it->second, std::atof(bytes.c_str() + gap + 2) / 100);
-    if (gap != std::string::npos && !cut(now, it->second)) return;
-    it->second.noted = now;
-    seems_dead(now, it->second);
+    Server& server = it->second;
+    if (const auto* report = std::get_if<routing::UtilizationReported>(&message)) {
+      weigh_use(now, server, report->utilization);
+      return;
+    }
+    if (std::holds_alternative<routing::ConnectionLost>(message) && !cut(now, server)) return;
+    server.noted = now;
+    seems_dead(now, server);
   }
 
-  void ration_known(Time now, double orders) override {
-    orders_.at(now) += orders;
-    ration_known_ = true;
-  }
+  void ration_known(Time now, double orders) override { load_budget_.earlier_orders_known(now, orders); }
 
   void order_ended(Time now, const OrderEnd& end) override {
-    if (pending_orders_ > 0) --pending_orders_;
+    load_budget_.order_ended();
     Entry& entry = functions_[end.function].entries[end.server];
     entry.ordered = false;
     entry.confirmed = end.ending == Ending::honoured || end.copies > 0;
@@ -333,6 +290,22 @@
   }
 
  private:
+  static routing::SlowStartLimits slow_start_limits(const Deployment& deployment) {
+    return {.budget_multiple = deployment.fall_multiple,
+            .budget_span = deployment.fall_span,
+            .initial_capacity = deployment.cold_share,
+            .warm_up_span = deployment.cold_span,
+            .routers = deployment.routers,
+            .router_number = deployment.me};
+  }
+  static routing::LoadBudgetLimits load_budget_limits(const Deployment& deployment) {
+    return {.orders_permitted = deployment.orders,
+            .window = deployment.load_window,
+            .free_orders = deployment.load_free,
+            .orders_per_request = deployment.loads_per_event,
+            .earlier_orders_follow = deployment.ration_told};
+  }
+
   // The guards: every shot and order passes through these.
   // Rule 3. Nothing new for a server that drains or is gone, from the moment this router was told.
   static bool may_receive(const Server& server) { return server.told.condition == Condition::active; }
@@ -354,58 +327,24 @@
     return true;
   }
 
-  // Rule 4, the ramp. Whether a cold server can bear one more request from this router: each needs a whole
-  // credit. The first span's credit may be spent ahead; what comes in then pays it off first.
+  // Rule 4. Whether a cold server can bear one more request from this router.
   bool cold_room(Time now, const Server& server) const {
     const Time since = cold_since(now, server);
-    if (since == 0 || server.credit >= 1) return true;
-    const double ahead = 1 - static_cast<double>(now - since) / fall_span();
-    return ahead > 0 && server.credit + ahead * cold_part_of(now, server) >= 1;
-  }
-  // What all routers may send to a cold server within the span, as one of them guesses N: N + 2 x root of N
-  // + 2, under few_calls N + 3 x root of N + 3, but no more than the tangent of the former at few_calls. So
-  // it is concave: routers with uneven guesses allow together no more than the rule does at their mean.
-  static double most_in_span(double n) {
-    if (n >= few_calls) return n + 2 * std::sqrt(n) + 2;
-    const double root = std::sqrt(few_calls);
-    const double tangent = few_calls + 2 * root + 2 - (few_calls - n) * (1 + 1 / root);
-    return std::min(n + 3 * std::sqrt(n) + 3, tangent);
-  }
-  // Credit grows by this router's part, and lapses unspent after so long that all routers' unspent credits
-  // fill the rest of N and what the rule leaves to chance, less a margin. Its phase is spread evenly over
-  // the routers by their numbers: parts under one request add up with little noise, without a message.
-  void ramp(Time now, Server& server) const {
-    const double part = cold_part_of(now, server);
-    const int routers = std::max(1, d_.routers);
-    const double n = part * routers / cold_part;  // if all routers are like this one
-    const double unspent = (most_in_span(n) - cold_part * n - credit_margin) / routers;
-    server.credit += part * static_cast<double>(now - kept_) / fall_span();
-    server.credit -= std::floor(std::max(server.credit - unspent, 0.0));
-  }
-  // What this router may send to a cold server within the span. Its capacity is guessed low, from an even
-  // share of this router's own honoured requests: all routers' parts add up to what it bears.
-  double cold_part_of(Time now, const Server& server) const {
-    const double age = std::max(0.0, static_cast<double>(now - cold_since(now, server)) - fall_span());
-    const double share = d_.cold_share + (1 - d_.cold_share) * age / static_cast<double>(d_.cold_span);
-    const double idle = busy_usual_ > 0 ? std::clamp(1 / busy_usual_, 1.0, 2.0) : 1;
-    const double least = 1.0 / (std::max(1, d_.routers) * std::max(usual_, 1.0));
-    return cold_part * d_.fall_multiple * share * std::max(borne_ * idle * weight(server), least) *
-           fall_span();
-  }
-  double fall_span() const { return static_cast<double>(std::max<Time>(d_.fall_span, 1)); }
-
+    return since == 0 ||
+           slow_start_.admits_request(now, since, weight(server), server.tokens, observed_load());
+  }
   Time cold_since(Time now, const Server& server) const {
-    const Time since = std::max(server.told.started, server.reborn);
-    return now - since < d_.cold_span ? since : 0;
+    return slow_start_.warming_since(now, server.told.started, server.reborn);
+  }
+  routing::ObservedLoad observed_load() const {
+    return {.response_time = usual_, .utilization = busy_usual_, .successes = borne_};
   }
 
-  // Rule 5. Whether one more order to load is within the ration; the counts err to the safe side.
+  // Rule 5. Whether one more function may be prewarmed at this server.
   bool may_order(Time now, const Server& server) const {
-    if (!d_.orders || !may_receive(server) || pending_orders_ >= order_cap) return false;
-    if (cold_since(now, server) != 0 && server.credit < order_credit) return false;
-    if (d_.load_window <= 0) return true;
-    if (d_.ration_told && !ration_known_) return false;
-    return orders_.over(now) + 1 <= d_.load_free + d_.loads_per_event * events_taken_.over(now, span_parts);
+    if (!may_receive(server)) return false;
+    if (cold_since(now, server) != 0 && !server.tokens.allow_order()) return false;
+    return load_budget_.allows_order(now);
   }
 
   bool may_shed(const Pending& pending) const {
@@ -444,7 +383,7 @@
   // as warm where the function's heat says that others keep a copy there.
   double score(Time now, const Pending& pending, const Function& function, const Server& server, int rank,
                const Entry* entry) const {
-    const Tally recent = server.past.over(now, recent_);
+    const Tally recent = server.past.total(now, recent_);
     const int open = entry == nullptr ? 0 : entry->open;
     const double excess = std::max(0.0, open + 1 - function.lanes) / function.lanes;
     const double wait = wait_at(now, pending, function, server, recent) / load_time(pending, function);
@@ -462,28 +401,21 @@
     if (std::exchange(function.ranked, roster_version_) != roster_version_) {
       function.homes.clear();
       for (auto& [server, known] : servers_) {
-        if (may_receive(known)) function.homes.emplace_back(-std::log(even(id, server)), &known);
+        if (may_receive(known)) function.homes.emplace_back(-std::log(rendezvous_hash(id, server)), &known);
       }
     }
     // Abilities move slowly: mostly the order still holds.
     const auto far = [](const auto& home) { return home.first / ability(*home.second); };
     if (!std::ranges::is_sorted(function.homes, {}, far)) std::ranges::sort(function.homes, {}, far);
     // One event alone says little, but more the fewer came before it: what is seen first is likely hot.
-    const double others = std::max(function.heat.over(now) - 1, first_event);
-    const double part = others / (heat_.over(now) + few_events) / home_share;
+    const double others = std::max(function.heat.total(now) - 1, first_event);
+    const double part = others / (heat_.total(now) + few_events) / home_share;
     function.hot_homes =
         (others < 1 ? 0 : 1) + static_cast<int>(part * static_cast<double>(function.homes.size()));
   }
 
   static double weight(const Server& server) { return server.told.rating > 0 ? server.told.rating : 1; }
   static double ability(const Server& server) { return weight(server) * server.ease; }
-  // A number above 0 and up to 1, the same at every router.
-  static double even(const std::string& one, const std::string& other) {
-    std::uint64_t hash = 14695981039346656037ULL;
-    for (const char c : one + other) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
-    hash = (hash ^ hash >> 33U) * 0xff51afd7ed558ccdULL;
-    return (static_cast<double>((hash ^ hash >> 33U) >> 11U) + 1) * 0x1p-53;
-  }
   // By chance, above 0 and below 1.
   double draw() { return (static_cast<double>(chance_()) + 0.5) / (static_cast<double>(chance_.max()) + 1); }
 
@@ -554,11 +486,11 @@
     }
     // What can't be answered in its time, or before its client leaves, is shed at once: such work is wasted.
     const double usual = usual_time(pending, function), calm = usual * calm_pace_;
-    const double wait = wait_at(now, pending, function, *server, server->past.over(now, recent_));
+    const double wait = wait_at(now, pending, function, *server, server->past.total(now, recent_));
     const double tolerated = pending.over_share ? due_left * over_share_part : due_left;
-    const double in_crowd = due_left * (pending.over_share ? d_.over_share_worth : 1) * crowd_part;
+    const double in_crowd = due_left * (pending.over_share ? d_.over_share_worth : 1);
     const bool too_late = wait > std::max(tolerated, 2 * usual) || wait > left ||
-                          calm * crowding_ > std::max(in_crowd, 2 * calm);
+                          overload_control_.misses_objective(calm, in_crowd);
     if (too_late && may_shed(pending) && !any_open(pending)) return give_up(pending, d_.longest_retry_advice);
     shoot(now, pending, function, *server);
   }
@@ -574,7 +506,7 @@
     if (server.unanswered_since == 0) server.unanswered_since = now;
     // Every send weighs as the mean work of its class.
     if (cold_since(now, server) != 0)
-      server.credit -= std::max(1.0, pending.type->usual / std::max(usual_, 1.0));
+      server.tokens.take(routing::SlowStart::cost_of_request(pending.type->usual, observed_load()));
     host_.shoot(pending.told.id, id, 0);
   }
 
@@ -582,9 +514,8 @@
     Entry& entry = functions_[pending.told.function].entries[id];
     if (!entry.ordered && !may_order(now, servers_.at(id))) return false;
     if (!std::exchange(entry.ordered, true)) {
-      ++pending_orders_;
-      orders_.at(now) += 1;
-      servers_.at(id).credit -= 1;
+      load_budget_.order_sent(now);
+      servers_.at(id).tokens.take(1);
       host_.order(id, pending.told.function, 1);
     }
     // A shot sent now could overtake the order: the event follows in housekeeping, or when the order ends.
@@ -620,21 +551,12 @@
       move_on(now, pending, function);
   }
 
-  // By Little's law: own attempts that outlast their usual time, beside those that the answers of late keep
-  // out at the usual pace, tell how long answers take now, well before the first late one comes.
   void weigh_crowd(Time now) {
-    const Time span = std::clamp(now - born_, second, Time{recent_buckets} * second);
-    const double usual_open = ideal_.over(now, recent_buckets) / static_cast<double>(span);
-    // What hangs at one sick server is no crowd: none counts for more than twice the middle one.
     std::vector<double> outlasting;
     for (const auto& [id, server] : servers_) {
       if (may_receive(server)) outlasting.push_back(server.outlasting);
     }
-    const double most = std::max(1.0, 2 * median(outlasting, 0));
-    double all = 0;
-    for (const double here : outlasting) all += std::min(here, most);
-    const double crowd = std::max(0.0, all - outlast_share * usual_open);
-    crowding_ = heat_.over(now) < few_events ? 1 : 1 + crowd / (usual_open + crowd_prior);
+    overload_control_.observe_in_flight(now, now - born_, heat_.total(now), outlasting);
   }
 
   void move_on(Time now, Pending& pending, Function& function) {
@@ -689,7 +611,7 @@
     if (end.ending == Ending::honoured) {
       entry.confirmed = true;
       entry.used = now;
-      server.past.at(now).honoured += 1;
+      server.past.bucket_at(now).honoured += 1;
       server.refusals = 0, server.shut_until = 0;
       // A process that dies takes along all that it has in hand: what it took before and answers now tells
       // that it lived. What was on its way at that moment does not.
@@ -697,8 +619,8 @@
       moves_ = std::min(moves_ + move_share, move_burst);
       learn_times(now, pending, function, server, shot, end);
       const bool loaded = d_.tells_warm ? end.warmth != Warmth::found : !shot.confirmed;
-      ideal_.at(now) +=
-          usual_time(pending, function) * calm_pace_ + (loaded ? load_time(pending, function) : 0);
+      overload_control_.attempt_succeeded(
+          now, usual_time(pending, function) * calm_pace_ + (loaded ? load_time(pending, function) : 0));
     } else if (end.ending == Ending::turned_away) {
       // Full, or draining before the roster says so: home to fewer functions. Where no copy stood it may be
       // the loads that are too many, a slow store behind them: copies that stand still serve.
@@ -716,7 +638,7 @@
     const bool stood = d_.tells_warm ? end.warmth == Warmth::found : end.ending == Ending::honoured;
     if (stood || (end.ending == Ending::turned_away && shot.confirmed)) {
       const bool bad = end.ending == Ending::turned_away || 4 * end.taken > 3 * pending.type->told.due;
-      accounts_[pending.told.customer].past.at(now) += Tally{.judged = 1, .bad = bad ? 1.0 : 0.0};
+      overload_control_.attempt_at_loaded_copy(now, pending.told.customer, bad);
     }
     if (!called_off && end.ending != Ending::turned_away)
       judge_shot(now, server, shot, end.ending != Ending::honoured && end.ending != Ending::not_stored);
@@ -729,7 +651,7 @@
     server.ease = std::clamp(server.ease, 1 / most_ease, most_ease);
   }
   void weigh_use(Time now, Server& server, double busy) {
-    if (cold_since(now, server) == 0) blend(busy_usual_, busy);
+    if (cold_since(now, server) == 0) add_sample(busy_usual_, busy);
     if (busy_usual_ > 0) weigh(server, busy / busy_usual_ - 1);
   }
 
@@ -743,7 +665,7 @@
     } else if (!up || ending == Ending::connection_lost) {
       const bool lively = server.answered != 0 && now - server.answered <= second;
       if (cut(now, server) || (!lively && !(up && d_.peers))) return seems_dead(now, server);
-      if (d_.peers) host_.tell(-1, server.told.id + " c");
+      if (d_.peers) tell_peers(routing::ConnectionLost{server.told.id});
     } else if (ending != Ending::no_answer && ending != Ending::called_off && ending != Ending::not_sent) {
       server.cuts = server.silences = 0, server.answered = now;
     }
@@ -758,24 +680,26 @@
   void seems_dead(Time now, Server& server) {
     server.reborn = now;
     forget_copies(server.told.id);
-    if (d_.peers && now - std::exchange(server.noted, now) >= second) host_.tell(-1, server.told.id);
+    if (d_.peers && now - std::exchange(server.noted, now) >= second)
+      tell_peers(routing::EndpointDied{server.told.id});
   }
 
+  void tell_peers(const routing::GossipMessage& message) { host_.tell(every_peer, routing::encode(message)); }
+
   void learn_times(Time now, Pending& pending, Function& function, Server& server, const Shot& shot,
                    const ShotEnd& end) {
     const auto taken = static_cast<double>(end.taken);
     const bool found = d_.tells_warm ? end.warmth == Warmth::found : shot.confirmed;
     if (!found && d_.tells_warm && end.warmth != Warmth::began_load) return;
-    if (!found) return blend(load_usual_, std::max(taken - usual_time(pending, function), 0.0));
-    blend(pending.type->usual, taken), blend(usual_, taken);
+    if (!found) return add_sample(load_usual_, std::max(taken - usual_time(pending, function), 0.0));
+    add_sample(pending.type->usual, taken);
+    add_sample(usual_, taken);
     if (function.usual == 0) function.usual = pending.type->usual / fleet_pace_;
-    blend(function.usual, taken / fleet_pace_);
-    server.past.at(now).paced += 1;
-    server.past.at(now).pace_sum += taken / function.usual;
+    add_sample(function.usual, taken / fleet_pace_);
+    server.past.bucket_at(now).paced += 1;
+    server.past.bucket_at(now).pace_sum += taken / function.usual;
   }
 
-  static void blend(double& mean, double value) { mean = mean == 0 ? value : mean + learn * (value - mean); }
-
   static double usual_time(const Pending& pending, const Function& function) {
     return function.usual > 0 ? function.usual : pending.type->usual;
   }
@@ -791,11 +715,11 @@
     if (shot.judged) return;
     shot.judged = true;
     const Tally tally{.judged = 1, .bad = bad ? 1.0 : 0.0};
-    server.past.at(now) += tally;
+    server.past.bucket_at(now) += tally;
     server.period += tally;
     if (server.aside) return;
     if (!bad) server.pause = 0;
-    if (!bad || bad_share(server.past.over(now, recent_)) <= median_bad_ + aside_excess) return;
+    if (!bad || bad_share(server.past.total(now, recent_)) <= median_bad_ + aside_excess) return;
     if (2 * aside_ >= serving_) return;  // most look bad: the measure is wrong
     aside_ += 1;
     server.aside = true;
@@ -840,14 +764,16 @@
       ask_load(now, server);
       serving_ += 1;
       aside_ += server.aside ? 1 : 0;
-      const Tally recent = server.past.over(now, recent_);
+      const Tally recent = server.past.total(now, recent_);
       bad.push_back(recent.judged > 0 ? recent.bad / recent.judged : 0);
       if (recent.paced >= prior_answers) paces.push_back(recent.pace_sum / recent.paced);
-      const bool cold = cold_since(now, server) != 0;
-      if (cold) ramp(now, server);
-      if (cold) continue;
-      server.credit -= std::floor(server.credit);  // of a warm one only the phase is kept
-      done += server.past.over(now).honoured;
+      const Time since = cold_since(now, server);
+      if (since != 0) {
+        slow_start_.refill(now, since, now - kept_, weight(server), observed_load(), server.tokens);
+        continue;
+      }
+      server.tokens.keep_phase();
+      done += server.past.total(now).honoured;
       warm_weight += weight(server);
     }
     median_bad_ = median(bad, 0);
@@ -856,7 +782,7 @@
     const Time seen = std::clamp(now - born_, second, ring_span);
     borne_ = done / std::max(warm_weight, 0.1) / static_cast<double>(seen);
     // All that is judged over time follows the time in which each server gets one of this router's events.
-    const double beat = serving_ * static_cast<double>(seen) / (heat_.over(now) + 1);
+    const double beat = serving_ * static_cast<double>(seen) / (heat_.total(now) + 1);
     beat_ = std::min(static_cast<Time>(beat), ring_span);
     recent_ = static_cast<int>(std::clamp<Time>(2 * beat_ / second, recent_buckets, ring_buckets));
     prior_ = std::clamp(static_cast<double>(recent_ * second) / (beat + 1), 1.0, prior_answers);
@@ -884,34 +810,15 @@
     if (!d_.probing || !d_.peers || d_.reports != "probe") return;
     const Time turn = now / probe_period;
     if (std::exchange(server.probe_turn, turn) == turn) return;
-    const double whose = std::ceil(even(std::to_string(turn), server.told.id) * std::max(1, d_.routers));
+    const double whose =
+        std::ceil(rendezvous_hash(std::to_string(turn), server.told.id) * std::max(1, d_.routers));
     if (static_cast<int>(whose) != d_.me + 1) return;
-    server.credit -= 1;
+    server.tokens.take(1);
     host_.probe(server.told.id);
   }
 
-  static double median(std::vector<double>& values, double otherwise) {
-    if (values.empty()) return otherwise;
-    std::ranges::nth_element(values, values.begin() + static_cast<std::ptrdiff_t>(values.size() / 2));
-    return values[values.size() / 2];
-  }
-
   void wake_housekeeping(Time now) { host_.wake(housekeeping_token, now + housekeeping_period); }
 
-  // Whether the event is beyond its customer's share: tokens fill at this router's part of the quota.
-  bool beyond_share(Time now, const std::string& name) {
-    const auto told = std::ranges::find(d_.customers, name, &Customer::name);
-    if (told == d_.customers.end() || told->quota_per_s <= 0) return false;
-    const double rate = told->quota_per_s / std::max(1, d_.routers);  // a second
-    Account& account = accounts_[name];
-    account.left += rate * static_cast<double>(now - account.filled) / static_cast<double>(second);
-    account.left = std::min(account.left, rate + quota_slack);
-    account.filled = now;
-    const bool within = account.left >= 1;
-    if (within) account.left -= 1;
-    return !within;
-  }
-
   void forget_copies(const ServerId& server) {
     for (auto& [id, function] : functions_) {
       if (const auto it = function.entries.find(server); it != function.entries.end())
@@ -931,8 +838,6 @@
     const auto it = std::ranges::find(newest_first, server, &Shot::server);
     return it == newest_first.end() ? nullptr : &*it;
   }
-  static Time span_part(Time span) { return (span + span_parts - 1) / span_parts; }
-
   const Deployment d_;
   Host& host_;
   std::ranlux24_base chance_;
@@ -940,12 +845,12 @@
   std::map<ServerId, Server> servers_;
   std::map<FunctionId, Function> functions_;
   std::map<EventId, Pending> events_;
-  std::map<std::string, Account> accounts_;
   std::set<EventId> waiting_;
-  SpanRing orders_, events_taken_;  // for the ration of orders
-  std::size_t pending_orders_ = 0;
-  double crowding_ = 1;                  // times the usual that answers take now
-  Counts heat_{second}, ideal_{second};  // events taken; time that those honoured would take without a crowd
+  routing::SlowStart slow_start_;
+  routing::LoadBudget load_budget_;
+  routing::TenantQuotas tenant_quotas_;
+  routing::OverloadControl overload_control_;
+  Counts heat_{second};                                 // requests taken
   double usual_ = 0, load_usual_ = 0, busy_usual_ = 0;  // time of an answer, of a load; use of cores
   double fleet_pace_ = 1, calm_pace_ = 1, median_bad_ = 0;
   double borne_ = 0;                // honoured at a warm server, per weight and time
@@ -958,7 +863,7 @@
   double moves_ = move_burst;  // overdue shots that may be sent again now
   Time born_ = 0, kept_ = 0,
        swept_ = 0;  // first word of the roster; last housekeeping; second of the last sweep
-  bool follow_due_ = false, ration_known_ = false;
+  bool follow_due_ = false;
 };
 
 }  // namespace
