--- a/src/frontends/fastcgi_front.cpp
+++ b/src/frontends/fastcgi_front.cpp
@@ -17,6 +17,8 @@
 using transport::Stream;
 
 constexpr Time sweep_period = 1'000;   // tenths of a millisecond; short beside the spans below
+constexpr Time stood_still = 200;      // beyond a sweep's moment; less is no more than a busy machine's
+constexpr Time least_left = 1'000;     // for what may have come just now; within the slack of what is told
 constexpr Time whole_within = 20'000;  // from a request's first byte to its last; a bad client is owed 3 s
 constexpr Time first_within = 20'000;  // from connecting to the first whole request, likewise
 constexpr Time idle_limit = 100'000;   // between requests; clients close after 4 s themselves
@@ -170,7 +172,7 @@
   std::optional<Rank> holds(Time now) const {
     if (!open_.empty() || !come_.empty()) return std::nullopt;
     if (stream_->waiting() > 0) return Rank{Holding::unread_answer, quiet_since_};
-    const auto half_since = reader_.unfinished_since();
+    const auto half_since = unfinished_since();
     if (asked_ && !half_since) return Rank{Holding::idle, quiet_since_};
     const Time since = half_since.value_or(quiet_since_);
     if (now - since < come_for) return Rank{Holding::just_come, since};
@@ -178,9 +180,10 @@
   }
   bool untouched() const { return stream_->ahead() == Stream::Ahead::nothing; }
   bool all_sent() const {
-    return stream_->waiting() == 0 && !reader_.unfinished_since() && stream_->ahead() != Stream::Ahead::bytes;
+    return stream_->waiting() == 0 && !unfinished_since() && stream_->ahead() != Stream::Ahead::bytes;
   }
   void finish() {
+    if (closing_) return;
     closing_ = true;
     quiet_since_ = front_.reactor_.now();
     stream_->finish();
@@ -193,7 +196,9 @@
   const char* outstayed(Time now) const {
     if (open_requests() > 0) return nullptr;
     if (stream_->waiting() > 0) return now - quiet_since_ >= read_within ? "does not read" : nullptr;
-    const auto since = reader_.unfinished_since();
+    // What has come and has not been read may be a request, and was here before we would close.
+    if (!closing_ && stream_->ahead() == Stream::Ahead::bytes) return nullptr;
+    const auto since = unfinished_since();
     if (since && now - *since >= whole_within) return "half a request";
     if (closing_) return now - quiet_since_ >= settled ? "answered and not left" : nullptr;
     if (!asked_ && now - quiet_since_ >= first_within) return "silent";
@@ -202,14 +207,18 @@
 
   void arrived(std::string_view bytes) override {
     if (closing_) return;  // what comes after the last answer
+    if (broken_) return leave_if_answered();
     const auto self = front_.connections_.at(this);
     reader_.put(bytes, front_.reactor_.now());
     // A client that has left already is known before anything is begun for it.
     if (!come_.empty() && !gone_ && stream_->ahead() == Stream::Ahead::end)
       return front_.forget(*this, ConnectionEnd::by_client);
-    for (auto& [number, request] : std::exchange(come_, {})) {
-      if (!gone_) begin(number, std::move(request));
+    while (!gone_ && !come_.empty()) {
+      auto [number, request] = std::move(come_.front());
+      come_.erase(come_.begin());
+      begin(number, std::move(request));
     }
+    if (broken_) return leave_if_answered();
     if (!gone_ && stream_->waiting() > front_.rules_.unread)
       return front_.forget(*this, ConnectionEnd::by_gateway);
     if (gone_ || !unread_ || stream_->ahead() != Stream::Ahead::nothing) return;
@@ -251,6 +260,11 @@
       return reply(number, keep, response(200, "OK", "", to_prometheus(front_.counts_), metrics_type));
     }
     Asked asked = read_request(front_.gateway_.deployment(), std::move(request));
+    asked.told.left = front_.time_left(asked.told.left);
+    if (asked.status == 0 && front_.answer_by_ != 0 && asked.told.left <= 0) {
+      reader_.ended(number);
+      return reply_overloaded(number, keep);
+    }
     if (asked.status == 0 && front_.open_ids_.contains(asked.message.id)) {
       asked.status = 409;
       asked.reason = "X-Job-Id is open already";
@@ -319,9 +333,10 @@
     write(fastcgi::values_result(values), true);
   }
   void type_unknown(std::uint8_t type) override { write(fastcgi::unknown_type(type), true); }
+  // Nothing further is read on it. What was read before is answered, then it is closed.
   void broken(const char* why) override {
     front_.diary_.line(core::Level::debug, "client cannot be read", {{"reason", why}});
-    front_.forget(*this, ConnectionEnd::by_client);
+    broken_ = true;
   }
 
   // core::Client
@@ -372,11 +387,20 @@
     if (gone_) return;
     quiet_since_ = front_.reactor_.now();
     stream_->write(bytes);
-    if (keep || !open_.empty() || !come_.empty()) return;
+    if ((keep && !broken_) || !open_.empty() || !come_.empty()) return;
     closing_ = true;
     stream_->finish();
   }
 
+  // For one whose client cannot be read any more.
+  void leave_if_answered() {
+    if (gone_ || open_requests() > 0) return;
+    if (stream_->waiting() > 0) return finish();
+    front_.forget(*this, ConnectionEnd::by_client);
+  }
+  // Since when a request stands here of which a part has not come.
+  std::optional<Time> unfinished_since() const { return broken_ ? std::nullopt : reader_.unfinished_since(); }
+
   FastCgiFront& front_;
   std::shared_ptr<Stream> stream_;
   fastcgi::Reader reader_;
@@ -385,12 +409,14 @@
   std::vector<std::pair<Number, fastcgi::Request>> come_;  // whole, and not begun
   Time quiet_since_;
   bool asked_ = false, closing_ = false, gone_ = false;
+  bool broken_ = false;  // what its client sends cannot be read any more
   bool unread_ = false;  // something stood unread when an attempt started
 };
 
 FastCgiFront::FastCgiFront(transport::Reactor& reactor, core::Gateway& gateway, core::Diary& diary,
                            const FastCgiRules& rules)
-    : reactor_(reactor), gateway_(gateway), diary_(diary), rules_(rules), source_(gateway.add_source(1)) {
+    : reactor_(reactor), gateway_(gateway), diary_(diary), rules_(rules), source_(gateway.add_source(1)),
+      sweep_due_(reactor.now()) {
   sweep();
 }
 FastCgiFront::~FastCgiFront() {
@@ -414,6 +440,8 @@
     diary_.line(core::Level::warning, "connection refused: too many", {});
     return arrival.refuse();
   }
+  // It may have stood in the queue, and what stands on it is read in the next turn.
+  if (late_since_) late_turns_ = 2;
   const auto connection = std::make_shared<Connection>(*this, arrival);
   connections_.emplace(connection.get(), connection);
 }
@@ -434,9 +462,44 @@
   held->leave(end);
 }
 
+// A loop that turns in time reads what comes at once. What it reads after it stood still may have come as
+// early as the sweep was due that it got to late.
+Time FastCgiFront::unread_for() const {
+  const Time now = reactor_.now();
+  return std::max<Time>(now - std::min(sweep_due_, late_since_.value_or(now)), 0);
+}
+
+Time FastCgiFront::time_left(Time told) const {
+  const Time left = std::min(told, std::max(told - unread_for(), least_left));
+  return answer_by_ == 0 ? left : std::min(left, answer_by_ - reactor_.now());
+}
+
+void FastCgiFront::note_lateness(Time now) {
+  late_since_.reset();
+  if (now - sweep_due_ > stood_still) {
+    late_since_ = sweep_due_;
+    forget_lateness_after_next_turn();
+  }
+  sweep_due_ = now + sweep_period;
+}
+
+// In the next turn all is read that came until this one.
+void FastCgiFront::forget_lateness_after_next_turn() {
+  late_turns_ = 2;
+  count_late_turn();
+}
+void FastCgiFront::count_late_turn() {
+  reactor_.soon([this, alive = std::weak_ptr(life_)] {
+    if (alive.expired()) return;
+    if (--late_turns_ > 0) return count_late_turn();
+    late_since_.reset();
+  });
+}
+
 void FastCgiFront::sweep() {
-  alarm_ = reactor_.at(reactor_.now() + sweep_period, [this] { sweep(); });
   const Time now = reactor_.now();
+  note_lateness(now);
+  alarm_ = reactor_.at(sweep_due_, [this] { sweep(); });
   std::vector<Connection*> outstayed;
   for (const auto& [connection, held] : connections_) {
     if (connection->outstayed(now) != nullptr) outstayed.push_back(connection);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -12,7 +12,12 @@
 constexpr Time look_every = 100;  // tenths of a millisecond between looks whether all is wound up
 constexpr Time still_coming =
     8'000;  // requests may come for 0.6 s after the word to end, and count until 0.7 s
-constexpr Time over_limit = 2'000;    // beyond the longest hard limit nothing is open any more
+// A router that is told to end is killed this long after the longest deadline, of which 3 s count at most. It
+// may learn of the word a turn of an idle loop after it came, and has everything answered before.
+constexpr Time killed_after = 7'000;
+constexpr Time longest_counted = 30'000;
+constexpr Time learned_after = 1'000;
+constexpr Time answered_before = 1'000;
 constexpr Time last_answers = 1'000;  // for answers to leave to clients that are slow to read, then no more
 constexpr Time leave_taking = 1'000;  // for clients to see that we have ended, and to end too
 
@@ -90,14 +95,17 @@
 
 void Node::wind_up(std::function<void()> ended) {
   if (end_by_ != 0) return;
-  requests_until_ = reactor_.now() + still_coming;
-  end_by_ = requests_until_ + longest_limit_ + over_limit;
+  const Time now = reactor_.now();
+  const Time killed_by = now + std::min(longest_limit_, longest_counted) + killed_after;
+  end_by_ = killed_by - learned_after - answered_before;
+  requests_until_ = std::min(now + still_coming, end_by_);
+  front_.answer_by(end_by_);
   diary_.line(core::Level::info, "winding up", {{"open", std::to_string(gateway_.open())}});
   wait_for_end(ended);
 }
 
-// Ended: all that has come is read, all that was read is answered, and the answers have left. What is open
-// for longer than any client waits is answered all the same, as abandoned.
+// Ended: all that has come is read, all that was read is answered, and the answers have left. What would be
+// open as the router may be killed is answered before, as abandoned.
 void Node::wait_for_end(const std::function<void()>& ended) {
   const Time now = reactor_.now();
   if (now >= requests_until_) front_.stop_listening();
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -162,6 +162,13 @@
       seen_.append(bytes, static_cast<std::size_t>(got));
     return seen_;
   }
+  // The other side has ended the connection, and all it sent has been read.
+  bool ended() {
+    seen();
+    char byte = 0;
+    const ssize_t got = recv(socket_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
+  }
   bool connected = false;
 
  private:
