--- a/src/lab/badday.cpp
+++ b/src/lab/badday.cpp
@@ -31,7 +31,10 @@
 
 constexpr int peer_descriptor = 20;            // what a router's datagram socket is handed down as
 constexpr std::int64_t lead_ns = 300'000'000;  // from all being ready to the day's start
-constexpr int grace_seconds = 30;              // beyond the day's length, before it is called off
+constexpr const char* storage_faults_variable = "RUSHHILL_STORAGE_FAULTS";  // of the routers' files: a seed
+constexpr std::string_view roster_section = "[roster]\n";
+constexpr const char* remembered_suffix = ".list";  // of a router's remembered endpoint list
+constexpr int grace_seconds = 30;                   // beyond the day's length, before it is called off
 
 std::string text_of(const fs::path& path) {
   std::ifstream in(path, std::ios::binary);
@@ -54,6 +57,9 @@
       for (const char* old : {"clients.jsonl", "servers.jsonl", "roster.jsonl", "broker.jsonl",
                               "routers.jsonl", "start", "tally.jsonl"})
         fs::remove(path_ / old);
+      for (const auto& entry : fs::directory_iterator(path_)) {
+        if (entry.path().extension() == remembered_suffix) fs::remove(entry.path());
+      }
       return;
     }
     std::string pattern = (fs::temp_directory_path() / "rushhill-day-XXXXXX").string();
@@ -73,6 +79,33 @@
   bool kept_;
 };
 
+// While it lives, what is started has a wall clock that is stepped and waits that end by EINTR, by the
+// library that is built with the tests.
+class SteppedWallClock {
+ public:
+  SteppedWallClock(bool on, std::uint64_t seed) : on_(on) {
+    if (!on_) return;
+    const fs::path shim = fs::path(own_program()).parent_path() / "librushhill_wall_clock_shim.so";
+    if (!fs::exists(shim)) throw std::runtime_error(shim.string() + ": is built with RUSHHILL_TESTS");
+    setenv("LD_PRELOAD", shim.c_str(), 1);
+    setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
+    setenv("RUSHHILL_WALL_STEP_MS", "500", 1);
+    setenv("RUSHHILL_WALL_SEED", std::to_string(seed % 1'000'000'000).c_str(), 1);
+    setenv("RUSHHILL_WAIT_EINTR", "1", 1);
+  }
+  ~SteppedWallClock() {
+    if (!on_) return;
+    for (const char* name :
+         {"LD_PRELOAD", "ASAN_OPTIONS", "RUSHHILL_WALL_STEP_MS", "RUSHHILL_WALL_SEED", "RUSHHILL_WAIT_EINTR"})
+      unsetenv(name);
+  }
+  SteppedWallClock(const SteppedWallClock&) = delete;
+  SteppedWallClock& operator=(const SteppedWallClock&) = delete;
+
+ private:
+  bool on_;
+};
+
 struct RouterPlace {
   FreePort port, replica;
   Poco::Net::DatagramSocket peers{transport::numeric_address("127.0.0.1:0")};
@@ -81,8 +114,8 @@
 
 class Stage {
  public:
-  Stage(const Day& day, const Folder& folder, const std::string& front)
-      : day_(day), folder_(folder), record_(folder / "routers.jsonl") {
+  Stage(const Day& day, const Folder& folder, const std::string& front, bool steps_wall_clock)
+      : day_(day), folder_(folder), steps_wall_clock_(steps_wall_clock), record_(folder / "routers.jsonl") {
     write(folder / "day.json", standin::to_json(day));
     const std::vector<std::string> common{"--day", folder / "day.json", "--start", folder / "start"};
     roster_ = std::make_unique<Process>("roster", joined({"standin", "roster"}, common, "roster.jsonl"),
@@ -215,9 +248,14 @@
     const std::string name = "router-" + std::to_string(number);
     RouterPlace& place = *routers_[static_cast<std::size_t>(number)];
     const std::string file = folder_ / (name + ".ini");
-    write(file,
-          standin::deployment_of(day_, number, place.port.address().toString(), roster_address_,
-                                 "fd:" + std::to_string(peer_descriptor), peers, broker_address_, replicas));
+    std::string deployment =
+        standin::deployment_of(day_, number, place.port.address().toString(), roster_address_,
+                               "fd:" + std::to_string(peer_descriptor), peers, broker_address_, replicas);
+    if (std::getenv(storage_faults_variable) != nullptr)
+      deployment.insert(deployment.find(roster_section) + roster_section.size(),
+                        "remembered = " + (folder_ / (name + remembered_suffix)) + "\n");
+    write(file, deployment);
+    const SteppedWallClock stepped(steps_wall_clock_, day_.seed + static_cast<std::uint64_t>(number));
     place.process = std::make_unique<Process>(
         name, std::vector<std::string>{"serve", file, "--tally", folder_ / "tally.jsonl"},
         folder_ / (name + ".log"),
@@ -232,6 +270,7 @@
 
   Day day_;
   const Folder& folder_;
+  bool steps_wall_clock_;
   std::string roster_address_;
   std::vector<std::unique_ptr<RouterPlace>> routers_;
   std::unique_ptr<Process> roster_, broker_, servers_, clients_, links_;
@@ -279,9 +318,11 @@
                 ? standin::scripted_bad_day(of.events, of.rate, of.seed, !of.loads_by_themselves, of.calm)
                 : standin::day_from_json(text_of(of.day_file));
   make_among_routers(day, of);
+  if (std::ranges::find(of.faults, "storage") != of.faults.end())
+    setenv(storage_faults_variable, std::to_string(day.seed).c_str(), 1);  // the routers inherit it
   const Folder folder(of.folder);
   {
-    Stage stage(day, folder, of.front);
+    Stage stage(day, folder, of.front, std::ranges::find(of.faults, "wallclock") != of.faults.end());
     stage.play();
   }
   return judge_folder(folder / "day.json",
--- a/src/lab/badday.h
+++ b/src/lab/badday.h
@@ -21,7 +21,8 @@
   std::string marks{};                // none, told, held; empty: as the day says
   bool repeats = false;               // clients send again, to another router, what must not run twice
   bool quiet = false;                 // none of the scripted troubles
-  std::vector<std::string> faults{};  // among routers: links, stalls, crashes, restarts
+  // Among routers: links, stalls, crashes, restarts; within them: storage, wallclock.
+  std::vector<std::string> faults{};
 };
 
 // The day with what is told of its routers.
