--- a/src/frontends/fastcgi_front.cpp
+++ b/src/frontends/fastcgi_front.cpp
@@ -17,8 +17,6 @@
 using transport::Stream;
 
 constexpr Time sweep_period = 1'000;   // tenths of a millisecond; short beside the spans below
-constexpr Time stood_still = 200;      // beyond a sweep's moment; less is no more than a busy machine's
-constexpr Time least_left = 1'000;     // for what may have come just now; within the slack of what is told
 constexpr Time whole_within = 20'000;  // from a request's first byte to its last; a bad client is owed 3 s
 constexpr Time first_within = 20'000;  // from connecting to the first whole request, likewise
 constexpr Time idle_limit = 100'000;   // between requests; clients close after 4 s themselves
@@ -260,7 +258,7 @@
       return reply(number, keep, response(200, "OK", "", to_prometheus(front_.counts_), metrics_type));
     }
     Asked asked = read_request(front_.gateway_.deployment(), std::move(request));
-    asked.told.left = front_.time_left(asked.told.left);
+    asked.told.left = front_.time_left(asked.told.left, stream_->unread_for());
     if (asked.status == 0 && front_.answer_by_ != 0 && asked.told.left <= 0) {
       reader_.ended(number);
       return reply_overloaded(number, keep);
@@ -415,8 +413,7 @@
 
 FastCgiFront::FastCgiFront(transport::Reactor& reactor, core::Gateway& gateway, core::Diary& diary,
                            const FastCgiRules& rules)
-    : reactor_(reactor), gateway_(gateway), diary_(diary), rules_(rules), source_(gateway.add_source(1)),
-      sweep_due_(reactor.now()) {
+    : reactor_(reactor), gateway_(gateway), diary_(diary), rules_(rules), source_(gateway.add_source(1)) {
   sweep();
 }
 FastCgiFront::~FastCgiFront() {
@@ -440,8 +437,6 @@
     diary_.line(core::Level::warning, "connection refused: too many", {});
     return arrival.refuse();
   }
-  // It may have stood in the queue, and what stands on it is read in the next turn.
-  if (late_since_) late_turns_ = 2;
   const auto connection = std::make_shared<Connection>(*this, arrival);
   connections_.emplace(connection.get(), connection);
 }
@@ -462,44 +457,14 @@
   held->leave(end);
 }
 
-// A loop that turns in time reads what comes at once. What it reads after it stood still may have come as
-// early as the sweep was due that it got to late.
-Time FastCgiFront::unread_for() const {
-  const Time now = reactor_.now();
-  return std::max<Time>(now - std::min(sweep_due_, late_since_.value_or(now)), 0);
-}
-
-Time FastCgiFront::time_left(Time told) const {
-  const Time left = std::min(told, std::max(told - unread_for(), least_left));
+Time FastCgiFront::time_left(Time told, Time age) const {
+  const Time left = std::max<Time>(told - age, 1);
   return answer_by_ == 0 ? left : std::min(left, answer_by_ - reactor_.now());
 }
 
-void FastCgiFront::note_lateness(Time now) {
-  late_since_.reset();
-  if (now - sweep_due_ > stood_still) {
-    late_since_ = sweep_due_;
-    forget_lateness_after_next_turn();
-  }
-  sweep_due_ = now + sweep_period;
-}
-
-// In the next turn all is read that came until this one.
-void FastCgiFront::forget_lateness_after_next_turn() {
-  late_turns_ = 2;
-  count_late_turn();
-}
-void FastCgiFront::count_late_turn() {
-  reactor_.soon([this, alive = std::weak_ptr(life_)] {
-    if (alive.expired()) return;
-    if (--late_turns_ > 0) return count_late_turn();
-    late_since_.reset();
-  });
-}
-
 void FastCgiFront::sweep() {
   const Time now = reactor_.now();
-  note_lateness(now);
-  alarm_ = reactor_.at(sweep_due_, [this] { sweep(); });
+  alarm_ = reactor_.at(now + sweep_period, [this] { sweep(); });
   std::vector<Connection*> outstayed;
   for (const auto& [connection, held] : connections_) {
     if (connection->outstayed(now) != nullptr) outstayed.push_back(connection);
--- a/src/frontends/fastcgi_front.h
+++ b/src/frontends/fastcgi_front.h
@@ -4,7 +4,6 @@
 
 #include <map>
 #include <memory>
-#include <optional>
 #include <set>
 #include <string>
 
@@ -59,13 +58,8 @@
   void accept(const transport::Arrival& arrival);
   void forget(Connection& connection, ConnectionEnd end);
   void sweep();
-  void note_lateness(Time now);
-  void forget_lateness_after_next_turn();
-  void count_late_turn();
-  // How long what is read now may have stood unread, as the loop did not turn; to a sweep's period.
-  Time unread_for() const;
-  // What is left of the time that a request asks for.
-  Time time_left(Time told) const;
+  // What is left of the time that a request asks for, which came so long ago.
+  Time time_left(Time told, Time age) const;
 
   transport::Reactor& reactor_;
   core::Gateway& gateway_;
@@ -79,11 +73,7 @@
   Eviction<Connection> eviction_;
   std::set<std::string> open_ids_;
   core::Alarm alarm_;
-  Time sweep_due_;
-  std::optional<Time> late_since_;  // when a sweep was due that was late, while what came by then is read
-  int late_turns_ = 0;              // of the loop, until that is over
-  Time answer_by_ = 0;              // 0: no end is in sight
-  std::shared_ptr<int> life_ = std::make_shared<int>(0);
+  Time answer_by_ = 0;  // 0: no end is in sight
 };
 
 }  // namespace rushhill::frontends
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -73,6 +73,7 @@
   ReadySet ready;
   int timeout_ms = sleep_ms();
   bool all = false;
+  looked_before_ = looked_at_;
   while (!all || now() - looked_at_ > sight) {
     looked_at_ = now();
     const std::size_t before = ready.size();
--- a/src/transport/loop.h
+++ b/src/transport/loop.h
@@ -63,6 +63,8 @@
   bool watch(int descriptor, EventSource& source, Interest interest);
   // Whether bytes may leave on a connection that we opened: all that came to us has been read just now.
   bool may_send() const;
+  // What is read now came after this: by then all that could be read was known.
+  Time looked_before() const { return looked_before_; }
   void send_later(std::weak_ptr<SocketStream> stream) { deferred_.push_back(std::move(stream)); }
   // One for all reads: what it holds is lost at the next.
   std::vector<char>& read_buffer() { return buffer_; }
@@ -84,6 +86,7 @@
   std::map<RegistrationId, EventSource*> sources_;
   std::vector<std::weak_ptr<SocketStream>> deferred_;  // each once
   Time looked_at_ = 0;            // what could be read before then is known, or is being read
+  Time looked_before_ = 0;        // the same as of the turn before
   bool reading_clients_ = false;  // those that came to us
   std::atomic<bool> halted_ = false;
 };
--- a/src/transport/reactor.h
+++ b/src/transport/reactor.h
@@ -72,6 +72,9 @@
   virtual void close() = 0;   // no further call to the user; what waits is dropped
   virtual void reset() = 0;   // the same, and the peer sees a reset
   virtual bool closed() const = 0;
+  // How long the bytes that arrived() is given had been here, unread, since the last of them came. 0 where
+  // the system can't tell, and where the loop has looked just before.
+  virtual Time unread_for() const { return 0; }
   // From now on a peer that has gone without a word is noticed, also while nothing is said.
   virtual void keepalive() {}
 };
--- a/src/transport/socket_stream.cpp
+++ b/src/transport/socket_stream.cpp
@@ -5,6 +5,7 @@
 
 #include <algorithm>
 #include <cerrno>
+#include <cstddef>
 #include <utility>
 
 #include "transport/loop.h"
@@ -19,6 +20,8 @@
 constexpr int keepalive_interval = 1;  // seconds between two such questions
 constexpr int keepalive_probes = 3;    // questions without an answer that end the connection
 constexpr int milliseconds_per_second = 1000;
+constexpr Time time_units_per_ms = 10;
+constexpr Time in_time = 200;  // tenths of a millisecond; what was read so soon has not stood unread
 
 }  // namespace
 
@@ -42,6 +45,7 @@
 
 void SocketStream::establish() {
   established_ = true;
+  came_after_ = loop_.looked_before();
   set_option(loop_.system(), socket_, IPPROTO_TCP, TCP_NODELAY, 1);
   read(true);
 }
@@ -116,6 +120,7 @@
   std::vector<char>& buffer = loop_.read_buffer();
   std::size_t read = 0;
   do {
+    note_unread_for();
     const auto got = loop_.system().recv(socket_.number(), buffer.data(), most, MSG_DONTWAIT);
     if (got < 0 && would_block(errno)) return;
     if (got < 0) return lose(Loss::broken);
@@ -125,6 +130,25 @@
   } while (opened_by_peer() && !closed() && interest().readable && read < most_an_iteration);
 }
 
+// Asked before the bytes are read, and only where the loop turned so late that they may have stood here. No
+// more than since the loop last looked, whatever the system says.
+void SocketStream::note_unread_for() {
+  if (!opened_by_peer()) return;
+  const Time came_after = std::min(loop_.looked_before(), came_after_.value_or(loop_.looked_before()));
+  came_after_.reset();
+  const Time at_most = loop_.now() - came_after;
+  unread_for_ = at_most > in_time ? std::min(since_last_data(), at_most) : 0;
+}
+
+// By the system's account; 0 where it has none.
+Time SocketStream::since_last_data() const {
+  tcp_info info{};
+  socklen_t length = sizeof info;
+  if (loop_.system().getsockopt(socket_.number(), IPPROTO_TCP, TCP_INFO, &info, &length) != 0) return 0;
+  if (length < offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv) return 0;
+  return info.tcpi_last_data_recv * time_units_per_ms;
+}
+
 void SocketStream::on_writable() {
   if (closed()) return;
   const auto self = shared_from_this();
@@ -160,6 +184,7 @@
   const std::size_t most = most_read();
   std::vector<char>& buffer = loop_.read_buffer();
   while (!closed() && interest().readable) {
+    note_unread_for();
     const auto got = loop_.system().recv(socket_.number(), buffer.data(), most, MSG_DONTWAIT);
     if (got <= 0) break;
     user_->arrived({buffer.data(), static_cast<std::size_t>(got)});
--- a/src/transport/socket_stream.h
+++ b/src/transport/socket_stream.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <memory>
+#include <optional>
 #include <string>
 #include <string_view>
 
@@ -37,6 +38,7 @@
   void close() override;
   void reset() override;
   bool closed() const override { return user_ == nullptr; }
+  Time unread_for() const override { return unread_for_; }
   void keepalive() override;
 
  private:
@@ -51,12 +53,16 @@
   void lose_when_read();
   void lose_soon(Loss why);
   std::size_t most_read() const;
+  void note_unread_for();
+  Time since_last_data() const;
 
   Loop& loop_;
   FileDescriptor socket_;
   StreamUser* user_;
   std::string out_;
   std::size_t handed_over_ = 0;
+  std::optional<Time> came_after_;  // of one that came to us and has not been read yet
+  Time unread_for_ = 0;
   bool established_ = false;
   bool finishing_ = false;
   bool failed_ = false;
