--- a/tests/node/deadline_test.cpp
+++ b/tests/node/deadline_test.cpp
@@ -1,7 +1,12 @@
 // The deadline that a server is told (`max`) is what the request's client has left as the bytes leave, with
 // 0.15 s of slack: for a retry, a hedged request, one that waited for its connection and one that waited for
 // the loop. Bounds are counted to a moment that is certainly before the bytes left.
+#include <netinet/in.h>
+#include <netinet/tcp.h>
+
 #include <array>
+#include <cerrno>
+#include <cstddef>
 
 #include "node/node.h"
 #include "node_process.h"
@@ -196,5 +201,95 @@
   EXPECT_TRUE(succeeds(visitor, rounds));
 }
 
+// What the system says of the age of a connection's last data: as it is, or wrong.
+class AgeCalls : public transport::SystemCalls {
+ public:
+  enum class Says { truth, nothing, half, an_hour };
+  int getsockopt(int descriptor, int level, int name, void* value, socklen_t* length) override {
+    if (level != IPPROTO_TCP || name != TCP_INFO)
+      return SystemCalls::getsockopt(descriptor, level, name, value, length);
+    ++asked;
+    if (says == Says::nothing) {
+      errno = ENOPROTOOPT;
+      return -1;
+    }
+    const int result = SystemCalls::getsockopt(descriptor, level, name, value, length);
+    if (says == Says::half) *length = offsetof(tcp_info, tcpi_last_data_recv);
+    if (says == Says::an_hour) static_cast<tcp_info*>(value)->tcpi_last_data_recv = 3'600'000;
+    return result;
+  }
+  Says says = Says::truth;
+  int asked = 0;
+};
+
+// A loop that turns, stands still while bytes come, and is asked how long they had been there.
+class UnreadStory : public testing::Test, private transport::StreamUser {
+ protected:
+  enum class Comes { before, meanwhile };  // the connection
+  Time age_after_standing_still(Comes comes) {
+    begun = loop.now();
+    pump.pass(settled);  // before its first turn a loop knows nothing
+    std::optional<Visitor> visitor;
+    if (comes == Comes::before) visitor.emplace(listener.address());
+    pump.pass(settled);
+    // From here on the loop is parked.
+    stands_still = loop.now();
+    if (comes == Comes::meanwhile) visitor.emplace(listener.address());
+    visitor->send("early");
+    stand_still(each_ms);
+    before_last = loop.now();
+    visitor->send("late");
+    after_last = loop.now();
+    stand_still(each_ms);
+    goes_on = loop.now();
+    age.reset();
+    EXPECT_TRUE(pump.until([&] { return age.has_value(); }));
+    stream->close();
+    return age.value_or(-1);
+  }
+  static constexpr int each_ms = 80;
+  static constexpr Time settled = 200;
+  static constexpr Time coarse = 300;  // the system counts in ticks of 4 or 10 ms, which may be late
+
+  AgeCalls calls;
+  transport::Loop loop{calls};
+  std::shared_ptr<transport::Stream> stream;
+  std::optional<Time> age;
+  Time begun = 0, stands_still = 0, before_last = 0, after_last = 0, goes_on = 0, read_at = 0;
+
+ private:
+  void arrived(std::string_view) override {
+    age = stream->unread_for();
+    read_at = loop.now();
+  }
+  void lost(transport::Loss) override {}
+
+ protected:
+  transport::Listener listener{
+      loop, transport::numeric_address("127.0.0.1:0"), false,
+      [this](const transport::Arrival& arrival) { stream = transport::Stream::adopt(loop, arrival, *this); }};
+  Pump pump{loop};
+};
+
+TEST_F(UnreadStory, CountsFromTheLastByteAlsoOnAConnectionThatStoodInTheQueue) {
+  for (const Comes comes : {Comes::before, Comes::meanwhile}) {
+    const Time counted = age_after_standing_still(comes);
+    EXPECT_GE(counted, goes_on - after_last - coarse) << static_cast<int>(comes);
+    EXPECT_LE(counted, read_at - before_last + coarse) << static_cast<int>(comes);
+  }
+}
+
+TEST_F(UnreadStory, IsNoMoreThanTheLoopStoodStillAndNothingWhereTheSystemCannotTell) {
+  calls.says = AgeCalls::Says::an_hour;
+  const Time counted = age_after_standing_still(Comes::before);
+  EXPECT_GE(counted, goes_on - stands_still);
+  EXPECT_LE(counted, read_at - begun) << "it has looked since then";
+  calls.says = AgeCalls::Says::nothing;
+  EXPECT_EQ(age_after_standing_still(Comes::before), 0);
+  calls.says = AgeCalls::Says::half;
+  EXPECT_EQ(age_after_standing_still(Comes::before), 0);
+  EXPECT_GE(calls.asked, 3);
+}
+
 }  // namespace
 }  // namespace rushhill::node
