--- a/src/frontends/fastcgi_front.cpp
+++ b/src/frontends/fastcgi_front.cpp
@@ -170,7 +170,7 @@
   std::optional<Rank> holds(Time now) const {
     if (!open_.empty() || !come_.empty()) return std::nullopt;
     if (stream_->waiting() > 0) return Rank{Holding::unread_answer, quiet_since_};
-    const auto half_since = reader_.unfinished_since();
+    const auto half_since = unfinished_since();
     if (asked_ && !half_since) return Rank{Holding::idle, quiet_since_};
     const Time since = half_since.value_or(quiet_since_);
     if (now - since < come_for) return Rank{Holding::just_come, since};
@@ -178,9 +178,10 @@
   }
   bool untouched() const { return stream_->ahead() == Stream::Ahead::nothing; }
   bool all_sent() const {
-    return stream_->waiting() == 0 && !reader_.unfinished_since() && stream_->ahead() != Stream::Ahead::bytes;
+    return stream_->waiting() == 0 && !unfinished_since() && stream_->ahead() != Stream::Ahead::bytes;
   }
   void finish() {
+    if (closing_) return;
     closing_ = true;
     quiet_since_ = front_.reactor_.now();
     stream_->finish();
@@ -193,7 +194,9 @@
   const char* outstayed(Time now) const {
     if (open_requests() > 0) return nullptr;
     if (stream_->waiting() > 0) return now - quiet_since_ >= read_within ? "does not read" : nullptr;
-    const auto since = reader_.unfinished_since();
+    // What has come and has not been read may be a request, and was here before we would close.
+    if (!closing_ && stream_->ahead() == Stream::Ahead::bytes) return nullptr;
+    const auto since = unfinished_since();
     if (since && now - *since >= whole_within) return "half a request";
     if (closing_) return now - quiet_since_ >= settled ? "answered and not left" : nullptr;
     if (!asked_ && now - quiet_since_ >= first_within) return "silent";
@@ -202,14 +205,18 @@
 
   void arrived(std::string_view bytes) override {
     if (closing_) return;  // what comes after the last answer
+    if (broken_) return leave_if_answered();
     const auto self = front_.connections_.at(this);
     reader_.put(bytes, front_.reactor_.now());
     // A client that has left already is known before anything is begun for it.
     if (!come_.empty() && !gone_ && stream_->ahead() == Stream::Ahead::end)
       return front_.forget(*this, ConnectionEnd::by_client);
-    for (auto& [number, request] : std::exchange(come_, {})) {
-      if (!gone_) begin(number, std::move(request));
+    while (!gone_ && !come_.empty()) {
+      auto [number, request] = std::move(come_.front());
+      come_.erase(come_.begin());
+      begin(number, std::move(request));
     }
+    if (broken_) return leave_if_answered();
     if (!gone_ && stream_->waiting() > front_.rules_.unread)
       return front_.forget(*this, ConnectionEnd::by_gateway);
     if (gone_ || !unread_ || stream_->ahead() != Stream::Ahead::nothing) return;
@@ -251,6 +258,11 @@
       return reply(number, keep, response(200, "OK", "", to_prometheus(front_.counts_), metrics_type));
     }
     Asked asked = read_request(front_.gateway_.deployment(), std::move(request));
+    asked.told.left = front_.time_left(asked.told.left, stream_->unread_for());
+    if (asked.status == 0 && front_.answer_by_ != 0 && asked.told.left <= 0) {
+      reader_.ended(number);
+      return reply_overloaded(number, keep);
+    }
     if (asked.status == 0 && front_.open_ids_.contains(asked.message.id)) {
       asked.status = 409;
       asked.reason = "X-Job-Id is open already";
@@ -319,9 +331,10 @@
     write(fastcgi::values_result(values), true);
   }
   void type_unknown(std::uint8_t type) override { write(fastcgi::unknown_type(type), true); }
+  // Nothing further is read on it. What was read before is answered, then it is closed.
   void broken(const char* why) override {
     front_.diary_.line(core::Level::debug, "client cannot be read", {{"reason", why}});
-    front_.forget(*this, ConnectionEnd::by_client);
+    broken_ = true;
   }
 
   // core::Client
@@ -372,11 +385,20 @@
     if (gone_) return;
     quiet_since_ = front_.reactor_.now();
     stream_->write(bytes);
-    if (keep || !open_.empty() || !come_.empty()) return;
+    if ((keep && !broken_) || !open_.empty() || !come_.empty()) return;
     closing_ = true;
     stream_->finish();
   }
 
+  // For one whose client cannot be read any more.
+  void leave_if_answered() {
+    if (gone_ || open_requests() > 0) return;
+    if (stream_->waiting() > 0) return finish();
+    front_.forget(*this, ConnectionEnd::by_client);
+  }
+  // Since when a request stands here of which a part has not come.
+  std::optional<Time> unfinished_since() const { return broken_ ? std::nullopt : reader_.unfinished_since(); }
+
   FastCgiFront& front_;
   std::shared_ptr<Stream> stream_;
   fastcgi::Reader reader_;
@@ -385,6 +407,7 @@
   std::vector<std::pair<Number, fastcgi::Request>> come_;  // whole, and not begun
   Time quiet_since_;
   bool asked_ = false, closing_ = false, gone_ = false;
+  bool broken_ = false;  // what its client sends cannot be read any more
   bool unread_ = false;  // something stood unread when an attempt started
 };
 
@@ -434,9 +457,14 @@
   held->leave(end);
 }
 
+Time FastCgiFront::time_left(Time told, Time age) const {
+  const Time left = std::max<Time>(told - age, 1);
+  return answer_by_ == 0 ? left : std::min(left, answer_by_ - reactor_.now());
+}
+
 void FastCgiFront::sweep() {
-  alarm_ = reactor_.at(reactor_.now() + sweep_period, [this] { sweep(); });
   const Time now = reactor_.now();
+  alarm_ = reactor_.at(now + sweep_period, [this] { sweep(); });
   std::vector<Connection*> outstayed;
   for (const auto& [connection, held] : connections_) {
     if (connection->outstayed(now) != nullptr) outstayed.push_back(connection);
--- a/src/frontends/fastcgi_front.h
+++ b/src/frontends/fastcgi_front.h
@@ -48,6 +48,8 @@
   std::size_t open_requests() const;  // counted over the connections: whole, and no answer written
   // Whether nothing of a request stands half read or unread, and every answer has left.
   bool all_sent() const;
+  // Every request read from now on is answered by then, with less time than it asks for where need be.
+  void answer_by(Time moment) { answer_by_ = moment; }
   // Ends our side of every connection; they go as their clients end theirs.
   void finish();
 
@@ -56,6 +58,8 @@
   void accept(const transport::Arrival& arrival);
   void forget(Connection& connection, ConnectionEnd end);
   void sweep();
+  // What is left of the time that a request asks for, which came so long ago.
+  Time time_left(Time told, Time age) const;
 
   transport::Reactor& reactor_;
   core::Gateway& gateway_;
@@ -69,6 +73,7 @@
   Eviction<Connection> eviction_;
   std::set<std::string> open_ids_;
   core::Alarm alarm_;
+  Time answer_by_ = 0;  // 0: no end is in sight
 };
 
 }  // namespace rushhill::frontends
