--- a/src/membership/start_times.cpp
+++ b/src/membership/start_times.cpp
@@ -49,10 +49,12 @@
       if (start.translated == last.translated) ++start.translated;
     }
     entry.server.started = start.translated;
-    if (entry.server.condition == Condition::left) {
-      known_.erase(entry.server.id);
-    } else {
+    // Most servers started long ago; of these nothing has to be kept.
+    const bool kept = start.told != 0 && entry.server.condition != Condition::left;
+    if (kept) {
       known_[entry.server.id] = start;
+    } else if (!known_.empty()) {
+      known_.erase(entry.server.id);
     }
   }
 }
--- a/src/membership/start_times.h
+++ b/src/membership/start_times.h
@@ -51,7 +51,7 @@
   template <typename FirstTranslation>
   void translate(RosterForm form, EndpointEntries& entries, FirstTranslation first_translation);
 
-  std::map<ServerId, StartTime> known_;  // of the servers that are listed
+  std::map<ServerId, StartTime> known_;  // of the listed servers that are told with a start
 };
 
 }  // namespace rushhill::membership
