--- a/src/admission/tries.cpp
+++ b/src/admission/tries.cpp
@@ -11,14 +11,14 @@
 
 // Numbered events may be resent in their group only, which a new event would not keep. An at-most-once event
 // that was abandoned may have run; one that was shed has not.
-bool may_repeat(Outcome outcome, Effect effect) {
-  if (effect == Effect::reissuable) return true;
-  return effect == Effect::at_most_once && outcome == Outcome::shed;
+bool may_repeat(Outcome outcome, RetrySafety effect) {
+  if (effect == RetrySafety::idempotent) return true;
+  return effect == RetrySafety::at_most_once && outcome == Outcome::shed;
 }
 
 }  // namespace
 
-std::optional<Time> Tries::again(Time now, const std::string& mark, Outcome outcome, Effect effect,
+std::optional<Time> Tries::again(Time now, const std::string& mark, Outcome outcome, RetrySafety effect,
                                  Time limit, Time advised) {
   const auto [it, fresh] = made_.try_emplace(mark, 0);
   if (fresh) order_.push_back(mark);
--- a/src/admission/tries.h
+++ b/src/admission/tries.h
@@ -20,8 +20,8 @@
 
   // A try ended without being honoured: when the message is to be taken again; nothing: it is given up.
   // `limit`: when its time is up; `advised`: the core's time to come back, 0: none.
-  std::optional<Time> again(Time now, const std::string& mark, Outcome outcome, Effect effect, Time limit,
-                            Time advised);
+  std::optional<Time> again(Time now, const std::string& mark, Outcome outcome, RetrySafety effect,
+                            Time limit, Time advised);
   int made(const std::string& mark) const;
   void forget(const std::string& mark);
 
--- a/src/admission/yielding.cpp
+++ b/src/admission/yielding.cpp
@@ -39,8 +39,8 @@
   turn(now);
   Row& row = sources_[source];
   --row.open;
-  if (end == End::honoured) ++row.beats[beat_].honoured;
-  if (end == End::given_up) ++row.beats[beat_].given_up;
+  if (end == End::succeeded) ++row.beats[beat_].honoured;
+  if (end == End::failed) ++row.beats[beat_].given_up;
 }
 
 bool Yielding::may_take(Time now, std::size_t source) {
--- a/src/admission/yielding.h
+++ b/src/admission/yielding.h
@@ -17,7 +17,7 @@
   // Sources come in the order of Shares' own; `waits`: what is not taken now is not lost.
   void add(double weight, bool waits);
   void took(Time now, std::size_t source);
-  enum class End { honoured, given_up, gone };  // gone: its client did not wait, which tells nothing
+  enum class End { succeeded, failed, cancelled };  // gone: its client did not wait, which tells nothing
   void ended(Time now, std::size_t source, End end);
   // Events that the source may have open at once.
   std::size_t allowance(std::size_t source) const;
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -60,61 +60,61 @@
 }  // namespace
 
 // One router in the simulator: the module and the host that writes its actions to the reply.
-class Link::Instance final : public Host {
+class Link::Instance final : public RoutingHost {
  public:
   Instance(std::int64_t number, std::string& reply) : number_(number), reply_(reply) {}
 
-  void start(const Deployment& deployment, std::uint64_t seed) {
-    router_ = make_router(deployment, seed, *this);
+  void start(const RoutingConfiguration& deployment, std::uint64_t seed) {
+    router_ = make_routing_policy(deployment, seed, *this);
   }
-  Router& router() { return *router_; }
+  RoutingPolicy& router() { return *router_; }
 
-  void shoot(EventId event, const ServerId& server, Time time_out) override {
+  void send_attempt(RequestId event, const EndpointId& server, Time time_out) override {
     Json line = action("relay");
     line["job"] = event;
     line["server"] = server;
     if (time_out != 0) line["max-wait"] = to_ns(time_out);
     write(line);
   }
-  void call_off(EventId event, int leg) override {
+  void cancel_attempt(RequestId event, int leg) override {
     Json line = action("abandon");
     line["job"] = event;
     line["leg"] = leg;
     write(line);
   }
-  void shed(EventId event, Time come_back) override {
+  void reject(RequestId event, Time come_back) override {
     Json line = action("turn-away");
     line["job"] = event;
     if (come_back != 0) line["come-back"] = to_ns(come_back);
     write(line);
   }
-  void abandon(EventId event) override {
+  void fail(RequestId event) override {
     Json line = action("abort");
     line["job"] = event;
     write(line);
   }
-  void wake(std::int64_t token, Time at) override {
+  void set_timer(std::int64_t token, Time at) override {
     Json line = action("timer");
     line["token"] = token;
     line["alarm-time"] = to_ns(at);
     write(line);
   }
-  void probe(const ServerId& server) override { write_for_server("ask-load", server); }
-  void close_idle(const ServerId& server) override { write_for_server("free-links", server); }
-  void order(const ServerId& server, const FunctionId& function, int copies) override {
+  void probe(const EndpointId& server) override { write_for_server("ask-load", server); }
+  void close_idle(const EndpointId& server) override { write_for_server("free-links", server); }
+  void prewarm(const EndpointId& server, const FunctionId& function, int copies) override {
     Json line = action("warm-up");
     line["app"] = function;
     line["server"] = server;
     line["copies"] = copies;
     write(line);
   }
-  void unload(const ServerId& server, const FunctionId& function) override {
+  void evict(const EndpointId& server, const FunctionId& function) override {
     Json line = action("unmount");
     line["server"] = server;
     line["app"] = function;
     write(line);
   }
-  void tell(int router, const std::string& bytes) override {
+  void send_gossip(int router, const std::string& bytes) override {
     Json line = action("share");
     if (router < 0) {
       line["whom"] = "all";
@@ -124,12 +124,12 @@
     line["content"] = to_base64(bytes);
     write(line);
   }
-  void follow(bool on) override {
+  void watch_endpoints(bool on) override {
     Json line = action("follow");
     line["enable"] = on;
     write(line);
   }
-  void reload() override { write(action("reload")); }
+  void resync_endpoints() override { write(action("reload")); }
   void log(const std::string& text) override {
     Json line = action("journal-line");
     line["body-text"] = text;
@@ -143,7 +143,7 @@
 
  private:
   Json action(const char* op) const { return Json{{"op", op}, {"i", number_}}; }
-  void write_for_server(const char* op, const ServerId& server) {
+  void write_for_server(const char* op, const EndpointId& server) {
     Json line = action(op);
     line["server"] = server;
     write(line);
@@ -155,7 +155,7 @@
 
   std::int64_t number_;
   std::string& reply_;
-  std::unique_ptr<Router> router_;
+  std::unique_ptr<RoutingPolicy> router_;
 };
 
 Link::Link(std::istream& in, std::ostream& out, std::ostream* recording)
@@ -192,7 +192,7 @@
   if (op == "flush") {
     flush();
   } else if (op == "roster") {
-    std::vector<ModelServer> servers;
+    std::vector<Endpoint> servers;
     for (const Json& entry : fields.list("rows")) servers.push_back(read_server(entry));
     rosters_[fields.whole("sheet")] = std::move(servers);
   } else {
@@ -213,28 +213,29 @@
   }
   if (op == "born") {
     const std::int64_t seed = fields.whole("entropy");
-    const Deployment deployment = read_deployment(fields.object("info"));
+    const RoutingConfiguration deployment = read_deployment(fields.object("info"));
     instances_[number] = std::make_unique<Instance>(number, reply_);
     guarded(number,
             [&](Instance& instance, Time) { instance.start(deployment, static_cast<std::uint64_t>(seed)); });
   } else if (op == "update") {
-    const auto form = fields.word<RosterForm>("form", form_words);
-    static const std::vector<ModelServer> none;
-    const std::vector<ModelServer>* servers = &none;
-    if (form != RosterForm::failed) {
+    const auto form = fields.word<EndpointListForm>("form", form_words);
+    static const std::vector<Endpoint> none;
+    const std::vector<Endpoint>* servers = &none;
+    if (form != EndpointListForm::failed) {
       const auto found = rosters_.find(fields.whole("sheet"));
       if (found == rosters_.end()) throw BadLine("field 'sheet' names no roster");
       servers = &found->second;
     }
-    guarded(number, [&](Instance& instance, Time now) { instance.router().roster(now, form, *servers); });
+    guarded(number,
+            [&](Instance& instance, Time now) { instance.router().endpoints_updated(now, form, *servers); });
   } else if (op == "request") {
-    Event event;
+    RoutingRequest event;
     event.id = fields.whole("job");
-    event.traffic_type = fields.text("grade");
+    event.request_class = fields.text("grade");
     const Json* customer = fields.find("customer");
-    if (customer != nullptr && customer->is_string()) event.customer = customer->get<std::string>();
+    if (customer != nullptr && customer->is_string()) event.tenant = customer->get<std::string>();
     event.function = fields.text("app", "");
-    event.left = floor_time(fields.whole("budget"));
+    event.time_left = floor_time(fields.whole("budget"));
     event.memory_mb = fields.number("ram-mb", 0);
     event.lanes = fields.number("width", 1);
     const std::int64_t opts = fields.whole("opts", 0);
@@ -242,43 +243,45 @@
     event.repeat = (opts & 2) != 0;
     event.write = (opts & 4) != 0;
     event.load_time = ceil_time(static_cast<std::int64_t>(fields.number("load-ms", 0) * 1e6));
-    guarded(number, [&](Instance& instance, Time now) { instance.router().event(now, event); });
+    guarded(number, [&](Instance& instance, Time now) { instance.router().request_received(now, event); });
   } else if (op == "flowing") {
-    const EventId event = fields.whole("job");
+    const RequestId event = fields.whole("job");
     const int leg = static_cast<int>(fields.whole("leg", 0));
-    guarded(number, [&](Instance& instance, Time now) { instance.router().stream_began(now, event, leg); });
+    guarded(number,
+            [&](Instance& instance, Time now) { instance.router().response_started(now, event, leg); });
   } else if (op == "finished") {
-    ShotEnd end;
-    end.event = fields.whole("job");
-    end.leg = static_cast<int>(fields.whole("leg", 0));
-    end.server = fields.text("server");
-    end.ending = fields.word<Ending>("ending", ending_words);
+    AttemptEnd end;
+    end.request = fields.whole("job");
+    end.attempt_number = static_cast<int>(fields.whole("leg", 0));
+    end.endpoint = fields.text("server");
+    end.outcome = fields.word<AttemptOutcome>("ending", ending_words);
     end.final = fields.flag("final");
     end.taken = floor_time(fields.whole("time-taken", 0));
     const std::int64_t note = fields.whole("note", 0);
-    end.warmth = note % 8 >= 1 && note % 8 <= 4 ? static_cast<Warmth>(note % 8) : Warmth::untold;
-    end.crowd = static_cast<int>(note / 8);
+    end.copy_state = note % 8 >= 1 && note % 8 <= 4 ? static_cast<CopyState>(note % 8) : CopyState::unknown;
+    end.in_flight = static_cast<int>(note / 8);
     end.report = fields.numbers("feedback");
-    guarded(number, [&](Instance& instance, Time now) { instance.router().shot_ended(now, end); });
+    guarded(number, [&](Instance& instance, Time now) { instance.router().attempt_ended(now, end); });
   } else if (op == "client-gone") {
-    const EventId event = fields.whole("job");
-    guarded(number, [&](Instance& instance, Time now) { instance.router().client_gone(now, event); });
+    const RequestId event = fields.whole("job");
+    guarded(number, [&](Instance& instance, Time now) { instance.router().client_cancelled(now, event); });
   } else if (op == "bell") {
     const std::int64_t token = fields.whole("token");
-    guarded(number, [&](Instance& instance, Time now) { instance.router().woken(now, token); });
+    guarded(number, [&](Instance& instance, Time now) { instance.router().timer_fired(now, token); });
   } else if (op == "checked") {
-    const ProbeEnd end{fields.text("server"), fields.word<Ending>("ending", ending_words),
+    const ProbeEnd end{fields.text("server"), fields.word<AttemptOutcome>("ending", ending_words),
                        floor_time(fields.whole("time-taken", 0)), fields.numbers("feedback")};
     guarded(number, [&](Instance& instance, Time now) { instance.router().probe_ended(now, end); });
   } else if (op == "resident") {
-    const OrderEnd end{fields.text("server"), fields.text("app"), fields.word<Ending>("ending", ending_words),
-                       floor_time(fields.whole("time-taken", 0)),
-                       static_cast<int>(fields.whole("copies", 0))};
-    guarded(number, [&](Instance& instance, Time now) { instance.router().order_ended(now, end); });
+    const PrewarmEnd end{
+        fields.text("server"), fields.text("app"), fields.word<AttemptOutcome>("ending", ending_words),
+        floor_time(fields.whole("time-taken", 0)), static_cast<int>(fields.whole("copies", 0))};
+    guarded(number, [&](Instance& instance, Time now) { instance.router().prewarm_ended(now, end); });
   } else {  // note-from
     const int from = static_cast<int>(fields.whole("by"));
     const std::string bytes = from_base64(fields.text("content", ""));
-    guarded(number, [&](Instance& instance, Time now) { instance.router().told(now, from, bytes); });
+    guarded(number,
+            [&](Instance& instance, Time now) { instance.router().gossip_received(now, from, bytes); });
   }
 }
 
--- a/src/benchlink/wire.h
+++ b/src/benchlink/wire.h
@@ -48,7 +48,7 @@
   bool in_batch_ = false;
   std::int64_t clock_ns_ = 0;
   std::string reply_;
-  std::map<std::int64_t, std::vector<ModelServer>> rosters_;
+  std::map<std::int64_t, std::vector<Endpoint>> rosters_;
   std::map<std::int64_t, std::unique_ptr<Instance>> instances_;
 };
 
--- a/src/checker/judge.cpp
+++ b/src/checker/judge.cpp
@@ -73,7 +73,7 @@
 
 struct Type {
   std::string effect, group;
-  Ns due = 0, memory_span = 0, hard_limit = 0;
+  Ns due = 0, memory_span = 0, deadline_span = 0;
 };
 
 class Court {
@@ -286,7 +286,7 @@
       // A router's time for a message runs from when the broker last handed it over.
       if (const auto it = delivered_.find(event.id); final && event.by_broker && it != delivered_.end()) {
         const Ns taken = event.ended - *std::ranges::max_element(it->second);
-        check(rule, taken <= type(event).hard_limit,
+        check(rule, taken <= type(event).deadline_span,
               event.id + " was answered " + std::to_string(taken / ms) + " ms after the broker sent it");
         verdict_.redelivered += it->second.size() > 1 ? 1 : 0;
       }
--- a/src/command/node.cpp
+++ b/src/command/node.cpp
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "log/diary.h"
+#include "log/event_log.h"
 #include "node/node.h"
 #include "node/reloader.h"
 #include "transport/descriptors.h"
@@ -30,7 +30,7 @@
   if (path == nullptr)
     throw std::invalid_argument("PROXY_CONFIG is not set: it names the configuration file");
   node::Configuration told = node::read_configuration_file(path);
-  log::Diary diary(log::Form::people, core::Level::info, told.name.empty() ? "node" : told.name);
+  log::EventLog diary(log::Form::people, core::Level::info, told.name.empty() ? "node" : told.name);
   transport::Loop reactor;
   told.sockets = transport::descriptors_left(told.sockets);
   node::Node router(reactor, told, diary);
@@ -43,10 +43,10 @@
     reloader.reload();
   });
   reactor.run();
-  diary.line(core::Level::info, "ended",
-             {{"open", std::to_string(router.gateway().open())},
-              {"requests", frontends::to_text(router.front().counts())},
-              {"attempts_after_cancel", std::to_string(router.gateway().tally().attempts_after_cancel)}});
+  diary.write(core::Level::info, "ended",
+              {{"open", std::to_string(router.gateway().open_requests())},
+               {"requests", frontends::to_text(router.front().counts())},
+               {"attempts_after_cancel", std::to_string(router.gateway().tally().attempts_after_cancel)}});
   reactor.forget_all();
   return 0;
 }
--- a/src/command/send.cpp
+++ b/src/command/send.cpp
@@ -10,15 +10,15 @@
 namespace rushhill::command {
 namespace {
 
-class Exchange final : public transport::StreamUser {
+class Exchange final : public transport::StreamHandler {
  public:
   Exchange(transport::Reactor& reactor, const transport::Address& to, std::string bytes)
       : reactor_(reactor), bytes_(std::move(bytes)), reader_({.body = 64 * 1024 * 1024}) {
     stream_ = transport::Stream::connect(reactor, to, *this);
   }
   ~Exchange() override { stream_->close(); }
-  void opened() override { stream_->write(bytes_); }
-  void arrived(std::string_view bytes) override {
+  void on_connected() override { stream_->write(bytes_); }
+  void on_data(std::string_view bytes) override {
     in_ += bytes;
     const auto progress = reader_.put(in_);
     if (progress == transport::HttpProgress::more) return;
@@ -33,9 +33,9 @@
     }
     reactor_.halt();
   }
-  void lost(transport::Loss why) override {
-    std::cerr << (why == transport::Loss::refused ? "rushhill: no connection\n"
-                                                  : "rushhill: connection lost\n");
+  void on_closed(transport::CloseReason why) override {
+    std::cerr << (why == transport::CloseReason::connect_failed ? "rushhill: no connection\n"
+                                                                : "rushhill: connection lost\n");
     reactor_.halt();
   }
   int result = 4;
--- a/src/core/attempt_execution.cpp
+++ b/src/core/attempt_execution.cpp
@@ -4,102 +4,103 @@
 
 namespace rushhill::core {
 
-void AttemptExecution::start(EventId id, const ServerId& server, Time timeout) {
+void AttemptExecution::start(RequestId id, const EndpointId& server, Time timeout) {
   Request* request = env_.requests.find(id);
   if (request == nullptr) {
-    env_.log.line(Level::error, "shot for an event that is not open", {{"server", server}});
+    env_.log.write(Level::error, "shot for an event that is not open", {{"server", server}});
     return;
   }
   const Time now = env_.clock.now();
   const int number = static_cast<int>(request->attempts.size());
-  request->attempts.push_back({.server = server, .started = now});
+  request->attempts.push_back({.endpoint = server, .started = now});
   Attempt& attempt = request->attempts.back();
-  if (request->concluded || now >= request->deadline || number >= attempt_cap_) {
+  if (request->concluded || now >= request->deadline || number >= attempt_limit_) {
     attempt.open = false;
-    report_end_soon(id, *request, number, Ending::not_sent);
+    report_end_soon(id, *request, number, AttemptOutcome::not_sent);
     return;
   }
-  ++env_.tally.shots;
+  ++env_.tally.attempts;
   if (timeout > 0) {
-    attempt.timeout_timer =
-        env_.clock.at(now + timeout, [this, id, number] { cancel_sent(id, number, Ending::no_answer); });
+    attempt.timeout_timer = env_.clock.at(
+        now + timeout, [this, id, number] { cancel_sent(id, number, AttemptOutcome::unanswered); });
   }
-  env_.carrier.shoot({.event = id,
-                      .leg = number,
-                      .server = server,
-                      .left = request->deadline - now,
+  env_.upstream.send({.request = id,
+                      .attempt_number = number,
+                      .endpoint = server,
+                      .time_left = request->deadline - now,
                       .message = request->message});
 }
 
-void AttemptExecution::cancel(EventId id, int number) {
+void AttemptExecution::cancel(RequestId id, int number) {
   const Attempt* attempt = env_.requests.find_attempt(id, number);
-  if (attempt != nullptr && attempt->open) cancel_sent(id, number, Ending::called_off);
+  if (attempt != nullptr && attempt->open) cancel_sent(id, number, AttemptOutcome::cancelled);
 }
 
-void AttemptExecution::cancel_unsent(EventId id, Request& request) {
+void AttemptExecution::cancel_unsent(RequestId id, Request& request) {
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
     const int number = static_cast<int>(i);
     if (!request.attempts[i].open) continue;
-    if (env_.carrier.recall(id, number)) close_and_report(id, request, number, Ending::not_sent);
+    if (env_.upstream.cancel_unsent(id, number))
+      close_and_report(id, request, number, AttemptOutcome::not_sent);
   }
 }
 
-void AttemptExecution::cancel_at_deadline(EventId id, Request& request) {
+void AttemptExecution::cancel_at_deadline(RequestId id, Request& request) {
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
-    if (request.attempts[i].open) cancel_sent(id, static_cast<int>(i), Ending::no_answer);
+    if (request.attempts[i].open) cancel_sent(id, static_cast<int>(i), AttemptOutcome::unanswered);
   }
 }
 
 // Closes the attempt's connection now; the module hears of it when what it does now is done.
-void AttemptExecution::cancel_sent(EventId id, int number, Ending ending) {
-  env_.carrier.drop(id, number);
+void AttemptExecution::cancel_sent(RequestId id, int number, AttemptOutcome ending) {
+  env_.upstream.cancel(id, number);
   close_and_report(id, env_.requests.at(id), number, ending);
 }
 
-void AttemptExecution::close_and_report(EventId id, Request& request, int number, Ending ending) {
+void AttemptExecution::close_and_report(RequestId id, Request& request, int number, AttemptOutcome ending) {
   close(request.attempts[static_cast<std::size_t>(number)]);
   report_end_soon(id, request, number, ending);
 }
 
 void AttemptExecution::close(Attempt& attempt) {
   attempt.open = false;
-  env_.clock.withdraw(attempt.timeout_timer);
+  env_.clock.cancel(attempt.timeout_timer);
 }
 
-void AttemptExecution::report_end_soon(EventId id, Request& request, int number, Ending ending) {
+void AttemptExecution::report_end_soon(RequestId id, Request& request, int number, AttemptOutcome ending) {
   ++request.deferred_calls;
   env_.deferred.run_soon([this, id, number, ending] {
     --env_.requests.at(id).deferred_calls;
-    report_end(id, number, {.ending = ending});
+    report_end(id, number, {.outcome = ending});
   });
 }
 
-void AttemptExecution::report_end(EventId id, int number, const ShotResult& result) {
+void AttemptExecution::report_end(RequestId id, int number, const AttemptResult& result) {
   const Request& request = env_.requests.at(id);
   const Attempt& attempt = request.attempts[static_cast<std::size_t>(number)];
-  env_.tally.count_ending(result.ending);
-  log_end(request, number, result.ending);
-  const ShotEnd end{.event = id,
-                    .leg = number,
-                    .server = attempt.server,
-                    .ending = result.ending,
-                    .final = request.concluded,
-                    .taken = env_.clock.now() - attempt.started,
-                    .warmth = result.warmth,
-                    .crowd = result.crowd,
-                    .report = result.report};
-  env_.decisions.run([&](Router& router, Time now) { router.shot_ended(now, end); });
+  env_.tally.count_outcome(result.outcome);
+  log_end(request, number, result.outcome);
+  const AttemptEnd end{.request = id,
+                       .attempt_number = number,
+                       .endpoint = attempt.endpoint,
+                       .outcome = result.outcome,
+                       .final = request.concluded,
+                       .taken = env_.clock.now() - attempt.started,
+                       .copy_state = result.copy_state,
+                       .in_flight = result.in_flight,
+                       .report = result.report};
+  env_.policy.run([&](RoutingPolicy& router, Time now) { router.attempt_ended(now, end); });
   env_.requests.erase_if_over(id);
 }
 
-void AttemptExecution::log_end(const Request& request, int number, Ending ending) {
+void AttemptExecution::log_end(const Request& request, int number, AttemptOutcome ending) {
   if (!env_.log.wants(Level::debug)) return;
-  const ServerId& server = request.attempts[static_cast<std::size_t>(number)].server;
-  env_.log.line(Level::debug, "shot ended",
-                {{"event", request.message.id},
-                 {"leg", std::to_string(number)},
-                 {"server", server},
-                 {"ending", std::to_string(static_cast<int>(ending))}});
+  const EndpointId& server = request.attempts[static_cast<std::size_t>(number)].endpoint;
+  env_.log.write(Level::debug, "shot ended",
+                 {{"event", request.message.id},
+                  {"leg", std::to_string(number)},
+                  {"server", server},
+                  {"ending", std::to_string(static_cast<int>(ending))}});
 }
 
 }  // namespace rushhill::core
--- a/src/core/attempt_execution.h
+++ b/src/core/attempt_execution.h
@@ -13,41 +13,41 @@
 class AttemptExecution {
  public:
   struct Environment {
-    Clockwork& clock;
-    Carrier& carrier;
-    Diary& log;
+    TimerService& clock;
+    UpstreamTransport& upstream;
+    EventLog& log;
     RequestTable& requests;
     DeferredCalls& deferred;
-    DecisionModule& decisions;
-    Tally& tally;
+    PolicyRunner& policy;
+    Counters& tally;
   };
   // `attempt_cap`: attempts of one request; further ones end as not sent.
   AttemptExecution(const Environment& environment, int attempt_cap)
-      : env_(environment), attempt_cap_(attempt_cap) {}
+      : env_(environment), attempt_limit_(attempt_cap) {}
 
   // Sends the request to the server as its next attempt. `timeout`: 0: until the request's deadline.
-  void start(EventId id, const ServerId& server, Time timeout);
+  void start(RequestId id, const EndpointId& server, Time timeout);
 
   // Cancels one attempt because the decision module asks for it; nothing where it has ended already.
-  void cancel(EventId id, int number);
+  void cancel(RequestId id, int number);
   // Cancels the attempts of which no byte has left.
-  void cancel_unsent(EventId id, Request& request);
+  void cancel_unsent(RequestId id, Request& request);
   // Cancels all attempts because the request's deadline has come.
-  void cancel_at_deadline(EventId id, Request& request);
+  void cancel_at_deadline(RequestId id, Request& request);
 
   // Marks an attempt as ended, without any report.
   void close(Attempt& attempt);
   // Reports the end of a closed attempt to the decision module; erases the request if it is over with that.
-  void report_end(EventId id, int number, const ShotResult& result);
+  void report_end(RequestId id, int number, const AttemptResult& result);
 
  private:
-  void cancel_sent(EventId id, int number, Ending ending);
-  void close_and_report(EventId id, Request& request, int number, Ending ending);
-  void report_end_soon(EventId id, Request& request, int number, Ending ending);
-  void log_end(const Request& request, int number, Ending ending);
+  void cancel_sent(RequestId id, int number, AttemptOutcome ending);
+  void close_and_report(RequestId id, Request& request, int number, AttemptOutcome ending);
+  void report_end_soon(RequestId id, Request& request, int number, AttemptOutcome ending);
+  void log_end(const Request& request, int number, AttemptOutcome ending);
 
   Environment env_;
-  int attempt_cap_;
+  int attempt_limit_;
 };
 
 }  // namespace rushhill::core
--- a/src/core/decision_module.h
+++ b/src/core/decision_module.h
@@ -5,14 +5,14 @@
 #include <memory>
 #include <utility>
 
-#include "core/clockwork.h"
+#include "core/timer_service.h"
 #include "decide.h"
 
 namespace rushhill::core {
 
-class DecisionModule {
+class PolicyRunner {
  public:
-  DecisionModule(std::unique_ptr<Router> router, Clockwork& clock)
+  PolicyRunner(std::unique_ptr<RoutingPolicy> router, TimerService& clock)
       : clock_(clock), router_(std::move(router)) {}
 
   // Runs `call(Router&, Time now)`. Calls must not nest: what the module asks for is reported to it later.
@@ -27,8 +27,8 @@
   std::int64_t spent_ns() const { return spent_ns_; }
 
  private:
-  Clockwork& clock_;
-  std::unique_ptr<Router> router_;
+  TimerService& clock_;
+  std::unique_ptr<RoutingPolicy> router_;
   std::int64_t spent_ns_ = 0;
 };
 
--- a/src/core/deferred_calls.h
+++ b/src/core/deferred_calls.h
@@ -4,26 +4,26 @@
 #include <memory>
 #include <utility>
 
-#include "core/clockwork.h"
+#include "core/timer_service.h"
 
 namespace rushhill::core {
 
 // Hands calls to the clock that are void when this object is gone, so that they may capture their owner.
 class DeferredCalls {
  public:
-  explicit DeferredCalls(Clockwork& clock) : clock_(clock) {}
+  explicit DeferredCalls(TimerService& clock) : clock_(clock) {}
 
-  void run_soon(Clockwork::Call call) { clock_.soon(guarded(std::move(call))); }
-  void run_at(Time when, Clockwork::Call call) { clock_.at(when, guarded(std::move(call))); }
+  void run_soon(TimerService::Call call) { clock_.post(guarded(std::move(call))); }
+  void run_at(Time when, TimerService::Call call) { clock_.at(when, guarded(std::move(call))); }
 
  private:
-  Clockwork::Call guarded(Clockwork::Call call) const {
+  TimerService::Call guarded(TimerService::Call call) const {
     return [call = std::move(call), alive = std::weak_ptr(alive_)] {
       if (!alive.expired()) call();
     };
   }
 
-  Clockwork& clock_;
+  TimerService& clock_;
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -1,5 +1,5 @@
-// The core: one router's requests and decisions, free of sockets; time comes from the Clockwork. Its parts,
-// each in a file of its own, do the work: request_lifecycle, attempt_execution, server_call_execution.
+// The core: one router's requests and decisions, free of sockets; time comes from the TimerService. Its
+// parts, each in a file of its own, do the work: request_lifecycle, attempt_execution, server_call_execution.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,6 @@
 #include <vector>
 
 #include "core/attempt_execution.h"
-#include "core/clockwork.h"
 #include "core/decision_module.h"
 #include "core/deferred_calls.h"
 #include "core/ports.h"
@@ -18,90 +17,92 @@
 #include "core/server_call_execution.h"
 #include "core/source_room.h"
 #include "core/tally.h"
+#include "core/timer_service.h"
 #include "decide.h"
 
 namespace rushhill::core {
 
 // Joins the decision module to the front ends and to the ports: takes each happening to the part that handles
 // it, and each decision to the part that carries it out. Every request gets exactly one final answer.
-class Gateway final : public Host, public Carried {
+class Gateway final : public RoutingHost, public UpstreamObserver {
  public:
   struct Ports {
-    Clockwork& clock;
-    Carrier& carrier;
-    Peers& peers;
-    RosterSource& roster;
-    Diary& diary;
-    Ledger* ledger = nullptr;  // none: nothing outlives this router
+    TimerService& clock;
+    UpstreamTransport& upstream;
+    PeerMessenger& peers;
+    EndpointListSource& endpoint_lists;
+    EventLog& log;
+    DeduplicationLog* deduplication = nullptr;  // none: nothing outlives this router
   };
-  Gateway(const Deployment& deployment, std::uint64_t seed, const Ports& ports);
+  Gateway(const RoutingConfiguration& deployment, std::uint64_t seed, const Ports& ports);
 
   // A front end, or a part of one, that hands over requests; its weight beside the others' when there is not
   // room for all; `waits`: what it does not hand over now waits outside and is not lost.
   admission::Shares::Source add_source(double weight, bool waits = false) { return room_.add(weight, waits); }
   bool has_room(admission::Shares::Source source) { return room_.has_room(to_.clock.now(), source); }
-  Effect effect_of(const std::string& traffic_type) const;
+  RetrySafety effect_of(const std::string& traffic_type) const;
 
   // Accepts a request whose function, type and times the front end has read; `told.id` is set here. Nothing:
   // the source has no room. The answer never comes before this returns.
-  std::optional<EventId> take(admission::Shares::Source source, Client& client, Event told,
-                              events::CloudEvent message);
+  std::optional<RequestId> accept(admission::Shares::Source source, Client& client, RoutingRequest told,
+                                  events::CloudEvent message);
   // The client has left. `unread`: attempts that started for its request while something stood unread of
   // which this is a part.
-  void client_gone(EventId event, std::uint64_t unread = 0);
+  void client_cancelled(RequestId event, std::uint64_t unread = 0);
 
   // A message from the server list: servers and the addresses at which they are reached.
-  void roster(RosterForm form, const std::vector<RosterEntry>& entries);
+  void endpoints_updated(EndpointListForm form, const std::vector<EndpointListEntry>& entries);
   // A message from another router.
-  void peer_told(int router, const std::string& bytes);
+  void gossip_received(int router, const std::string& bytes);
   // The ledger's verdict on a request that waited for it; from no call of this gateway's.
-  void marked(EventId event, Taking how);
+  void admission_decided(RequestId event, AdmissionVerdict how);
   // What earlier lives ordered, where the deployment says that it is told.
-  void ration_known(double orders);
+  void load_budget_restored(double orders);
 
   // Requests accepted that have no final answer.
-  std::size_t open() const { return room_.open(); }
+  std::size_t open_requests() const { return room_.open(); }
   // Whether a client still waits for its final answer, or for one that has been decided and not handed over.
-  bool owes() const { return requests_.any_client_waits(); }
+  bool any_client_waits() const { return requests_.any_client_waits(); }
   // Answers every open request now, as at its deadline: for a router that must end.
-  void end_all();
-  const Tally& tally() const { return tally_; }
+  void expire_all();
+  const Counters& tally() const { return tally_; }
   // Time spent within the decision module, in nanoseconds.
-  std::int64_t module_ns() const { return decisions_.spent_ns(); }
-  const Deployment& deployment() const { return deployment_; }
+  std::int64_t policy_ns() const { return policy_.spent_ns(); }
+  const RoutingConfiguration& configuration() const { return configuration_; }
 
-  // Carried
-  void attempt_started(EventId event) override;
-  void shot_ended(EventId event, int leg, ShotResult result) override;
-  void probe_ended(const ServerId& server, Ending ending, const LoadReport& report) override;
-  void order_ended(const ServerId& server, const FunctionId& function, Ending ending, int copies) override;
+  // UpstreamObserver
+  void attempt_started(RequestId event) override;
+  void attempt_ended(RequestId event, int leg, AttemptResult result) override;
+  void probe_ended(const EndpointId& server, AttemptOutcome ending, const LoadReport& report) override;
+  void prewarm_ended(const EndpointId& server, const FunctionId& function, AttemptOutcome ending,
+                     int copies) override;
 
  private:
   // Host
-  void shoot(EventId event, const ServerId& server, Time time_out) override;
-  void call_off(EventId event, int leg) override;
-  void shed(EventId event, Time come_back) override;
-  void abandon(EventId event) override;
-  void wake(std::int64_t token, Time at) override;
-  void probe(const ServerId& server) override;
-  void close_idle(const ServerId& server) override;
-  void order(const ServerId& server, const FunctionId& function, int copies) override;
-  void unload(const ServerId& server, const FunctionId& function) override;
-  void tell(int router, const std::string& bytes) override;
-  void follow(bool on) override;
-  void reload() override;
+  void send_attempt(RequestId event, const EndpointId& server, Time time_out) override;
+  void cancel_attempt(RequestId event, int leg) override;
+  void reject(RequestId event, Time come_back) override;
+  void fail(RequestId event) override;
+  void set_timer(std::int64_t token, Time at) override;
+  void probe(const EndpointId& server) override;
+  void close_idle(const EndpointId& server) override;
+  void prewarm(const EndpointId& server, const FunctionId& function, int copies) override;
+  void evict(const EndpointId& server, const FunctionId& function) override;
+  void send_gossip(int router, const std::string& bytes) override;
+  void watch_endpoints(bool on) override;
+  void resync_endpoints() override;
   void log(const std::string& line) override;
 
-  Deployment deployment_;
+  RoutingConfiguration configuration_;
   Ports to_;
-  Tally tally_;
+  Counters tally_;
   DeferredCalls deferred_;
-  DecisionModule decisions_;
+  PolicyRunner policy_;
   RequestTable requests_;
-  ServerAddresses addresses_;
+  EndpointAddresses addresses_;
   SourceRoom room_;
   AttemptExecution attempts_;
-  ServerCallExecution server_calls_;
+  EndpointCallExecution server_calls_;
   RequestLifecycle lifecycle_;
 };
 
--- a/src/core/intake.cpp
+++ b/src/core/intake.cpp
@@ -35,31 +35,32 @@
 
 }  // namespace
 
-Intake::Intake(const Deployment& deployment, std::map<std::string, std::string> type_of_event) {
+RequestReader::RequestReader(const RoutingConfiguration& deployment,
+                             std::map<std::string, std::string> type_of_event) {
   for (const auto& [event_type, name] : type_of_event) {
-    for (const TrafficType& type : deployment.traffic_types) {
-      if (type.name == name) types_[event_type] = type;
+    for (const RequestClass& type : deployment.request_classes) {
+      if (type.name == name) classes_[event_type] = type;
     }
   }
-  for (const Customer& customer : deployment.customers) customers_[customer.name] = customer;
+  for (const Tenant& customer : deployment.tenants) tenants_[customer.name] = customer;
 }
 
-Event Intake::read(const CloudEvent& event) const {
-  Event told;
-  const auto type = types_.find(event.type);
-  if (type == types_.end()) throw BadEvent("type", "'" + event.type + "' belongs to no traffic type here");
-  told.traffic_type = type->second.name;
+RoutingRequest RequestReader::read(const CloudEvent& event) const {
+  RoutingRequest told;
+  const auto type = classes_.find(event.type);
+  if (type == classes_.end()) throw BadEvent("type", "'" + event.type + "' belongs to no traffic type here");
+  told.request_class = type->second.name;
   const std::string* function = event.other("function");
   if (function == nullptr) throw BadEvent("function", "is missing");
   if (function->size() > longest_function) throw BadEvent("function", "is longer than 256 bytes");
   told.function = *function;
-  if (const std::string* customer = event.other("customer"); customer != nullptr && !customers_.empty()) {
-    if (!customers_.contains(*customer)) throw BadEvent("customer", "is unknown here");
-    told.customer = *customer;
+  if (const std::string* customer = event.other("customer"); customer != nullptr && !tenants_.empty()) {
+    if (!tenants_.contains(*customer)) throw BadEvent("customer", "is unknown here");
+    told.tenant = *customer;
   }
-  const Time hard_limit = type->second.hard_limit;
-  told.left = 10 * whole(event, "timeleftms", 1, hard_limit / 10, hard_limit / 10);
-  if (event.other("timeleftms") == nullptr) told.left = hard_limit;
+  const Time deadline_span = type->second.deadline_span;
+  told.time_left = 10 * whole(event, "timeleftms", 1, deadline_span / 10, deadline_span / 10);
+  if (event.other("timeleftms") == nullptr) told.time_left = deadline_span;
   told.memory_mb = static_cast<double>(whole(event, "memorymb", 0, most_memory_mb, 0));
   told.lanes = static_cast<double>(whole(event, "lanes", 1, most_lanes, 1));
   told.load_time = 10 * whole(event, "loadms", 0, most_ms, 0);
--- a/src/core/intake.h
+++ b/src/core/intake.h
@@ -9,17 +9,17 @@
 
 namespace rushhill::core {
 
-class Intake {
+class RequestReader {
  public:
   // `type_of_event`: from the event's type attribute to the name of a traffic type.
-  Intake(const Deployment& deployment, std::map<std::string, std::string> type_of_event);
+  RequestReader(const RoutingConfiguration& deployment, std::map<std::string, std::string> type_of_event);
 
   // Without id; throws events::BadEvent naming the attribute.
-  Event read(const events::CloudEvent& event) const;
+  RoutingRequest read(const events::CloudEvent& event) const;
 
  private:
-  std::map<std::string, TrafficType> types_;  // by the event's type attribute
-  std::map<std::string, Customer> customers_;
+  std::map<std::string, RequestClass> classes_;  // by the event's type attribute
+  std::map<std::string, Tenant> tenants_;
 };
 
 }  // namespace rushhill::core
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -14,110 +14,112 @@
 namespace rushhill::core {
 
 // How one shot ended, as far as the carrier can know.
-struct ShotResult {
-  Ending ending = Ending::no_answer;
-  Warmth warmth = Warmth::untold;
-  int crowd = 0;
+struct AttemptResult {
+  AttemptOutcome outcome = AttemptOutcome::unanswered;
+  CopyState copy_state = CopyState::unknown;
+  int in_flight = 0;
   LoadReport report{};
-  events::CloudEvent reply{};  // with Ending::honoured
+  events::CloudEvent reply{};  // with AttemptOutcome::succeeded
 };
 
 // Told of the end of everything the carrier was asked for, once each and never from within the asking.
-class Carried {
+class UpstreamObserver {
  public:
-  virtual ~Carried() = default;
+  virtual ~UpstreamObserver() = default;
   // Its first bytes have left; the one call that may come from within the asking.
-  virtual void attempt_started(EventId) {}
-  virtual void shot_ended(EventId event, int leg, ShotResult result) = 0;
-  virtual void probe_ended(const ServerId& server, Ending ending, const LoadReport& report) = 0;
-  virtual void order_ended(const ServerId& server, const FunctionId& function, Ending ending, int copies) = 0;
+  virtual void attempt_started(RequestId) {}
+  virtual void attempt_ended(RequestId event, int leg, AttemptResult result) = 0;
+  virtual void probe_ended(const EndpointId& server, AttemptOutcome ending, const LoadReport& report) = 0;
+  virtual void prewarm_ended(const EndpointId& server, const FunctionId& function, AttemptOutcome ending,
+                             int copies) = 0;
 };
 
-struct ShotCall {
-  EventId event = 0;
-  int leg = 0;
-  const ServerId& server;
-  Time left = 0;  // until the client gives up
+struct AttemptCall {
+  RequestId request = 0;
+  int attempt_number = 0;
+  const EndpointId& endpoint;
+  Time time_left = 0;  // until the client gives up
   const events::CloudEvent& message;
 };
 
 // The way to the model servers.
-class Carrier {
+class UpstreamTransport {
  public:
-  virtual ~Carrier() = default;
-  virtual void shoot(const ShotCall& call) = 0;
-  virtual void drop(EventId event, int leg) = 0;  // gives the shot up; nothing is told of it any more
+  virtual ~UpstreamTransport() = default;
+  virtual void send(const AttemptCall& call) = 0;
+  virtual void cancel(RequestId event, int leg) = 0;  // gives the shot up; nothing is told of it any more
   // The same, but only where no byte of it has left; false: it is out, and goes on.
-  virtual bool recall(EventId event, int leg) = 0;
+  virtual bool cancel_unsent(RequestId event, int leg) = 0;
   // Shots and orders for the server of which no byte has left end as not sent.
-  virtual void recall_all(const ServerId& server) = 0;
-  virtual void probe(const ServerId& server, Time limit) = 0;
-  virtual void order(const ServerId& server, const FunctionId& function, int copies, Time limit) = 0;
-  virtual void unload(const ServerId& server, const FunctionId& function) = 0;
-  virtual void close_idle(const ServerId& server) = 0;
+  virtual void cancel_all_unsent(const EndpointId& server) = 0;
+  virtual void probe(const EndpointId& server, Time limit) = 0;
+  virtual void prewarm(const EndpointId& server, const FunctionId& function, int copies, Time limit) = 0;
+  virtual void evict(const EndpointId& server, const FunctionId& function) = 0;
+  virtual void close_idle(const EndpointId& server) = 0;
   // Where a server is reached from now on; an empty address: nowhere.
-  virtual void reach(const ServerId& server, const std::string& address) = 0;
+  virtual void set_address(const EndpointId& server, const std::string& address) = 0;
 };
 
 // A front's side of one event: exactly one of these, once.
 class Client {
  public:
   virtual ~Client() = default;
-  virtual void honoured(EventId event, events::CloudEvent reply) = 0;
-  virtual void shed(EventId event, Time come_back) = 0;  // 0: no advice
-  virtual void abandoned(EventId event) = 0;
+  virtual void succeeded(RequestId event, events::CloudEvent reply) = 0;
+  virtual void rejected(RequestId event, Time come_back) = 0;  // 0: no advice
+  virtual void failed(RequestId event) = 0;
   // Instead of abandoned: it never ran here, but was taken before, here or by another router.
-  virtual void known(EventId event) { abandoned(event); }
+  virtual void duplicate(RequestId event) { failed(event); }
   // Besides, as often as it happens; not to be answered with a call of the gateway.
-  virtual void attempt_started(EventId) {}
+  virtual void attempt_started(RequestId) {}
 };
 
-class Peers {
+class PeerMessenger {
  public:
-  virtual ~Peers() = default;
-  virtual void tell(int router, const std::string& bytes) = 0;  // -1: all
+  virtual ~PeerMessenger() = default;
+  virtual void send(int router, const std::string& bytes) = 0;  // -1: all
 };
 
 // What a ledger says of an event before the module hears of it.
-enum class Taking {
-  unmarked,  // go on; nothing is kept of it
-  marked,    // go on; its end is to be told
-  wait,      // for Gateway::marked, which tells one of the others
-  known,     // it was taken before, here or elsewhere, and may have run
-  not_now    // to be shed: its mark cannot be held, or this router may have forgotten it
+enum class AdmissionVerdict {
+  untracked,   // go on; nothing is kept of it
+  tracked,     // go on; its end is to be told
+  pending,     // for Gateway::marked, which tells one of the others
+  duplicate,   // it was taken before, here or elsewhere, and may have run
+  unavailable  // to be shed: its mark cannot be held, or this router may have forgotten it
 };
-enum class Fate { unrun, may_have_run, honoured };
+enum class ExecutionCertainty { not_executed, may_have_executed, executed };
 
 // Where what must outlive this router is told to others before it acts on it.
-class Ledger {
+class DeduplicationLog {
  public:
-  virtual ~Ledger() = default;
-  virtual bool ordering() = 0;  // an order to load is about to leave; false: it must not
-  virtual Taking taking(EventId event, const std::string& traffic_type, const events::CloudEvent& message,
-                        Time left) = 0;
-  virtual void ended(const events::CloudEvent& message, Fate fate) = 0;  // of a marked one
+  virtual ~DeduplicationLog() = default;
+  virtual bool prepare_prewarm() = 0;  // an order to load is about to leave; false: it must not
+  virtual AdmissionVerdict admit(RequestId event, const std::string& traffic_type,
+                                 const events::CloudEvent& message, Time left) = 0;
+  virtual void request_ended(const events::CloudEvent& message,
+                             ExecutionCertainty fate) = 0;  // of a marked one
 };
 
-class RosterSource {
+class EndpointListSource {
  public:
-  virtual ~RosterSource() = default;
-  virtual void follow(bool on) = 0;
-  virtual void reload() = 0;
+  virtual ~EndpointListSource() = default;
+  virtual void watch(bool on) = 0;
+  virtual void resync() = 0;
 };
 
-struct RosterEntry {
-  ModelServer server{};
+struct EndpointListEntry {
+  Endpoint endpoint{};
   std::string address{};  // in digits, with a port
 };
 
 enum class Level { debug, info, warning, error };
 
-class Diary {
+class EventLog {
  public:
   using Fields = std::initializer_list<std::pair<const char*, std::string>>;
-  virtual ~Diary() = default;
+  virtual ~EventLog() = default;
   virtual bool wants(Level level) const = 0;
-  virtual void line(Level level, const char* what, Fields fields) = 0;
+  virtual void write(Level level, const char* what, Fields fields) = 0;
 };
 
 }  // namespace rushhill::core
--- a/src/core/request_table.cpp
+++ b/src/core/request_table.cpp
@@ -16,39 +16,39 @@
 
 }  // namespace
 
-RequestTable::RequestTable(Clockwork& clock, std::uint64_t seed)
-    : clock_(clock), next_id_(static_cast<EventId>(mix(seed) % first_id_limit) + 1) {}
+RequestTable::RequestTable(TimerService& clock, std::uint64_t seed)
+    : clock_(clock), next_id_(static_cast<RequestId>(mix(seed) % first_id_limit) + 1) {}
 
 RequestTable::~RequestTable() {
   for (auto& [id, request] : requests_) {
-    clock_.withdraw(request.deadline_timer);
-    for (Attempt& attempt : request.attempts) clock_.withdraw(attempt.timeout_timer);
+    clock_.cancel(request.deadline_timer);
+    for (Attempt& attempt : request.attempts) clock_.cancel(attempt.timeout_timer);
   }
 }
 
 RequestTable::Added RequestTable::add() {
-  const EventId id = next_id_++;
+  const RequestId id = next_id_++;
   return {id, requests_[id]};
 }
 
-Request* RequestTable::find(EventId id) {
+Request* RequestTable::find(RequestId id) {
   const auto it = requests_.find(id);
   return it == requests_.end() ? nullptr : &it->second;
 }
 
-Attempt* RequestTable::find_attempt(EventId id, int number) {
+Attempt* RequestTable::find_attempt(RequestId id, int number) {
   Request* request = find(id);
   if (request == nullptr || static_cast<std::size_t>(number) >= request->attempts.size()) return nullptr;
   return &request->attempts[static_cast<std::size_t>(number)];
 }
 
-void RequestTable::erase_if_over(EventId id) {
+void RequestTable::erase_if_over(RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
   Request& request = it->second;
   if (!request.concluded || request.deferred_calls > 0) return;
   if (std::ranges::any_of(request.attempts, &Attempt::open)) return;
-  clock_.withdraw(request.deadline_timer);
+  clock_.cancel(request.deadline_timer);
   requests_.erase(it);
 }
 
@@ -56,8 +56,8 @@
   return std::ranges::any_of(requests_, [](const auto& item) { return item.second.client != nullptr; });
 }
 
-std::vector<EventId> RequestTable::not_concluded() const {
-  std::vector<EventId> ids;
+std::vector<RequestId> RequestTable::not_concluded() const {
+  std::vector<RequestId> ids;
   for (const auto& [id, request] : requests_) {
     if (!request.concluded) ids.push_back(id);
   }
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -7,29 +7,29 @@
 #include <vector>
 
 #include "admission/shares.h"
-#include "core/clockwork.h"
 #include "core/ports.h"
+#include "core/timer_service.h"
 
 namespace rushhill::core {
 
 // One attempt to have a request answered by a server; its number is its place in Request::attempts.
 struct Attempt {
-  ServerId server;
+  EndpointId endpoint;
   Time started = 0;
   bool open = true;
-  Alarm timeout_timer{};  // none: until the request's deadline
+  Timer timeout_timer{};  // none: until the request's deadline
 };
 
 struct Request {
   admission::Shares::Source source = 0;
-  Client* client = nullptr;              // none: it has been handed its final answer, or it has cancelled
-  bool concluded = false;                // the final answer is decided; only ends of attempts are awaited
-  bool recorded = false;                 // the ledger is to hear how it ends
-  std::optional<Event> awaiting_record;  // the module has not heard of it yet
+  Client* client = nullptr;  // none: it has been handed its final answer, or it has cancelled
+  bool concluded = false;    // the final answer is decided; only ends of attempts are awaited
+  bool recorded = false;     // the ledger is to hear how it ends
+  std::optional<RoutingRequest> awaiting_record;  // the module has not heard of it yet
   events::CloudEvent message;
   Time accepted = 0;
   Time deadline = 0;
-  Alarm deadline_timer;
+  Timer deadline_timer;
   std::vector<Attempt> attempts;
   int deferred_calls = 0;  // what is put off until the present call returns: ends of attempts, the answer
 };
@@ -38,32 +38,32 @@
 // seed, so that those of different routers differ.
 class RequestTable {
  public:
-  RequestTable(Clockwork& clock, std::uint64_t seed);
+  RequestTable(TimerService& clock, std::uint64_t seed);
   RequestTable(const RequestTable&) = delete;
   RequestTable& operator=(const RequestTable&) = delete;
   ~RequestTable();
 
   struct Added {
-    EventId id;
+    RequestId id;
     Request& request;
   };
   // References to requests stay valid until the request is erased.
   Added add();
-  Request* find(EventId id);                            // null: none of that id
-  Request& at(EventId id) { return requests_.at(id); }  // throws std::out_of_range
-  Attempt* find_attempt(EventId id, int number);        // null: no such request or attempt
+  Request* find(RequestId id);                            // null: none of that id
+  Request& at(RequestId id) { return requests_.at(id); }  // throws std::out_of_range
+  Attempt* find_attempt(RequestId id, int number);        // null: no such request or attempt
 
   // Erases the request if it is concluded and neither an attempt nor a deferred call of it is left.
-  void erase_if_over(EventId id);
+  void erase_if_over(RequestId id);
 
   bool any_client_waits() const;
-  std::vector<EventId> not_concluded() const;  // in ascending order
+  std::vector<RequestId> not_concluded() const;  // in ascending order
   std::size_t size() const { return requests_.size(); }
 
  private:
-  Clockwork& clock_;
-  std::unordered_map<EventId, Request> requests_;
-  EventId next_id_;
+  TimerService& clock_;
+  std::unordered_map<RequestId, Request> requests_;
+  RequestId next_id_;
 };
 
 }  // namespace rushhill::core
--- a/src/core/server_addresses.cpp
+++ b/src/core/server_addresses.cpp
@@ -2,18 +2,19 @@
 
 namespace rushhill::core {
 
-ServerAddresses::Map ServerAddresses::listed(RosterForm form, const std::vector<RosterEntry>& entries) const {
+EndpointAddresses::Map EndpointAddresses::listed(EndpointListForm form,
+                                                 const std::vector<EndpointListEntry>& entries) const {
   Map listed;
-  for (const RosterEntry& entry : entries) {
-    listed[entry.server.id] = entry.server.condition == Condition::left ? "" : entry.address;
+  for (const EndpointListEntry& entry : entries) {
+    listed[entry.endpoint.id] = entry.endpoint.state == EndpointState::removed ? "" : entry.address;
   }
-  if (form == RosterForm::complete || form == RosterForm::remembered) {
+  if (form == EndpointListForm::snapshot || form == EndpointListForm::cached) {
     for (const auto& [server, address] : addresses_) listed.try_emplace(server, "");
   }
   return listed;
 }
 
-bool ServerAddresses::set(const ServerId& server, const std::string& address) {
+bool EndpointAddresses::set(const EndpointId& server, const std::string& address) {
   const auto known = addresses_.find(server);
   const bool unchanged = known != addresses_.end() ? known->second == address : address.empty();
   if (unchanged) return false;
--- a/src/core/server_addresses.h
+++ b/src/core/server_addresses.h
@@ -9,17 +9,17 @@
 
 namespace rushhill::core {
 
-class ServerAddresses {
+class EndpointAddresses {
  public:
-  using Map = std::map<ServerId, std::string>;
+  using Map = std::map<EndpointId, std::string>;
 
   // The address of each server that a list speaks of; empty: not reachable any more, because the server has
   // left or because a whole list leaves it out.
-  Map listed(RosterForm form, const std::vector<RosterEntry>& entries) const;
+  Map listed(EndpointListForm form, const std::vector<EndpointListEntry>& entries) const;
 
   // Stores the address of one server, or forgets the server where it is empty. Returns whether that changed
   // it.
-  bool set(const ServerId& server, const std::string& address);
+  bool set(const EndpointId& server, const std::string& address);
 
  private:
   Map addresses_;
--- a/src/core/server_call_execution.cpp
+++ b/src/core/server_call_execution.cpp
@@ -7,39 +7,41 @@
 
 }  // namespace
 
-void ServerCallExecution::probe(const ServerId& server) {
+void EndpointCallExecution::probe(const EndpointId& server) {
   ++env_.tally.probes;
   probes_.start(server, env_.clock.now());
-  env_.carrier.probe(server, probe_limit);
+  env_.upstream.probe(server, probe_limit);
 }
 
-void ServerCallExecution::probe_ended(const ServerId& server, Ending ending, const LoadReport& report) {
+void EndpointCallExecution::probe_ended(const EndpointId& server, AttemptOutcome ending,
+                                        const LoadReport& report) {
   const Time taken = probes_.end(server, env_.clock.now());
-  const ProbeEnd end{.server = server, .ending = ending, .taken = taken, .report = report};
-  env_.decisions.run([&](Router& router, Time now) { router.probe_ended(now, end); });
+  const ProbeEnd end{.endpoint = server, .outcome = ending, .taken = taken, .report = report};
+  env_.policy.run([&](RoutingPolicy& router, Time now) { router.probe_ended(now, end); });
 }
 
-void ServerCallExecution::order(const ServerId& server, const FunctionId& function, int copies) {
-  orders_.start({server, function}, env_.clock.now());
-  if (env_.ledger != nullptr && !env_.ledger->ordering()) {
-    env_.deferred.run_soon([this, server, function] { order_ended(server, function, Ending::not_sent, 0); });
+void EndpointCallExecution::prewarm(const EndpointId& server, const FunctionId& function, int copies) {
+  prewarms_.start({server, function}, env_.clock.now());
+  if (env_.deduplication != nullptr && !env_.deduplication->prepare_prewarm()) {
+    env_.deferred.run_soon(
+        [this, server, function] { prewarm_ended(server, function, AttemptOutcome::not_sent, 0); });
     return;
   }
-  ++env_.tally.orders;
-  env_.carrier.order(server, function, copies, order_limit_);
+  ++env_.tally.prewarms;
+  env_.upstream.prewarm(server, function, copies, prewarm_timeout_);
 }
 
-void ServerCallExecution::order_ended(const ServerId& server, const FunctionId& function, Ending ending,
-                                      int copies) {
-  const Time taken = orders_.end({server, function}, env_.clock.now());
-  const OrderEnd end{
-      .server = server, .function = function, .ending = ending, .taken = taken, .copies = copies};
-  env_.decisions.run([&](Router& router, Time now) { router.order_ended(now, end); });
+void EndpointCallExecution::prewarm_ended(const EndpointId& server, const FunctionId& function,
+                                          AttemptOutcome ending, int copies) {
+  const Time taken = prewarms_.end({server, function}, env_.clock.now());
+  const PrewarmEnd end{
+      .endpoint = server, .function = function, .outcome = ending, .taken = taken, .copies = copies};
+  env_.policy.run([&](RoutingPolicy& router, Time now) { router.prewarm_ended(now, end); });
 }
 
-void ServerCallExecution::unload(const ServerId& server, const FunctionId& function) {
-  ++env_.tally.unloads;
-  env_.carrier.unload(server, function);
+void EndpointCallExecution::evict(const EndpointId& server, const FunctionId& function) {
+  ++env_.tally.evictions;
+  env_.upstream.evict(server, function);
 }
 
 }  // namespace rushhill::core
--- a/src/core/server_call_execution.h
+++ b/src/core/server_call_execution.h
@@ -12,34 +12,34 @@
 
 namespace rushhill::core {
 
-class ServerCallExecution {
+class EndpointCallExecution {
  public:
   struct Environment {
-    Clockwork& clock;
-    Carrier& carrier;
-    Ledger* ledger;  // none: orders leave without being told to others
+    TimerService& clock;
+    UpstreamTransport& upstream;
+    DeduplicationLog* deduplication;  // none: orders leave without being told to others
     DeferredCalls& deferred;
-    DecisionModule& decisions;
-    Tally& tally;
+    PolicyRunner& policy;
+    Counters& tally;
   };
   // `order_limit`: the time after which an order to load is given up.
-  ServerCallExecution(const Environment& environment, Time order_limit)
-      : env_(environment), order_limit_(order_limit) {}
+  EndpointCallExecution(const Environment& environment, Time order_limit)
+      : env_(environment), prewarm_timeout_(order_limit) {}
 
-  void probe(const ServerId& server);
+  void probe(const EndpointId& server);
   // Orders copies of a function to be loaded. Where the ledger does not let it leave it ends as not sent.
-  void order(const ServerId& server, const FunctionId& function, int copies);
-  void unload(const ServerId& server, const FunctionId& function);
+  void prewarm(const EndpointId& server, const FunctionId& function, int copies);
+  void evict(const EndpointId& server, const FunctionId& function);
 
   // Ends of what was asked for, reported to the decision module with the time taken.
-  void probe_ended(const ServerId& server, Ending ending, const LoadReport& report);
-  void order_ended(const ServerId& server, const FunctionId& function, Ending ending, int copies);
+  void probe_ended(const EndpointId& server, AttemptOutcome ending, const LoadReport& report);
+  void prewarm_ended(const EndpointId& server, const FunctionId& function, AttemptOutcome ending, int copies);
 
  private:
   Environment env_;
-  Time order_limit_;
-  OutstandingCalls<ServerId> probes_;
-  OutstandingCalls<std::pair<ServerId, FunctionId>> orders_;
+  Time prewarm_timeout_;
+  OutstandingCalls<EndpointId> probes_;
+  OutstandingCalls<std::pair<EndpointId, FunctionId>> prewarms_;
 };
 
 }  // namespace rushhill::core
--- a/src/core/alarms.h
+++ b/src/core/timer_queue.h
@@ -1,29 +1,29 @@
-// Alarms in the order they ring: the structure behind a Clockwork. Setting, withdrawing and ringing one take
-// time logarithmic in those that stand; two of one moment ring in the order they were set.
+// Timers in the order in which they fire: the structure behind a TimerService. Setting, cancelling and firing
+// one take time logarithmic in those that stand; two of one moment ring in the order they were set.
 #pragma once
 
 #include <map>
 #include <optional>
 #include <utility>
 
-#include "core/clockwork.h"
+#include "core/timer_service.h"
 
 namespace rushhill::core {
 
-class Alarms {
+class TimerQueue {
  public:
-  Alarm set(Time when, Clockwork::Call call) {
-    const Alarm alarm{when, ++last_};
+  Timer add(Time when, TimerService::Call call) {
+    const Timer alarm{when, ++last_};
     standing_.emplace_hint(standing_.end(), alarm, std::move(call));
     return alarm;
   }
-  void withdraw(Alarm& alarm) { standing_.erase(std::exchange(alarm, Alarm{})); }
-  std::optional<Time> next() const {
+  void cancel(Timer& alarm) { standing_.erase(std::exchange(alarm, Timer{})); }
+  std::optional<Time> next_deadline() const {
     if (standing_.empty()) return std::nullopt;
     return standing_.begin()->first.at;
   }
   // Rings what is due at `now`, also what is set meanwhile for a moment that has come.
-  void ring(Time now) {
+  void fire_due(Time now) {
     while (!standing_.empty() && standing_.begin()->first.at <= now) {
       const auto call = std::move(standing_.extract(standing_.begin()).mapped());
       call();
@@ -32,7 +32,7 @@
   std::size_t count() const { return standing_.size(); }
 
  private:
-  std::map<Alarm, Clockwork::Call> standing_;
+  std::map<Timer, TimerService::Call> standing_;
   std::uint64_t last_ = 0;
 };
 
--- a/src/core/clockwork.h
+++ b/src/core/timer_service.h
@@ -9,25 +9,25 @@
 namespace rushhill::core {
 
 // Names one alarm, so that it can be withdrawn; the default names none.
-struct Alarm {
+struct Timer {
   Time at = 0;
   std::uint64_t number = 0;
-  auto operator<=>(const Alarm&) const = default;
+  auto operator<=>(const Timer&) const = default;
 };
 
-class Clockwork {
+class TimerService {
  public:
   using Call = std::function<void()>;
 
-  Clockwork() = default;
-  Clockwork(const Clockwork&) = delete;
-  Clockwork& operator=(const Clockwork&) = delete;
-  virtual ~Clockwork() = default;
+  TimerService() = default;
+  TimerService(const TimerService&) = delete;
+  TimerService& operator=(const TimerService&) = delete;
+  virtual ~TimerService() = default;
 
   virtual Time now() const = 0;                           // monotonic, tenths of a millisecond, never 0
-  virtual Alarm at(Time when, Call call) = 0;             // once, at or after that moment
-  virtual void withdraw(Alarm& alarm) = 0;                // also where it has rung or names none
-  virtual void soon(Call call) = 0;                       // when what runs now has returned
+  virtual Timer at(Time when, Call call) = 0;             // once, at or after that moment
+  virtual void cancel(Timer& alarm) = 0;                  // also where it has rung or names none
+  virtual void post(Call call) = 0;                       // when what runs now has returned
   virtual std::int64_t nanoseconds() const { return 0; }  // for measuring spent time only; 0: not measured
 };
 
--- a/src/decide.h
+++ b/src/decide.h
@@ -11,41 +11,41 @@
 namespace rushhill {
 
 using Time = std::int64_t;  // whole tenths of a millisecond; also used for spans
-using EventId = std::int64_t;
-using ServerId = std::string;
+using RequestId = std::int64_t;
+using EndpointId = std::string;
 using FunctionId = std::string;
 
-enum class Effect { reissuable, numbered, at_most_once };
-enum class Group { all, location, cell };
+enum class RetrySafety { idempotent, keyed, at_most_once };
+enum class DeduplicationScope { everywhere, location, cell };
 
-struct TrafficType {
+struct RequestClass {
   std::string name{};
-  Time due = 0;         // an answer is wanted within this span
-  Time hard_limit = 0;  // the client gives up after this span
-  double importance = 1;
-  double late_share = 0;  // part of the importance earned between due time and hard limit
-  Effect effect = Effect::reissuable;
-  Group group = Group::all;
-  Time memory_span = 0;
+  Time latency_objective = 0;  // an answer is wanted within this span
+  Time deadline_span = 0;      // the client gives up after this span
+  double priority_weight = 1;
+  double late_value_share = 0;  // part of the importance earned between due time and hard limit
+  RetrySafety retry_safety = RetrySafety::idempotent;
+  DeduplicationScope deduplication_scope = DeduplicationScope::everywhere;
+  Time deduplication_span = 0;
   bool stream = false;
-  double due_stretch =
+  double latency_objective_stretch =
       0;  // the due time grows by this multiple of the event's own work, up to the hard limit
 };
 
-struct Customer {
+struct Tenant {
   std::string name{};
   double share = 0;
   double quota_per_s = 0;  // events a second over all routers, within the share
 };
 
 // What a router is told at its start.
-struct Deployment {
-  int me = 0;
+struct RoutingConfiguration {
+  int router_number = 0;
   int routers = 1;
   std::string location{};
   Time tick = 0;  // batches arrive no more often than this
-  std::vector<TrafficType> traffic_types;
-  std::vector<Customer> customers;
+  std::vector<RequestClass> request_classes;
+  std::vector<Tenant> tenants;
   double over_share_worth = 1;
   // The five rules.
   Time answer_grace = 0;
@@ -56,7 +56,7 @@
   double cold_share = 1;
   Time cold_span = 0;
   // Permissions.
-  int shot_cap = 1;
+  int attempt_limit = 1;
   int open_cap = 0;
   bool cancel = false;
   bool second_copies = false;
@@ -96,26 +96,26 @@
   Time cpu_per_second = 0;  // microseconds
 };
 
-enum class Condition { active, leaving, left };
+enum class EndpointState { active, draining, removed };
 
-struct ModelServer {
-  ServerId id{};
+struct Endpoint {
+  EndpointId id{};
   Time started = 0;  // 0: long ago
   double rating = 1;
   std::string kind{};
   std::string location{};
   int cell = 0;
-  Condition condition = Condition::active;
+  EndpointState state = EndpointState::active;
 };
 
-enum class RosterForm { changes, complete, remembered, failed };
+enum class EndpointListForm { delta, snapshot, cached, failed };
 
-struct Event {
-  EventId id = 0;
-  std::string traffic_type{};
-  std::string customer{};
+struct RoutingRequest {
+  RequestId id = 0;
+  std::string request_class{};
+  std::string tenant{};
   FunctionId function{};
-  Time left = 0;  // until the client gives up
+  Time time_left = 0;  // until the client gives up
   double memory_mb = 0;
   double lanes = 1;
   Time load_time = 0;   // 0: not told
@@ -124,94 +124,95 @@
   bool write = false;
 };
 
-enum class Ending {
-  honoured,
+enum class AttemptOutcome {
+  succeeded,
   error,
-  turned_away,
-  no_answer,
-  no_connection,
+  overloaded,
+  unanswered,
+  connect_failed,
   connection_lost,
-  called_off,
+  cancelled,
   not_sent,
-  not_stored
+  function_missing
 };
 
-enum class Warmth { untold, found, began_load, awaited_load, load_failed };
+enum class CopyState { unknown, loaded, load_started, load_awaited, load_failed };
 
 using LoadReport = std::map<std::string, double>;
 
-struct ShotEnd {
-  EventId event = 0;
-  int leg = 0;  // number of the shot within its event
-  ServerId server{};
-  Ending ending = Ending::honoured;
+struct AttemptEnd {
+  RequestId request = 0;
+  int attempt_number = 0;  // number of the shot within its event
+  EndpointId endpoint{};
+  AttemptOutcome outcome = AttemptOutcome::succeeded;
   bool final = false;  // the event has its final answer
   Time taken = 0;
-  Warmth warmth = Warmth::untold;
-  int crowd = 0;  // events of the same function the server held
+  CopyState copy_state = CopyState::unknown;
+  int in_flight = 0;  // events of the same function the server held
   LoadReport report{};
 };
 
 struct ProbeEnd {
-  ServerId server{};
-  Ending ending = Ending::honoured;
+  EndpointId endpoint{};
+  AttemptOutcome outcome = AttemptOutcome::succeeded;
   Time taken = 0;
   LoadReport report{};
 };
 
-struct OrderEnd {
-  ServerId server{};
+struct PrewarmEnd {
+  EndpointId endpoint{};
   FunctionId function{};
-  Ending ending = Ending::honoured;
+  AttemptOutcome outcome = AttemptOutcome::succeeded;
   Time taken = 0;
   int copies = 0;
 };
 
 // What the module asks of the router that hosts it; each call acts at once.
-class Host {
+class RoutingHost {
  public:
-  Host() = default;
-  Host(const Host&) = delete;
-  Host& operator=(const Host&) = delete;
-  virtual ~Host() = default;
-
-  virtual void shoot(EventId event, const ServerId& server,
-                     Time time_out) = 0;  // 0: until the client gives up
-  virtual void call_off(EventId event, int leg) = 0;
-  virtual void shed(EventId event, Time come_back) = 0;  // 0: no advice
-  virtual void abandon(EventId event) = 0;
-  virtual void wake(std::int64_t token, Time at) = 0;
-  virtual void probe(const ServerId& server) = 0;
-  virtual void close_idle(const ServerId& server) = 0;
-  virtual void order(const ServerId& server, const FunctionId& function, int copies) = 0;
-  virtual void unload(const ServerId& server, const FunctionId& function) = 0;
-  virtual void tell(int router, const std::string& bytes) = 0;  // -1: every peer
-  virtual void follow(bool on) = 0;
-  virtual void reload() = 0;
+  RoutingHost() = default;
+  RoutingHost(const RoutingHost&) = delete;
+  RoutingHost& operator=(const RoutingHost&) = delete;
+  virtual ~RoutingHost() = default;
+
+  virtual void send_attempt(RequestId event, const EndpointId& server,
+                            Time time_out) = 0;  // 0: until the client gives up
+  virtual void cancel_attempt(RequestId event, int leg) = 0;
+  virtual void reject(RequestId event, Time come_back) = 0;  // 0: no advice
+  virtual void fail(RequestId event) = 0;
+  virtual void set_timer(std::int64_t token, Time at) = 0;
+  virtual void probe(const EndpointId& server) = 0;
+  virtual void close_idle(const EndpointId& server) = 0;
+  virtual void prewarm(const EndpointId& server, const FunctionId& function, int copies) = 0;
+  virtual void evict(const EndpointId& server, const FunctionId& function) = 0;
+  virtual void send_gossip(int router, const std::string& bytes) = 0;  // -1: every peer
+  virtual void watch_endpoints(bool on) = 0;
+  virtual void resync_endpoints() = 0;
   virtual void log(const std::string& line) = 0;
 };
 
 // One router's decisions: a method for each thing that can happen, told with the clock's reading.
-class Router {
+class RoutingPolicy {
  public:
-  Router() = default;
-  Router(const Router&) = delete;
-  Router& operator=(const Router&) = delete;
-  virtual ~Router() = default;
-
-  virtual void roster(Time now, RosterForm form, const std::vector<ModelServer>& servers) = 0;
-  virtual void event(Time now, const Event& event) = 0;
-  virtual void stream_began(Time now, EventId event, int leg) = 0;
-  virtual void shot_ended(Time now, const ShotEnd& end) = 0;
-  virtual void client_gone(Time now, EventId event) = 0;
-  virtual void woken(Time now, std::int64_t token) = 0;
+  RoutingPolicy() = default;
+  RoutingPolicy(const RoutingPolicy&) = delete;
+  RoutingPolicy& operator=(const RoutingPolicy&) = delete;
+  virtual ~RoutingPolicy() = default;
+
+  virtual void endpoints_updated(Time now, EndpointListForm form, const std::vector<Endpoint>& servers) = 0;
+  virtual void request_received(Time now, const RoutingRequest& event) = 0;
+  virtual void response_started(Time now, RequestId event, int leg) = 0;
+  virtual void attempt_ended(Time now, const AttemptEnd& end) = 0;
+  virtual void client_cancelled(Time now, RequestId event) = 0;
+  virtual void timer_fired(Time now, std::int64_t token) = 0;
   virtual void probe_ended(Time now, const ProbeEnd& end) = 0;
-  virtual void order_ended(Time now, const OrderEnd& end) = 0;
-  virtual void told(Time now, int router, const std::string& bytes) = 0;
+  virtual void prewarm_ended(Time now, const PrewarmEnd& end) = 0;
+  virtual void gossip_received(Time now, int router, const std::string& bytes) = 0;
   // Orders that this router gave before it was started again and that still count: nothing else is missing.
-  virtual void ration_known(Time now, double orders) = 0;
+  virtual void load_budget_restored(Time now, double orders) = 0;
 };
 
-std::unique_ptr<Router> make_router(const Deployment& deployment, std::uint64_t seed, Host& host);
+std::unique_ptr<RoutingPolicy> make_routing_policy(const RoutingConfiguration& deployment, std::uint64_t seed,
+                                                   RoutingHost& host);
 
 }  // namespace rushhill
--- a/src/deployment/deployment_file.cpp
+++ b/src/deployment/deployment_file.cpp
@@ -132,7 +132,8 @@
   using P = Program;
   using S = const std::string&;
   static const std::vector<Key<Program>> all{
-      {"router", "number", "0", [](P& p, S v) { p.module.me = static_cast<int>(whole_in(v, 0, 9999)); }},
+      {"router", "number", "0",
+       [](P& p, S v) { p.module.router_number = static_cast<int>(whole_in(v, 0, 9999)); }},
       {"router", "routers", "1",
        [](P& p, S v) { p.module.routers = static_cast<int>(whole_in(v, 1, 10000)); }},
       {"router", "location", "", [](P& p, S v) { p.module.location = v.empty() ? v : name(v); }},
@@ -152,7 +153,7 @@
       {"rules", "load-free", "0", [](P& p, S v) { p.module.load_free = number_in(v, 0, 1e6); }},
       {"rules", "loads-per-event", "0", [](P& p, S v) { p.module.loads_per_event = number_in(v, 0, 1e3); }},
       {"permissions", "shots", "5",
-       [](P& p, S v) { p.module.shot_cap = static_cast<int>(whole_in(v, 1, 100)); }},
+       [](P& p, S v) { p.module.attempt_limit = static_cast<int>(whole_in(v, 1, 100)); }},
       {"permissions", "open", "20000",
        [](P& p, S v) { p.module.open_cap = static_cast<int>(whole_in(v, 1, 1'000'000)); }},
       {"permissions", "call-off", "yes", [](P& p, S v) { p.module.cancel = flag(v); }},
@@ -247,7 +248,7 @@
 }
 
 struct TypeSection {
-  TrafficType type{};
+  RequestClass type{};
   std::string event_type{};
   replica::MarkLevel marks = replica::MarkLevel::none;
 };
@@ -257,38 +258,40 @@
   using S = const std::string&;
   static const std::vector<Key<TypeSection>> all{
       {"traffic", "event-type", "", [](T& t, S v) { t.event_type = v; }},
-      {"traffic", "due", nullptr, [](T& t, S v) { t.type.due = time_above_0(v); }},
-      {"traffic", "hard-limit", nullptr, [](T& t, S v) { t.type.hard_limit = time_above_0(v); }},
-      {"traffic", "importance", "1", [](T& t, S v) { t.type.importance = number_in(v, 0, 1e6); }},
-      {"traffic", "late-share", "0", [](T& t, S v) { t.type.late_share = number_in(v, 0, 1); }},
+      {"traffic", "due", nullptr, [](T& t, S v) { t.type.latency_objective = time_above_0(v); }},
+      {"traffic", "hard-limit", nullptr, [](T& t, S v) { t.type.deadline_span = time_above_0(v); }},
+      {"traffic", "importance", "1", [](T& t, S v) { t.type.priority_weight = number_in(v, 0, 1e6); }},
+      {"traffic", "late-share", "0", [](T& t, S v) { t.type.late_value_share = number_in(v, 0, 1); }},
       {"traffic", "effect", "at-most-once",
        [](T& t, S v) {
-         t.type.effect = word<Effect>(v, {{"reissuable", Effect::reissuable},
-                                          {"numbered", Effect::numbered},
-                                          {"at-most-once", Effect::at_most_once}});
+         t.type.retry_safety = word<RetrySafety>(v, {{"reissuable", RetrySafety::idempotent},
+                                                     {"numbered", RetrySafety::keyed},
+                                                     {"at-most-once", RetrySafety::at_most_once}});
        }},
       {"traffic", "group", "all",
        [](T& t, S v) {
-         t.type.group =
-             word<Group>(v, {{"all", Group::all}, {"location", Group::location}, {"cell", Group::cell}});
+         t.type.deduplication_scope = word<DeduplicationScope>(v, {{"all", DeduplicationScope::everywhere},
+                                                                   {"location", DeduplicationScope::location},
+                                                                   {"cell", DeduplicationScope::cell}});
        }},
-      {"traffic", "memory-span", "0", [](T& t, S v) { t.type.memory_span = time(v); }},
+      {"traffic", "memory-span", "0", [](T& t, S v) { t.type.deduplication_span = time(v); }},
       {"traffic", "marks", "none",
        [](T& t, S v) {
          t.marks = word<replica::MarkLevel>(v, {{"none", replica::MarkLevel::none},
                                                 {"told", replica::MarkLevel::told},
                                                 {"held", replica::MarkLevel::held}});
        }},
-      {"traffic", "due-stretch", "0", [](T& t, S v) { t.type.due_stretch = number_in(v, 0, 1000); }},
+      {"traffic", "due-stretch", "0",
+       [](T& t, S v) { t.type.latency_objective_stretch = number_in(v, 0, 1000); }},
   };
   return all;
 }
 
-const std::vector<Key<Customer>>& customer_keys() {
+const std::vector<Key<Tenant>>& customer_keys() {
   using S = const std::string&;
-  static const std::vector<Key<Customer>> all{
-      {"customer", "share", "0", [](Customer& c, S v) { c.share = number_in(v, 0, 1); }},
-      {"customer", "quota-per-s", "0", [](Customer& c, S v) { c.quota_per_s = number_in(v, 0, 1e9); }},
+  static const std::vector<Key<Tenant>> all{
+      {"customer", "share", "0", [](Tenant& c, S v) { c.share = number_in(v, 0, 1); }},
+      {"customer", "quota-per-s", "0", [](Tenant& c, S v) { c.quota_per_s = number_in(v, 0, 1e9); }},
   };
   return all;
 }
@@ -334,10 +337,10 @@
       if (gap != std::string::npos && kind == "traffic") {
         traffic(program, section, named(line, section, gap), written);
       } else if (gap != std::string::npos && kind == "customer") {
-        Customer customer;
+        Tenant customer;
         customer.name = named(line, section, gap);
         fill(section, line, customer_keys(), customer, written, program);
-        program.module.customers.push_back(customer);
+        program.module.tenants.push_back(customer);
       } else if (gap != std::string::npos && kind == "mqtt-topic") {
         MqttTopic topic;
         topic.name = named(line, section, gap);
@@ -492,12 +495,13 @@
       const auto it = written.find(key);
       return it == written.end() ? line : it->second.line;
     };
-    if (row.type.due > row.type.hard_limit) fault(at("due"), "due", "is longer than the hard limit");
-    if (row.type.hard_limit <= 2 * program.module.tick)
+    if (row.type.latency_objective > row.type.deadline_span)
+      fault(at("due"), "due", "is longer than the hard limit");
+    if (row.type.deadline_span <= 2 * program.module.tick)
       fault(at("hard-limit"), "hard-limit",
             "is not longer than two ticks: rule 1 (one final answer in time) could not be kept");
-    if (row.type.hard_limit > hour) fault(at("hard-limit"), "hard-limit", "is longer than an hour");
-    if (row.type.effect == Effect::numbered && row.type.memory_span <= program.module.tick)
+    if (row.type.deadline_span > hour) fault(at("hard-limit"), "hard-limit", "is longer than an hour");
+    if (row.type.retry_safety == RetrySafety::keyed && row.type.deduplication_span <= program.module.tick)
       fault(
           at("memory-span"), "memory-span",
           "of a numbered type is not longer than the tick: rule 2 (no effect twice) forbids resending then, "
@@ -507,12 +511,12 @@
       fault(at("event-type"), "event-type", "'" + event_type + "' belongs to two traffic types");
     if (row.marks != replica::MarkLevel::none && program.replica.listen.empty())
       fault(at("marks"), "marks", "are told or held, but [replica] has no listen");
-    if (row.marks != replica::MarkLevel::none && row.type.effect == Effect::reissuable)
+    if (row.marks != replica::MarkLevel::none && row.type.retry_safety == RetrySafety::idempotent)
       fault(at("marks"), "marks", "of a reissuable type bring nothing: it may run twice");
-    if (row.marks != replica::MarkLevel::none && program.replica.mark_life <= row.type.hard_limit)
+    if (row.marks != replica::MarkLevel::none && program.replica.mark_life <= row.type.deadline_span)
       fault(line_of("replica", "mark-life"), "mark-life", "is not longer than the hard limit of " + type);
     if (row.marks != replica::MarkLevel::none) program.replica.marks[type] = row.marks;
-    program.module.traffic_types.push_back(row.type);
+    program.module.request_classes.push_back(row.type);
   }
 
   void kind_memory(Program& program, const std::string& section, const std::string& kind,
@@ -548,10 +552,10 @@
 
   // What is right alone and wrong together.
   void together(const Program& program) {
-    const Deployment& d = program.module;
-    if (d.me >= d.routers)
+    const RoutingConfiguration& d = program.module;
+    if (d.router_number >= d.routers)
       fault(line_of("router", "number"), "number", "is not below routers, " + std::to_string(d.routers));
-    if (d.traffic_types.empty()) fault(0, "[traffic NAME]", "is missing: no event could be taken");
+    if (d.request_classes.empty()) fault(0, "[traffic NAME]", "is missing: no event could be taken");
     if (d.peers && program.peers.listen.empty())
       fault(line_of("permissions", "peers"), "peers", "is yes but [peers] has no listen");
     if (d.load_window > 0 && !d.orders)
@@ -578,7 +582,7 @@
     if (!program.mqtt.address.empty() && program.mqtt.topics.empty())
       fault(line_of("mqtt", "address"), "address", "of a broker is told, but no [mqtt-topic NAME]");
     double shares = 0;
-    for (const Customer& customer : d.customers) shares += customer.share;
+    for (const Tenant& customer : d.tenants) shares += customer.share;
     if (shares > 1.000001) fault(0, "[customer NAME] share", "of all customers is more than 1 together");
     if (d.tick >= d.drain_grace && d.drain_grace > 0)
       fault(line_of("rules", "drain-grace"), "drain-grace",
--- a/src/deployment/deployment_file.h
+++ b/src/deployment/deployment_file.h
@@ -84,7 +84,7 @@
 
 // Everything that is told at start.
 struct Program {
-  Deployment module{};
+  RoutingConfiguration module{};
   std::uint64_t seed = 0;       // 0: drawn at start
   std::size_t descriptors = 0;  // that are free at start; 0: not counted
   HttpFrontage http{};
--- a/src/emulator/emulation.cpp
+++ b/src/emulator/emulation.cpp
@@ -14,19 +14,19 @@
 constexpr Time grace = 300'000;     // beyond the day's length, before it is called off
 const char* const any_port = "127.0.0.1:0";
 
-void add(core::Tally& sum, const core::Tally& one) {
-  sum.taken += one.taken;
-  sum.honoured += one.honoured;
-  sum.shed += one.shed;
-  sum.abandoned += one.abandoned;
-  sum.gone += one.gone;
-  sum.refused += one.refused;
-  sum.overdue += one.overdue;
-  sum.shots += one.shots;
+void add(core::Counters& sum, const core::Counters& one) {
+  sum.accepted += one.accepted;
+  sum.succeeded += one.succeeded;
+  sum.rejected += one.rejected;
+  sum.failed += one.failed;
+  sum.cancelled += one.cancelled;
+  sum.not_accepted += one.not_accepted;
+  sum.expired += one.expired;
+  sum.attempts += one.attempts;
   sum.probes += one.probes;
-  sum.orders += one.orders;
-  sum.unloads += one.unloads;
-  sum.told += one.told;
+  sum.prewarms += one.prewarms;
+  sum.evictions += one.evictions;
+  sum.gossip_messages += one.gossip_messages;
 }
 
 }  // namespace
@@ -36,9 +36,9 @@
       roster_(network_, transport::numeric_address(any_port), day, record), fleet_(network_, day, record),
       seats_(static_cast<std::size_t>(day.routers)) {
   for (Seat& seat : seats_) {
-    seat.http = network_.hold(transport::numeric_address(any_port));
-    seat.peers = network_.hold(transport::numeric_address(any_port));
-    seat.replica = network_.hold(transport::numeric_address(any_port));
+    seat.http = network_.reserve(transport::numeric_address(any_port));
+    seat.peers = network_.reserve(transport::numeric_address(any_port));
+    seat.replica = network_.reserve(transport::numeric_address(any_port));
   }
 }
 Emulation::~Emulation() = default;
@@ -67,14 +67,14 @@
 
 void Emulation::stop(std::size_t number) {
   if (!seats_[number].router) return;
-  seats_[number].router->wind_up([this, number] { network_.soon([this, number] { leave(number); }); });
+  seats_[number].router->wind_up([this, number] { network_.post([this, number] { leave(number); }); });
 }
 
 void Emulation::leave(std::size_t number) {
   auto& router = seats_[number].router;
   if (!router) return;
   add(spent_.tally, router->gateway().tally());
-  spent_.module_seconds += static_cast<double>(router->gateway().module_ns()) / 1e9;
+  spent_.module_seconds += static_cast<double>(router->gateway().policy_ns()) / 1e9;
   router.reset();
   if (seats_[number].due && !over_) start(number);
 }
--- a/src/emulator/emulation.h
+++ b/src/emulator/emulation.h
@@ -23,7 +23,7 @@
 struct Spent {
   double virtual_seconds = 0, real_seconds = 0, module_seconds = 0;
   std::int64_t happenings = 0;
-  core::Tally tally{};  // of all routers, also of lives that ended
+  core::Counters tally{};  // of all routers, also of lives that ended
 };
 
 class Emulation {
@@ -35,13 +35,13 @@
   Network& network() { return network_; }
 
  private:
-  class Quiet final : public core::Diary {
+  class Quiet final : public core::EventLog {
    public:
     bool wants(core::Level) const override { return false; }
-    void line(core::Level, const char*, Fields) override {}
+    void write(core::Level, const char*, Fields) override {}
   };
   struct Seat {
-    std::unique_ptr<transport::Place> http, peers, replica;
+    std::unique_ptr<transport::BoundSocket> http, peers, replica;
     std::unique_ptr<router::RouterProcess> router;
     std::uint64_t lives = 0;
     std::int64_t since = 0;  // when its present trouble began
--- a/src/emulator/network.cpp
+++ b/src/emulator/network.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using transport::Address;
-using transport::Loss;
+using transport::CloseReason;
 
 constexpr std::size_t most_unread = 256 * 1024;  // bytes a peer may leave unread before a writer waits
 
@@ -33,7 +33,7 @@
 // One end of a connection. What is under way to a closed end is lost, and its sender sees a reset.
 class Network::End final : public transport::Stream, public std::enable_shared_from_this<End> {
  public:
-  End(Network& network, transport::StreamUser& user) : network_(network), user_(&user) {}
+  End(Network& network, transport::StreamHandler& user) : network_(network), user_(&user) {}
   ~End() override { End::close(); }
 
   void write(std::string_view bytes) override {
@@ -41,29 +41,29 @@
     out_ += bytes;
     if (established_) flush();
   }
-  std::size_t handed_over() const override { return handed_over_; }
-  std::size_t waiting() const override { return out_.size(); }
-  void read(bool on) override {
+  std::size_t handed_over_bytes() const override { return handed_over_; }
+  std::size_t pending_bytes() const override { return out_.size(); }
+  void set_reading(bool on) override {
     if (closed() || std::exchange(reading_, on) == on || !on) return;
-    network_.soon([alive = weak_from_this()] {
+    network_.post([alive = weak_from_this()] {
       if (const auto self = alive.lock()) self->look();
     });
   }
-  bool recall(std::size_t from, std::size_t count) override {
+  bool cancel_unsent(std::size_t from, std::size_t count) override {
     if (from < handed_over_ || from - handed_over_ + count > out_.size()) return false;
     out_.erase(from - handed_over_, count);
     return true;
   }
-  Ahead ahead() override {
-    if (!unread_.empty()) return Ahead::bytes;
-    return ended_ ? Ahead::end : Ahead::nothing;
+  Peeked peek() override {
+    if (!unread_.empty()) return Peeked::bytes;
+    return ended_ ? Peeked::end : Peeked::nothing;
   }
-  void finish() override {
+  void shutdown_write() override {
     if (closed() || std::exchange(finishing_, true)) return;
-    if (out_.empty() && established_) to_peer([](End& peer) { peer.hear_end(Loss::ended); });
+    if (out_.empty() && established_) to_peer([](End& peer) { peer.hear_end(CloseReason::closed_by_peer); });
   }
-  void close() override { leave(Loss::ended); }
-  void reset() override { leave(Loss::broken); }
+  void close() override { leave(CloseReason::closed_by_peer); }
+  void reset() override { leave(CloseReason::reset); }
   bool closed() const override { return user_ == nullptr; }
 
   // The two ends are joined when the listener takes the connection; the connecting one hears of it later.
@@ -76,19 +76,19 @@
   void establish() {
     if (closed()) return;
     established_ = reading_ = true;
-    user_->opened();
+    user_->on_connected();
     if (closed()) return;
     const bool waited = !out_.empty();
     flush();
-    if (finishing_ && out_.empty()) to_peer([](End& peer) { peer.hear_end(Loss::ended); });
-    if (waited && out_.empty() && !closed()) user_->drained();
+    if (finishing_ && out_.empty()) to_peer([](End& peer) { peer.hear_end(CloseReason::closed_by_peer); });
+    if (waited && out_.empty() && !closed()) user_->on_write_drained();
     look();
   }
-  void lose(Loss why) {
+  void lose(CloseReason why) {
     if (closed()) return;
-    transport::StreamUser* user = std::exchange(user_, nullptr);
+    transport::StreamHandler* user = std::exchange(user_, nullptr);
     out_.clear();
-    user->lost(why);
+    user->on_closed(why);
   }
 
  private:
@@ -116,15 +116,15 @@
     });
   }
   void hear(const std::string& bytes) {
-    if (closed()) return to_peer([](End& peer) { peer.hear_end(Loss::broken); });
+    if (closed()) return to_peer([](End& peer) { peer.hear_end(CloseReason::reset); });
     unread_ += bytes;
     look();
   }
-  void hear_end(Loss how) {
+  void hear_end(CloseReason how) {
     ended_ = true;
     how_ = how;
     // A reset overtakes what was not read.
-    if (how == Loss::broken) return lose(Loss::broken);
+    if (how == CloseReason::reset) return lose(CloseReason::reset);
     look();
   }
   void look() {
@@ -133,7 +133,7 @@
     if (!unread_.empty()) {
       const std::string bytes = std::exchange(unread_, {});
       to_peer([](End& peer) { peer.room(); });
-      user_->arrived(bytes);
+      user_->on_data(bytes);
     }
     if (ended_ && unread_.empty() && reading_) lose(how_);
   }
@@ -141,52 +141,52 @@
     if (closed() || out_.empty()) return;
     flush();
     if (!out_.empty()) return;
-    if (finishing_) to_peer([](End& peer) { peer.hear_end(Loss::ended); });
-    user_->drained();
+    if (finishing_) to_peer([](End& peer) { peer.hear_end(CloseReason::closed_by_peer); });
+    user_->on_write_drained();
   }
-  void leave(Loss how) {
+  void leave(CloseReason how) {
     if (closed()) return;
     user_ = nullptr;
     out_.clear();
-    if (!unread_.empty()) how = Loss::broken;  // what was sent and never read: a reset
+    if (!unread_.empty()) how = CloseReason::reset;  // what was sent and never read: a reset
     to_peer([how](End& peer) { peer.hear_end(how); });
   }
 
   Network& network_;
-  transport::StreamUser* user_;
+  transport::StreamHandler* user_;
   std::weak_ptr<End> peer_;
   std::string out_, unread_;
   std::size_t handed_over_ = 0, under_way_ = 0;
   Time last_comes_ = 0;  // of what was sent, to the other end
   bool established_ = false, reading_ = false, finishing_ = false, ended_ = false;
-  Loss how_ = Loss::ended;
+  CloseReason how_ = CloseReason::closed_by_peer;
 };
 
-class Network::Arrived final : public transport::Arrival {
+class Network::Arrived final : public transport::PendingConnection {
  public:
   explicit Arrived(std::shared_ptr<End> from) : caller(std::move(from)) {}
   void refuse() const override {}  // nobody adopts it, which is what its caller sees
   std::shared_ptr<End> caller;
 };
 
-class Network::Listening final : public transport::Place {
+class Network::Listening final : public transport::BoundSocket {
  public:
-  Listening(Network& network, const Address& address, transport::Accepted call)
+  Listening(Network& network, const Address& address, transport::AcceptHandler call)
       : accepted(std::move(call)), network_(network), address_(address) {
     network.listening_[address.port()].push_back(this);
   }
   ~Listening() override { std::erase(network_.listening_[address_.port()], this); }
   Address address() const override { return address_; }
-  transport::Accepted accepted;
+  transport::AcceptHandler accepted;
 
  private:
   Network& network_;
   Address address_;
 };
 
-class Network::Hearing final : public transport::Place {
+class Network::Hearing final : public transport::BoundSocket {
  public:
-  Hearing(Network& network, const Address& address, transport::Heard heard)
+  Hearing(Network& network, const Address& address, transport::DatagramHandler heard)
       : network_(network), address_(address), heard_(std::move(heard)) {
     network.hearing_[address.port()] = this;
   }
@@ -206,10 +206,10 @@
  private:
   Network& network_;
   Address address_;
-  transport::Heard heard_;
+  transport::DatagramHandler heard_;
 };
 
-class Network::Holding final : public transport::Place {
+class Network::Holding final : public transport::BoundSocket {
  public:
   explicit Holding(const Address& address) : address_(address) {}
   Address address() const override { return address_; }
@@ -230,7 +230,7 @@
   return {address.host(), ++next_port_};
 }
 
-std::shared_ptr<transport::Stream> Network::connect(const Address& address, transport::StreamUser& user) {
+std::shared_ptr<transport::Stream> Network::connect(const Address& address, transport::StreamHandler& user) {
   const auto end = std::make_shared<End>(*this, user);
   at(now_ + latency_, [this, port = address.port(), weak = std::weak_ptr(end)] {
     const auto caller = weak.lock();
@@ -241,33 +241,34 @@
       const auto waiting = weak.lock();
       if (!waiting) return;
       if (waiting->joined()) return waiting->establish();
-      waiting->lose(Loss::refused);
+      waiting->lose(CloseReason::connect_failed);
     });
   });
   return end;
 }
 
-std::shared_ptr<transport::Stream> Network::adopt(const transport::Arrival& arrival,
-                                                  transport::StreamUser& user) {
+std::shared_ptr<transport::Stream> Network::adopt(const transport::PendingConnection& arrival,
+                                                  transport::StreamHandler& user) {
   const auto end = std::make_shared<End>(*this, user);
   end->join(static_cast<const Arrived&>(arrival).caller);
   return end;
 }
 
-std::unique_ptr<transport::Place> Network::listen(const Address& address, bool,
-                                                  transport::Accepted accepted) {
+std::unique_ptr<transport::BoundSocket> Network::listen(const Address& address, bool,
+                                                        transport::AcceptHandler accepted) {
   return std::make_unique<Listening>(*this, free(address), std::move(accepted));
 }
-std::unique_ptr<transport::Place> Network::hear(const Address& address, transport::Heard heard) {
+std::unique_ptr<transport::BoundSocket> Network::open_datagrams(const Address& address,
+                                                                transport::DatagramHandler heard) {
   return std::make_unique<Hearing>(*this, free(address), std::move(heard));
 }
-std::unique_ptr<transport::Place> Network::hold(const Address& address) {
+std::unique_ptr<transport::BoundSocket> Network::reserve(const Address& address) {
   return std::make_unique<Holding>(free(address));
 }
-std::unique_ptr<transport::Place> Network::listen_inherited(int, transport::Accepted) {
+std::unique_ptr<transport::BoundSocket> Network::listen_inherited(int, transport::AcceptHandler) {
   throw std::invalid_argument("an emulated router inherits no socket");
 }
-std::unique_ptr<transport::Place> Network::hear_inherited(int, transport::Heard) {
+std::unique_ptr<transport::BoundSocket> Network::open_inherited_datagrams(int, transport::DatagramHandler) {
   throw std::invalid_argument("an emulated router inherits no socket");
 }
 
@@ -280,11 +281,11 @@
         call();
       }
     }
-    const auto next = alarms_.next();
+    const auto next = alarms_.next_deadline();
     if (halted_ || !next || *next > until) break;
     now_ = std::max(now_, *next);
     ++happenings_;
-    alarms_.ring(now_);
+    alarms_.fire_due(now_);
   }
 }
 void Network::run() { turn(std::numeric_limits<Time>::max()); }
--- a/src/emulator/network.h
+++ b/src/emulator/network.h
@@ -8,7 +8,7 @@
 #include <random>
 #include <vector>
 
-#include "core/alarms.h"
+#include "core/timer_queue.h"
 #include "transport/reactor.h"
 
 namespace rushhill::emulator {
@@ -35,9 +35,9 @@
   std::uint64_t datagrams() const { return datagrams_; }
 
   Time now() const override { return now_; }
-  core::Alarm at(Time when, Call call) override { return alarms_.set(when, std::move(call)); }
-  void withdraw(core::Alarm& alarm) override { alarms_.withdraw(alarm); }
-  void soon(Call call) override { soon_.push_back(std::move(call)); }
+  core::Timer at(Time when, Call call) override { return alarms_.add(when, std::move(call)); }
+  void cancel(core::Timer& alarm) override { alarms_.cancel(alarm); }
+  void post(Call call) override { soon_.push_back(std::move(call)); }
   std::int64_t nanoseconds() const override { return transport::monotonic_ns(); }  // real: spent time
   std::int64_t clock_ns() const override { return now_ * 100'000; }
   std::int64_t unix_ns() const override { return epoch_ns + wall_step_ns_ + clock_ns(); }
@@ -45,15 +45,18 @@
   void step_wall_clock(std::int64_t by_ns) { wall_step_ns_ += by_ns; }
 
   std::shared_ptr<transport::Stream> connect(const transport::Address& address,
-                                             transport::StreamUser& user) override;
-  std::shared_ptr<transport::Stream> adopt(const transport::Arrival& arrival,
-                                           transport::StreamUser& user) override;
-  std::unique_ptr<transport::Place> listen(const transport::Address& address, bool shared,
-                                           transport::Accepted accepted) override;
-  std::unique_ptr<transport::Place> listen_inherited(int descriptor, transport::Accepted accepted) override;
-  std::unique_ptr<transport::Place> hear(const transport::Address& address, transport::Heard heard) override;
-  std::unique_ptr<transport::Place> hear_inherited(int descriptor, transport::Heard heard) override;
-  std::unique_ptr<transport::Place> hold(const transport::Address& address) override;
+                                             transport::StreamHandler& user) override;
+  std::shared_ptr<transport::Stream> adopt(const transport::PendingConnection& arrival,
+                                           transport::StreamHandler& user) override;
+  std::unique_ptr<transport::BoundSocket> listen(const transport::Address& address, bool shared,
+                                                 transport::AcceptHandler accepted) override;
+  std::unique_ptr<transport::BoundSocket> listen_inherited(int descriptor,
+                                                           transport::AcceptHandler accepted) override;
+  std::unique_ptr<transport::BoundSocket> open_datagrams(const transport::Address& address,
+                                                         transport::DatagramHandler heard) override;
+  std::unique_ptr<transport::BoundSocket> open_inherited_datagrams(int descriptor,
+                                                                   transport::DatagramHandler heard) override;
+  std::unique_ptr<transport::BoundSocket> reserve(const transport::Address& address) override;
 
  private:
   class Arrived;
@@ -69,7 +72,7 @@
   Time on_its_way(Time not_before);
 
   Time latency_, now_ = first_moment;
-  core::Alarms alarms_;
+  core::TimerQueue alarms_;
   std::vector<Call> soon_;
   std::map<std::uint16_t, std::vector<Listening*>> listening_;  // by port; several share one by turns
   std::map<std::uint16_t, Hearing*> hearing_;
--- a/src/frontends/eviction.h
+++ b/src/frontends/eviction.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/clockwork.h"
+#include "core/timer_service.h"
 
 namespace rushhill::frontends {
 
--- a/src/frontends/fastcgi_front.cpp
+++ b/src/frontends/fastcgi_front.cpp
@@ -13,7 +13,7 @@
 using fastcgi::Ended;
 using fastcgi::Number;
 using fastcgi::Refusal;
-using transport::Loss;
+using transport::CloseReason;
 using transport::Stream;
 
 constexpr Time sweep_period = 1'000;   // tenths of a millisecond; short beside the spans below
@@ -55,7 +55,7 @@
 }
 
 // `memory_mb:512;lanes:2`. Names that we do not know must still be figures. False: not readable.
-bool read_facts(std::string_view text, Event& told) {
+bool read_facts(std::string_view text, RoutingRequest& told) {
   while (!text.empty()) {
     const std::size_t end = std::min(text.find(';'), text.size());
     const std::string_view fact = text.substr(0, end);
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-Asked read_request(const Deployment& deployment, fastcgi::Request request) {
+Asked read_request(const RoutingConfiguration& deployment, fastcgi::Request request) {
   Asked asked;
   const auto no = [&](int status, std::string reason) {
     asked.status = status;
@@ -104,8 +104,8 @@
   const std::string* path = request.param("SCRIPT_NAME");
   if (path == nullptr || !path->starts_with(events_path)) return no(404, "no such place");
   const std::string type = path->substr(events_path.size());
-  const auto known = std::ranges::find(deployment.traffic_types, type, &TrafficType::name);
-  if (known == deployment.traffic_types.end()) return no(404, "unknown class");
+  const auto known = std::ranges::find(deployment.request_classes, type, &RequestClass::name);
+  if (known == deployment.request_classes.end()) return no(404, "unknown class");
   const std::string* id = request.param("HTTP_X_JOB_ID");
   if (id == nullptr || !is_id(*id)) return no(400, "X-Job-Id is not 16 hex digits");
   const std::string* item = request.param("HTTP_X_ITEM");
@@ -114,15 +114,15 @@
   const auto allowed = allow == nullptr ? std::nullopt : number_of<std::int64_t>(*allow);
   if (!allowed || *allowed <= 0) return no(400, "X-Allow-Ms is not a number above 0");
   // Compared before it is multiplied: it may be any number.
-  if (*allowed > (known->hard_limit + rounding) / 10)
+  if (*allowed > (known->deadline_span + rounding) / 10)
     return no(400, "X-Allow-Ms is beyond the class's deadline");
   const std::string* team = request.param("HTTP_X_TEAM");
-  const bool named = team != nullptr && std::ranges::find(deployment.customers, *team, &Customer::name) !=
-                                            deployment.customers.end();
-  if (!named && !deployment.customers.empty()) return no(400, "X-Team is not a tenant");
+  const bool named = team != nullptr &&
+                     std::ranges::find(deployment.tenants, *team, &Tenant::name) != deployment.tenants.end();
+  if (!named && !deployment.tenants.empty()) return no(400, "X-Team is not a tenant");
   // Sent to any server twice, an event of a numbered type runs once there, by this.
   const std::string* number = request.param("HTTP_X_UNIQUE");
-  if (number == nullptr && known->effect == Effect::numbered) return no(400, "X-Unique is missing");
+  if (number == nullptr && known->retry_safety == RetrySafety::keyed) return no(400, "X-Unique is missing");
   if (number != nullptr && !is_word(*number)) return no(400, "X-Unique is no word of 128 bytes at most");
   const std::string* facts = request.param("HTTP_X_FACTS");
   if (facts != nullptr && !read_facts(*facts, asked.told)) return no(400, "X-Facts holds what is no figure");
@@ -131,10 +131,10 @@
     const auto bytes = number_of<std::uint64_t>(*length);
     if (!bytes || *bytes != request.body.size()) return no(400, "CONTENT_LENGTH is not the body's");
   }
-  asked.told.traffic_type = type;
-  if (named) asked.told.customer = *team;
+  asked.told.request_class = type;
+  if (named) asked.told.tenant = *team;
   asked.told.function = *item;
-  asked.told.left = std::max<Time>(*allowed * 10 - way_back, 1);
+  asked.told.time_left = std::max<Time>(*allowed * 10 - way_back, 1);
   asked.message.id = *id;
   asked.message.type = type;
   asked.message.others["function"] = *item;
@@ -143,12 +143,12 @@
   return asked;
 }
 
-class FastCgiFront::Connection final : public transport::StreamUser,
+class FastCgiFront::Connection final : public transport::StreamHandler,
                                        public transport::Numbered,
                                        private core::Client,
                                        private fastcgi::Taker {
  public:
-  Connection(FastCgiFront& front, const transport::Arrival& arrival)
+  Connection(FastCgiFront& front, const transport::PendingConnection& arrival)
       : front_(front), reader_(*this, front.rules_.bounds), requests_(front.counts_),
         quiet_since_(front.reactor_.now()) {
     stream_ = Stream::adopt(front.reactor_, arrival, *this);
@@ -158,33 +158,33 @@
   // Its events have no client any more.
   void leave(ConnectionEnd end) {
     if (std::exchange(gone_, true)) return;
-    requests_.ended(end, stream_->handed_over());
+    requests_.ended(end, stream_->handed_over_bytes());
     stream_->close();
     for (const auto& [event, request] : std::exchange(open_, {})) {
       front_.open_ids_.erase(request.id);
-      front_.gateway_.client_gone(event, request.unread);
+      front_.gateway_.client_cancelled(event, request.unread);
     }
   }
 
   // For another's sake it may go, but not while an answer is owed.
   std::optional<Rank> holds(Time now) const {
     if (!open_.empty() || !come_.empty()) return std::nullopt;
-    if (stream_->waiting() > 0) return Rank{Holding::unread_answer, quiet_since_};
+    if (stream_->pending_bytes() > 0) return Rank{Holding::unread_answer, quiet_since_};
     const auto half_since = unfinished_since();
     if (asked_ && !half_since) return Rank{Holding::idle, quiet_since_};
     const Time since = half_since.value_or(quiet_since_);
     if (now - since < come_for) return Rank{Holding::just_come, since};
     return Rank{half_since ? Holding::half_request : Holding::nothing, since};
   }
-  bool untouched() const { return stream_->ahead() == Stream::Ahead::nothing; }
+  bool untouched() const { return stream_->peek() == Stream::Peeked::nothing; }
   bool all_sent() const {
-    return stream_->waiting() == 0 && !unfinished_since() && stream_->ahead() != Stream::Ahead::bytes;
+    return stream_->pending_bytes() == 0 && !unfinished_since() && stream_->peek() != Stream::Peeked::bytes;
   }
   void finish() {
     if (closing_) return;
     closing_ = true;
     quiet_since_ = front_.reactor_.now();
-    stream_->finish();
+    stream_->shutdown_write();
   }
 
   std::size_t open_requests() const { return open_.size() + come_.size(); }
@@ -193,9 +193,9 @@
   // request on it has stopped halfway; while an answer is being read, too.
   const char* outstayed(Time now) const {
     if (open_requests() > 0) return nullptr;
-    if (stream_->waiting() > 0) return now - quiet_since_ >= read_within ? "does not read" : nullptr;
+    if (stream_->pending_bytes() > 0) return now - quiet_since_ >= read_within ? "does not read" : nullptr;
     // What has come and has not been read may be a request, and was here before we would close.
-    if (!closing_ && stream_->ahead() == Stream::Ahead::bytes) return nullptr;
+    if (!closing_ && stream_->peek() == Stream::Peeked::bytes) return nullptr;
     const auto since = unfinished_since();
     if (since && now - *since >= whole_within) return "half a request";
     if (closing_) return now - quiet_since_ >= settled ? "answered and not left" : nullptr;
@@ -203,13 +203,13 @@
     return now - quiet_since_ >= idle_limit ? "idle" : nullptr;
   }
 
-  void arrived(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     if (closing_) return;  // what comes after the last answer
     if (broken_) return leave_if_answered();
     const auto self = front_.connections_.at(this);
     reader_.put(bytes, front_.reactor_.now());
     // A client that has left already is known before anything is begun for it.
-    if (!come_.empty() && !gone_ && stream_->ahead() == Stream::Ahead::end)
+    if (!come_.empty() && !gone_ && stream_->peek() == Stream::Peeked::end)
       return front_.forget(*this, ConnectionEnd::by_client);
     while (!gone_ && !come_.empty()) {
       auto [number, request] = std::move(come_.front());
@@ -217,17 +217,17 @@
       begin(number, std::move(request));
     }
     if (broken_) return leave_if_answered();
-    if (!gone_ && stream_->waiting() > front_.rules_.unread)
+    if (!gone_ && stream_->pending_bytes() > front_.rules_.unread)
       return front_.forget(*this, ConnectionEnd::by_gateway);
-    if (gone_ || !unread_ || stream_->ahead() != Stream::Ahead::nothing) return;
+    if (gone_ || !unread_ || stream_->peek() != Stream::Peeked::nothing) return;
     unread_ = false;
     for (auto& [event, request] : open_) request.unread = 0;
   }
-  void drained() override {
-    requests_.handed_over(stream_->handed_over());
+  void on_write_drained() override {
+    requests_.handed_over(stream_->handed_over_bytes());
     quiet_since_ = front_.reactor_.now();
   }
-  void lost(Loss) override { front_.forget(*this, ConnectionEnd::by_client); }
+  void on_closed(CloseReason) override { front_.forget(*this, ConnectionEnd::by_client); }
 
  private:
   struct Open {
@@ -257,9 +257,9 @@
       reader_.ended(number);
       return reply(number, keep, response(200, "OK", "", to_prometheus(front_.counts_), metrics_type));
     }
-    Asked asked = read_request(front_.gateway_.deployment(), std::move(request));
-    asked.told.left = front_.time_left(asked.told.left, stream_->unread_for());
-    if (asked.status == 0 && front_.answer_by_ != 0 && asked.told.left <= 0) {
+    Asked asked = read_request(front_.gateway_.configuration(), std::move(request));
+    asked.told.time_left = front_.time_left(asked.told.time_left, stream_->unread_age());
+    if (asked.status == 0 && front_.answer_by_ != 0 && asked.told.time_left <= 0) {
       reader_.ended(number);
       return reply_overloaded(number, keep);
     }
@@ -272,7 +272,7 @@
       return reply(number, keep, response(asked.status, "Bad Request", "", asked.reason));
     }
     const std::string id = asked.message.id;
-    const auto event = front_.gateway_.take(front_.source_, *this, asked.told, std::move(asked.message));
+    const auto event = front_.gateway_.accept(front_.source_, *this, asked.told, std::move(asked.message));
     if (!event) {
       reader_.ended(number);
       return reply_overloaded(number, keep);
@@ -310,10 +310,10 @@
       const auto it =
           std::ranges::find_if(open_, [&](const auto& item) { return item.second.number == number; });
       if (it != open_.end()) {
-        const EventId event = it->first;
+        const RequestId event = it->first;
         const Open request = close(event);
         requests_.cancelled();
-        front_.gateway_.client_gone(event, request.unread);
+        front_.gateway_.client_cancelled(event, request.unread);
         if (!gone_) write(fastcgi::end_request(number, Ended::complete, 1), request.keep);
         return;
       }
@@ -333,33 +333,33 @@
   void type_unknown(std::uint8_t type) override { write(fastcgi::unknown_type(type), true); }
   // Nothing further is read on it. What was read before is answered, then it is closed.
   void broken(const char* why) override {
-    front_.diary_.line(core::Level::debug, "client cannot be read", {{"reason", why}});
+    front_.diary_.write(core::Level::debug, "client cannot be read", {{"reason", why}});
     broken_ = true;
   }
 
   // core::Client
-  void attempt_started(EventId event) override {
+  void attempt_started(RequestId event) override {
     const auto it = open_.find(event);
-    if (it == open_.end() || stream_->ahead() == Stream::Ahead::nothing) return;
+    if (it == open_.end() || stream_->peek() == Stream::Peeked::nothing) return;
     ++it->second.unread;
     unread_ = true;
   }
-  void honoured(EventId event, events::CloudEvent answer) override {
+  void succeeded(RequestId event, events::CloudEvent answer) override {
     const Open request = close(event);
     reply(request.number, request.keep, response(200, "OK", "", answer.data));
   }
-  void shed(EventId event, Time come_back) override {
+  void rejected(RequestId event, Time come_back) override {
     const Open request = close(event);
     const std::string wait =
         come_back > 0 ? "X-Wait-Ms: " + std::to_string((come_back + 9) / 10) + "\r\n" : std::string();
     reply(request.number, request.keep, response(503, "Service Unavailable", wait, ""));
   }
-  void abandoned(EventId event) override {
+  void failed(RequestId event) override {
     const Open request = close(event);
     reply(request.number, request.keep, response(504, "Gateway Timeout", "", ""));
   }
 
-  Open close(EventId event) {
+  Open close(RequestId event) {
     const auto it = open_.find(event);
     Open request = std::move(it->second);
     open_.erase(it);
@@ -376,10 +376,10 @@
   // The whole answer of one request.
   void write_answer(const std::string& bytes, bool keep) {
     if (gone_) return;
-    const std::size_t output_before = stream_->handed_over() + stream_->waiting();
+    const std::size_t output_before = stream_->handed_over_bytes() + stream_->pending_bytes();
     requests_.answer_written(output_before + bytes.size());
     write(bytes, keep);
-    requests_.handed_over(stream_->handed_over());
+    requests_.handed_over(stream_->handed_over_bytes());
   }
   void write(const std::string& bytes, bool keep) {
     if (gone_) return;
@@ -387,13 +387,13 @@
     stream_->write(bytes);
     if ((keep && !broken_) || !open_.empty() || !come_.empty()) return;
     closing_ = true;
-    stream_->finish();
+    stream_->shutdown_write();
   }
 
   // For one whose client cannot be read any more.
   void leave_if_answered() {
     if (gone_ || open_requests() > 0) return;
-    if (stream_->waiting() > 0) return finish();
+    if (stream_->pending_bytes() > 0) return finish();
     front_.forget(*this, ConnectionEnd::by_client);
   }
   // Since when a request stands here of which a part has not come.
@@ -403,7 +403,7 @@
   std::shared_ptr<Stream> stream_;
   fastcgi::Reader reader_;
   ConnectionRequests requests_;
-  std::map<EventId, Open> open_;
+  std::map<RequestId, Open> open_;
   std::vector<std::pair<Number, fastcgi::Request>> come_;  // whole, and not begun
   Time quiet_since_;
   bool asked_ = false, closing_ = false, gone_ = false;
@@ -411,13 +411,13 @@
   bool unread_ = false;  // something stood unread when an attempt started
 };
 
-FastCgiFront::FastCgiFront(transport::Reactor& reactor, core::Gateway& gateway, core::Diary& diary,
+FastCgiFront::FastCgiFront(transport::Reactor& reactor, core::Gateway& gateway, core::EventLog& diary,
                            const FastCgiRules& rules)
     : reactor_(reactor), gateway_(gateway), diary_(diary), rules_(rules), source_(gateway.add_source(1)) {
   sweep();
 }
 FastCgiFront::~FastCgiFront() {
-  reactor_.withdraw(alarm_);
+  reactor_.cancel(alarm_);
   while (!connections_.empty()) forget(*connections_.begin()->first, ConnectionEnd::by_gateway);
 }
 
@@ -425,16 +425,16 @@
   // Shared with the router's earlier self, which takes what comes to it until it has ended.
   listener_ = std::make_unique<transport::Listener>(reactor_, address, true,
                                                     [this](const auto& arrival) { accept(arrival); });
-  listener_->take_where([this] {
+  listener_->accept_while([this] {
     return eviction_.room(connections_, rules_.connections, reactor_.now(),
                           [this](Connection& connection) { forget(connection, ConnectionEnd::by_gateway); });
   });
   return listener_->address();
 }
 
-void FastCgiFront::accept(const transport::Arrival& arrival) {
+void FastCgiFront::accept(const transport::PendingConnection& arrival) {
   if (connections_.size() >= rules_.connections) {
-    diary_.line(core::Level::warning, "connection refused: too many", {});
+    diary_.write(core::Level::warning, "connection refused: too many", {});
     return arrival.refuse();
   }
   const auto connection = std::make_shared<Connection>(*this, arrival);
@@ -451,7 +451,7 @@
   const auto it = connections_.find(&connection);
   if (it == connections_.end()) return;
   // It may be the one that is calling: it goes when that call has returned.
-  reactor_.soon([gone = it->second] {});
+  reactor_.post([gone = it->second] {});
   const auto held = it->second;
   connections_.erase(it);
   held->leave(end);
@@ -478,7 +478,7 @@
 
 void FastCgiFront::stop_listening() {
   if (!listener_) return;
-  listener_->take_all();
+  listener_->accept_all();
   listener_.reset();
 }
 
--- a/src/frontends/fastcgi_front.h
+++ b/src/frontends/fastcgi_front.h
@@ -24,16 +24,16 @@
 
 // What a request says of its event, or why it can't be one: the HTTP status and the reason.
 struct Asked {
-  Event told{};
+  RoutingRequest told{};
   events::CloudEvent message{};
   int status = 0;  // 0: it can be taken
   std::string reason{};
 };
-Asked read_request(const Deployment& deployment, fastcgi::Request request);
+Asked read_request(const RoutingConfiguration& deployment, fastcgi::Request request);
 
 class FastCgiFront {
  public:
-  FastCgiFront(transport::Reactor& reactor, core::Gateway& gateway, core::Diary& diary,
+  FastCgiFront(transport::Reactor& reactor, core::Gateway& gateway, core::EventLog& diary,
                const FastCgiRules& rules);
   ~FastCgiFront();
   FastCgiFront(const FastCgiFront&) = delete;
@@ -55,7 +55,7 @@
 
  private:
   class Connection;
-  void accept(const transport::Arrival& arrival);
+  void accept(const transport::PendingConnection& arrival);
   void forget(Connection& connection, ConnectionEnd end);
   void sweep();
   // What is left of the time that a request asks for, which came so long ago.
@@ -63,7 +63,7 @@
 
   transport::Reactor& reactor_;
   core::Gateway& gateway_;
-  core::Diary& diary_;
+  core::EventLog& diary_;
   FastCgiRules rules_;
   admission::Shares::Source source_;
   RequestCounts counts_;  // outlives the connections
@@ -72,7 +72,7 @@
   std::map<Connection*, std::shared_ptr<Connection>, transport::ByNumber> connections_;
   Eviction<Connection> eviction_;
   std::set<std::string> open_ids_;
-  core::Alarm alarm_;
+  core::Timer alarm_;
   Time answer_by_ = 0;  // 0: no end is in sight
 };
 
--- a/src/frontends/http_front.cpp
+++ b/src/frontends/http_front.cpp
@@ -55,73 +55,73 @@
 }  // namespace
 
 // One client's connection: reads a request, answers it, reads the next.
-class HttpFront::Connection final : public transport::StreamUser,
+class HttpFront::Connection final : public transport::StreamHandler,
                                     public transport::Numbered,
                                     public core::Client {
  public:
-  Connection(HttpFront& front, const transport::Arrival& arrival)
+  Connection(HttpFront& front, const transport::PendingConnection& arrival)
       : front_(front), reactor_(front.reactor_), reader_({.body = front.rules_.body}),
         requests_(front.counts_), since_(reactor_.now()) {
     stream_ = transport::Stream::adopt(reactor_, arrival, *this);
     set_alarm(front.rules_.idle);
   }
   ~Connection() override {
-    reactor_.withdraw(alarm_);
+    reactor_.cancel(alarm_);
     stream_->close();
   }
 
   // The client is no longer there: its open events are told so.
   void leave(ConnectionEnd end) {
     closing_ = true;
-    requests_.ended(end, stream_->handed_over());
-    reactor_.withdraw(alarm_);
+    requests_.ended(end, stream_->handed_over_bytes());
+    reactor_.cancel(alarm_);
     stream_->close();
     for (const auto& [event, row] : std::exchange(places_, {}))
-      front_.gateway_.client_gone(event, std::exchange(unread_, 0));
+      front_.gateway_.client_cancelled(event, std::exchange(unread_, 0));
   }
 
-  void arrived(std::string_view bytes) override {
-    if (unread_ > 0 && stream_->ahead() == transport::Stream::Ahead::nothing) unread_ = 0;
+  void on_data(std::string_view bytes) override {
+    if (unread_ > 0 && stream_->peek() == transport::Stream::Peeked::nothing) unread_ = 0;
     if (closing_ || !keep_alive_) return;  // nothing further is taken
     in_ += bytes;
-    if (!answering_ && stream_->waiting() == 0) return proceed();
+    if (!answering_ && stream_->pending_bytes() == 0) return proceed();
     if (in_.size() <= front_.rules_.body + read_ahead) return;
     // Reading goes on, since nothing else shows that the client leaves. What is not kept is not taken, and
     // the connection ends after the present answer, which says so.
     keep_alive_ = false;
     in_ = {};
   }
-  void attempt_started(EventId) override {
-    if (stream_->ahead() != transport::Stream::Ahead::nothing) ++unread_;
+  void attempt_started(RequestId) override {
+    if (stream_->peek() != transport::Stream::Peeked::nothing) ++unread_;
   }
 
-  void lost(transport::Loss) override { front_.forget(*this, ConnectionEnd::by_client); }
-  void drained() override {
-    requests_.handed_over(stream_->handed_over());
+  void on_closed(transport::CloseReason) override { front_.forget(*this, ConnectionEnd::by_client); }
+  void on_write_drained() override {
+    requests_.handed_over(stream_->handed_over_bytes());
     if (closing_) return set_alarm(linger);
     if (answering_) return;
     if (!keep_alive_) return close_after();
     next();
   }
 
-  void honoured(EventId event, events::CloudEvent reply) override {
+  void succeeded(RequestId event, events::CloudEvent reply) override {
     if (batch_) return place(event, 200, Json::parse(events::to_json(reply)), "event", 0);
     places_.erase(event);
     HttpResponse response{.status = 200, .headers = events::to_headers(reply)};
     response.body = std::move(reply.data);
     answer(std::move(response));
   }
-  void shed(EventId event, Time come_back) override {
+  void rejected(RequestId event, Time come_back) override {
     put_problem(event, come_back_later(503, "shed", come_back, "the event was not run; it may be sent again"),
                 come_back);
   }
-  void known(EventId event) override {
+  void duplicate(RequestId event) override {
     put_problem(event,
                 problem(409, "abandoned", false,
                         "this event was taken before, here or by another router, and may have run"),
                 0);
   }
-  void abandoned(EventId event) override {
+  void failed(RequestId event) override {
     put_problem(event, problem(504, "abandoned", false, "given up without an answer; the event may have run"),
                 0);
   }
@@ -129,20 +129,20 @@
   // For another's sake it may go, but not while an answer is owed.
   std::optional<Rank> holds(Time now) const {
     if (answering_) return std::nullopt;
-    if (stream_->waiting() > 0) return Rank{Holding::unread_answer, since_};
+    if (stream_->pending_bytes() > 0) return Rank{Holding::unread_answer, since_};
     if (asked_ && !begun_) return Rank{Holding::idle, since_};
     if (now - since_ < come_for) return Rank{Holding::just_come, since_};
     return Rank{begun_ ? Holding::half_request : Holding::nothing, since_};
   }
   bool untouched() const {
-    return (begun_ || in_.empty()) && stream_->ahead() == transport::Stream::Ahead::nothing;
+    return (begun_ || in_.empty()) && stream_->peek() == transport::Stream::Peeked::nothing;
   }
 
   // The front stops: an idle connection goes now, one at work or whose request stands unread or half read
   // after its answer; one that has just come has a moment for its request.
   void wind_up() {
     if (answering_ || closing_ || begun_ || !in_.empty() ||
-        stream_->ahead() == transport::Stream::Ahead::bytes)
+        stream_->peek() == transport::Stream::Peeked::bytes)
       return;
     if (!fresh_) return close_after();
     set_alarm(first_request);
@@ -150,12 +150,13 @@
 
  private:
   void set_alarm(Time span) {
-    reactor_.withdraw(alarm_);
+    reactor_.cancel(alarm_);
     alarm_ = reactor_.at(reactor_.now() + span, [this] { overdue(); });
   }
 
   void overdue() {
-    if (closing_ || !begun_ || stream_->waiting() > 0) return front_.forget(*this, ConnectionEnd::by_gateway);
+    if (closing_ || !begun_ || stream_->pending_bytes() > 0)
+      return front_.forget(*this, ConnectionEnd::by_gateway);
     answer_and_close(problem(408, "too-slow", true, "the request did not arrive whole in time"));
   }
 
@@ -182,7 +183,7 @@
       case HttpProgress::done:
         break;
     }
-    reactor_.withdraw(alarm_);
+    reactor_.cancel(alarm_);
     begun_ = told_to_continue_ = fresh_ = false;
     asked_ = answering_ = true;
     requests_.taken();
@@ -236,8 +237,8 @@
   }
 
   void take_one(events::CloudEvent message) {
-    Event told = front_.intake_.read(message);
-    const auto event = front_.gateway_.take(front_.source_, *this, std::move(told), std::move(message));
+    RoutingRequest told = front_.intake_.read(message);
+    const auto event = front_.gateway_.accept(front_.source_, *this, std::move(told), std::move(message));
     if (!event) return answer(crowded());
     places_[*event] = 0;
   }
@@ -253,8 +254,8 @@
       const std::size_t row = rows_.size();
       rows_.push_back({{"id", message.id}, {"source", message.source}});
       try {
-        Event told = front_.intake_.read(message);
-        const auto event = front_.gateway_.take(front_.source_, *this, std::move(told), std::move(message));
+        RoutingRequest told = front_.intake_.read(message);
+        const auto event = front_.gateway_.accept(front_.source_, *this, std::move(told), std::move(message));
         if (event) {
           places_[*event] = row;
         } else {
@@ -272,7 +273,7 @@
     rows_[row][form] = std::move(body);
   }
 
-  void place(EventId event, int status, Json body, const char* form, Time come_back) {
+  void place(RequestId event, int status, Json body, const char* form, Time come_back) {
     const auto it = places_.find(event);
     if (it == places_.end()) return;
     fill(it->second, status, std::move(body), form);
@@ -281,7 +282,7 @@
     if (places_.empty()) answer_batch();
   }
 
-  void put_problem(EventId event, HttpResponse response, Time come_back) {
+  void put_problem(RequestId event, HttpResponse response, Time come_back) {
     if (batch_) return place(event, response.status, Json::parse(response.body), "problem", come_back);
     places_.erase(event);
     answer(std::move(response));
@@ -298,15 +299,15 @@
     keep_alive_ = keep_alive_ && !front_.winding_up_;
     response.keep_alive = keep_alive_;
     const std::string bytes = transport::to_bytes(response);
-    requests_.answer_written(stream_->handed_over() + stream_->waiting() + bytes.size());
+    requests_.answer_written(stream_->handed_over_bytes() + stream_->pending_bytes() + bytes.size());
     stream_->write(bytes);
-    requests_.handed_over(stream_->handed_over());
+    requests_.handed_over(stream_->handed_over_bytes());
     answering_ = begun_ = false;
     since_ = reactor_.now();
     if (!keep_alive_) return close_after();
     // A client that does not read its answer is not waited for longer than one that does not send.
-    set_alarm(stream_->waiting() > 0 ? front_.rules_.request_within : front_.rules_.idle);
-    if (stream_->waiting() == 0) next();
+    set_alarm(stream_->pending_bytes() > 0 ? front_.rules_.request_within : front_.rules_.idle);
+    if (stream_->pending_bytes() == 0) next();
   }
 
   // For a request that has not come whole.
@@ -321,7 +322,7 @@
     since_ = reactor_.now();
     set_alarm(front_.rules_.idle);
     if (in_.empty()) return;
-    reactor_.soon([this, alive = std::weak_ptr(life_)] {
+    reactor_.post([this, alive = std::weak_ptr(life_)] {
       if (!alive.expired()) proceed();
     });
   }
@@ -329,9 +330,9 @@
   void close_after() {
     closing_ = true;
     in_.clear();
-    stream_->finish();
+    stream_->shutdown_write();
     // What the system has not taken of the last answer is sent at its client's pace.
-    set_alarm(stream_->waiting() > 0 ? front_.rules_.request_within : linger);
+    set_alarm(stream_->pending_bytes() > 0 ? front_.rules_.request_within : linger);
   }
 
   HttpFront& front_;
@@ -340,9 +341,9 @@
   transport::HttpRequestReader reader_;
   ConnectionRequests requests_;
   std::string in_;
-  std::map<EventId, std::size_t> places_;  // events that await their answer, and their row in a batch
+  std::map<RequestId, std::size_t> places_;  // events that await their answer, and their row in a batch
   Json rows_;
-  core::Alarm alarm_;
+  core::Timer alarm_;
   std::uint64_t unread_ = 0;  // attempts that started while something of the client stood unread
   std::shared_ptr<int> life_ = std::make_shared<int>(0);
   Time since_;              // it is as it is
@@ -353,8 +354,8 @@
   bool batch_ = false, keep_alive_ = true, closing_ = false, told_to_continue_ = false;
 };
 
-HttpFront::HttpFront(transport::Reactor& reactor, core::Gateway& gateway, const core::Intake& intake,
-                     core::Diary& diary, const HttpRules& rules)
+HttpFront::HttpFront(transport::Reactor& reactor, core::Gateway& gateway, const core::RequestReader& intake,
+                     core::EventLog& diary, const HttpRules& rules)
     : reactor_(reactor), gateway_(gateway), intake_(intake), diary_(diary), rules_(rules),
       source_(gateway.add_source(rules.weight)) {}
 HttpFront::~HttpFront() {
@@ -372,16 +373,16 @@
   return listening();
 }
 transport::Address HttpFront::listening() {
-  listener_->take_where([this] {
+  listener_->accept_while([this] {
     return eviction_.room(connections_, static_cast<std::size_t>(rules_.connections), reactor_.now(),
                           [this](Connection& connection) { forget(connection, ConnectionEnd::by_gateway); });
   });
   return listener_->address();
 }
 
-void HttpFront::accept(const transport::Arrival& arrival) {
+void HttpFront::accept(const transport::PendingConnection& arrival) {
   if (connections_.size() >= static_cast<std::size_t>(rules_.connections)) {
-    diary_.line(core::Level::warning, "connection refused: too many", {});
+    diary_.write(core::Level::warning, "connection refused: too many", {});
     return arrival.refuse();
   }
   const auto connection = std::make_shared<Connection>(*this, arrival);
@@ -392,14 +393,14 @@
   const auto it = connections_.find(&connection);
   if (it == connections_.end()) return;
   // It may be the one that is calling: it goes when that call has returned.
-  reactor_.soon([gone = it->second] {});
+  reactor_.post([gone = it->second] {});
   connections_.erase(it);
   connection.leave(end);
 }
 
 void HttpFront::wind_up() {
   winding_up_ = true;
-  if (listener_) listener_->take_all();  // what is left in its queue is reset
+  if (listener_) listener_->accept_all();  // what is left in its queue is reset
   listener_.reset();
   for (const auto& [connection, held] : connections_) connection->wind_up();
 }
--- a/src/frontends/http_front.h
+++ b/src/frontends/http_front.h
@@ -29,8 +29,8 @@
 
 class HttpFront {
  public:
-  HttpFront(transport::Reactor& reactor, core::Gateway& gateway, const core::Intake& intake,
-            core::Diary& diary, const HttpRules& rules);
+  HttpFront(transport::Reactor& reactor, core::Gateway& gateway, const core::RequestReader& intake,
+            core::EventLog& diary, const HttpRules& rules);
   ~HttpFront();
   HttpFront(const HttpFront&) = delete;
   HttpFront& operator=(const HttpFront&) = delete;
@@ -51,13 +51,13 @@
  private:
   class Connection;
   transport::Address listening();
-  void accept(const transport::Arrival& arrival);
+  void accept(const transport::PendingConnection& arrival);
   void forget(Connection& connection, ConnectionEnd end);
 
   transport::Reactor& reactor_;
   core::Gateway& gateway_;
-  const core::Intake& intake_;
-  core::Diary& diary_;
+  const core::RequestReader& intake_;
+  core::EventLog& diary_;
   HttpRules rules_;
   admission::Shares::Source source_;
   RequestCounts counts_;  // outlives the connections
--- a/src/frontends/mqtt_front.cpp
+++ b/src/frontends/mqtt_front.cpp
@@ -79,7 +79,7 @@
 
 // One topic rule's session with the broker, on a connection of its own: one topic's flood fills only its
 // window.
-class MqttFront::Session final : public transport::StreamUser, public core::Client {
+class MqttFront::Session final : public transport::StreamHandler, public core::Client {
  public:
   Session(MqttFront& front, const deployment::MqttTopic& rule, int window, std::uint64_t seed)
       : front_(front), reactor_(front.reactor_), rule_(rule), window_(window),
@@ -90,11 +90,11 @@
     connect();
   }
   ~Session() override {
-    for (core::Alarm* alarm : {&again_, &ping_, &quiet_, &look_, &rest_}) reactor_.withdraw(*alarm);
+    for (core::Timer* alarm : {&again_, &ping_, &quiet_, &look_, &rest_}) reactor_.cancel(*alarm);
     if (stream_) stream_->close();
   }
 
-  void opened() override {
+  void on_connected() override {
     Packet connect{
         .type = Type::connect, .client_id = front_.links_.client + "-" + rule_.name, .clean_start = false};
     connect.keep_alive = static_cast<std::uint16_t>(front_.links_.keep_alive / 10'000);
@@ -103,17 +103,17 @@
     send(connect);
   }
 
-  void arrived(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     in_ += bytes;
     hear_silence();
     read_on();
   }
-  void lost(transport::Loss) override {
+  void on_closed(transport::CloseReason) override {
     if (!left_) broke("connection lost");
   }
 
   // The core's answers.
-  void honoured(EventId event, events::CloudEvent reply) override {
+  void succeeded(RequestId event, events::CloudEvent reply) override {
     conclude(event, Outcome::honoured, 0, [&](Packet& answer) {
       answer.properties.content_type =
           reply.data_content_type.empty() ? "application/octet-stream" : reply.data_content_type;
@@ -124,11 +124,11 @@
           {{"specversion", "1.0"}, {"id", reply.id}, {"source", reply.source}, {"type", reply.type}});
     });
   }
-  void shed(EventId event, Time come_back) override {
+  void rejected(RequestId event, Time come_back) override {
     conclude(event, Outcome::shed, come_back,
              [&](Packet& answer) { problem(answer, "shed", true, come_back); });
   }
-  void abandoned(EventId event) override {
+  void failed(RequestId event) override {
     conclude(event, Outcome::abandoned, 0, [&](Packet& answer) { problem(answer, "abandoned", false, 0); });
   }
 
@@ -150,7 +150,7 @@
     std::uint8_t reason = mqtt::success;
     Time limit = 0;  // when its time is up: the hard limit from its coming, or its expiry
     events::CloudEvent event{};
-    rushhill::Event told{};
+    rushhill::RoutingRequest told{};
     std::optional<std::string> response_topic{}, correlation{};
   };
   using Held = std::shared_ptr<InHand>;
@@ -165,11 +165,11 @@
 
   // The session lives on at the broker: what was not acknowledged comes again, and meets what is known of it.
   void broke(const char* why) {
-    front_.diary_.line(core::Level::warning, "broker's connection broke",
-                       {{"topic", rule_.name}, {"why", why}});
-    for (core::Alarm* alarm : {&again_, &ping_, &quiet_}) reactor_.withdraw(*alarm);
+    front_.diary_.write(core::Level::warning, "broker's connection broke",
+                        {{"topic", rule_.name}, {"why", why}});
+    for (core::Timer* alarm : {&again_, &ping_, &quiet_}) reactor_.cancel(*alarm);
     stream_->close();
-    reactor_.soon([gone = std::move(stream_)] {});
+    reactor_.post([gone = std::move(stream_)] {});
     stream_.reset();
     connected_ = false;
     for (const Held& message : std::exchange(waiting_, {})) deliveries_.forget(message->mark);
@@ -187,7 +187,7 @@
 
   void hear_silence() {
     if (!connected_ || front_.links_.keep_alive == 0) return;
-    reactor_.withdraw(quiet_);
+    reactor_.cancel(quiet_);
     quiet_ = reactor_.at(reactor_.now() + front_.links_.keep_alive * 3 / 2,
                          [this] { broke("the broker is silent"); });
   }
@@ -200,8 +200,8 @@
     while (stream_ && !left_) {
       // 3.1.1 knows no receive maximum: what is beyond the window stays in the connection.
       if (front_.links_.version == 4 && static_cast<int>(order_.size()) >= window_)
-        return stream_->read(false);
-      stream_->read(true);
+        return stream_->set_reading(false);
+      stream_->set_reading(true);
       Packet packet;
       const mqtt::Progress progress = reader_.put(in_, packet);
       if (progress == mqtt::Progress::more) return;
@@ -279,7 +279,7 @@
       dead(packet.payload, packet.topic, bad.what());
       return settle(held, mqtt::payload_format_invalid);
     }
-    message.limit = reactor_.now() + message.told.left;
+    message.limit = reactor_.now() + message.told.time_left;
     if (const auto expiry = packet.properties.message_expiry)
       message.limit = std::min(message.limit, reactor_.now() + Time{10'000} * *expiry);
     message.mark = message.event.source + " " + message.event.id;
@@ -298,7 +298,7 @@
         break;
     }
     // Came before, to an earlier life of this router: it may have run there.
-    if (packet.dup && front_.gateway_.effect_of(message.told.traffic_type) == Effect::at_most_once) {
+    if (packet.dup && front_.gateway_.effect_of(message.told.request_class) == RetrySafety::at_most_once) {
       deliveries_.ended(reactor_.now(), message.mark, Outcome::abandoned);
       if (message.response_topic)
         answer(message, Outcome::abandoned, [&](Packet& reply) { problem(reply, "abandoned", false, 0); });
@@ -334,18 +334,18 @@
       message->waiting = false;
       take(message);
     }
-    reactor_.withdraw(look_);
+    reactor_.cancel(look_);
     if (!waiting_.empty()) look_ = reactor_.at(reactor_.now() + room_look, [this] { take_waiting(); });
   }
 
   void take(const Held& message) {
-    message->told.left = message->limit - reactor_.now();
+    message->told.time_left = message->limit - reactor_.now();
     const auto harmless = [&](Packet& reply) { problem(reply, "shed", true, 0); };
-    if (message->told.left <= front_.gateway_.deployment().tick) {
+    if (message->told.time_left <= front_.gateway_.configuration().tick) {
       ++front_.tally_.expired;
       return give_up(*message, Outcome::shed, harmless);
     }
-    if (const auto event = front_.gateway_.take(source_, *this, message->told, message->event)) {
+    if (const auto event = front_.gateway_.accept(source_, *this, message->told, message->event)) {
       working_[*event] = message;
     } else {
       give_up(*message, Outcome::shed, harmless);
@@ -353,7 +353,7 @@
   }
 
   template <typename Fill>
-  void conclude(EventId event, Outcome outcome, Time come_back, Fill fill) {
+  void conclude(RequestId event, Outcome outcome, Time come_back, Fill fill) {
     const auto it = working_.find(event);
     if (it == working_.end()) return;
     const Held message = std::move(it->second);
@@ -376,10 +376,10 @@
   std::optional<Time> rest_until(const InHand& message, Outcome outcome, Time come_back) {
     if (message.response_topic || message.id == 0 || front_.winding_up_) return std::nullopt;
     return tries_.again(reactor_.now(), message.mark, outcome,
-                        front_.gateway_.effect_of(message.told.traffic_type), message.limit, come_back);
+                        front_.gateway_.effect_of(message.told.request_class), message.limit, come_back);
   }
   void set_rest() {
-    reactor_.withdraw(rest_);
+    reactor_.cancel(rest_);
     if (!resting_.empty()) rest_ = reactor_.at(resting_.begin()->first, [this] { rested(); });
   }
   void rested() {
@@ -423,7 +423,8 @@
     fill(reply);
     reply.properties.correlation_data = message.correlation;
     reply.properties.user.emplace_back("outcome", word(outcome));
-    reply.properties.user.emplace_back("router", std::to_string(front_.gateway_.deployment().me));
+    reply.properties.user.emplace_back("router",
+                                       std::to_string(front_.gateway_.configuration().router_number));
     tell(reply);
     answers_[message.mark] = std::move(reply);
     answer_order_.push_back(message.mark);
@@ -444,7 +445,7 @@
   void dead(const std::string& payload, const std::string& topic, const std::string& reason,
             const char* content_type = nullptr) {
     ++front_.tally_.dead;
-    front_.diary_.line(core::Level::warning, "message is given up", {{"topic", topic}, {"reason", reason}});
+    front_.diary_.write(core::Level::warning, "message is given up", {{"topic", topic}, {"reason", reason}});
     if (front_.links_.dead_letter.empty()) return;
     Packet letter{.type = Type::publish, .topic = front_.links_.dead_letter, .payload = payload};
     letter.properties.user = {{"reason", reason}, {"topic", topic}};
@@ -458,7 +459,7 @@
     send_acknowledgements();
     if (front_.links_.version == 4 && stream_ && !reading_) {
       reading_ = true;
-      reactor_.soon([this, alive = std::weak_ptr(life_)] {
+      reactor_.post([this, alive = std::weak_ptr(life_)] {
         if (alive.expired()) return;
         reading_ = false;
         if (stream_) read_on();
@@ -490,13 +491,13 @@
       if (!told_.empty()) return;
       send_acknowledgements();
       send({.type = Type::disconnect});
-      stream_->finish();
+      stream_->shutdown_write();
     } else if (!told_.empty()) {
       return;
     }
     left_ = true;
     connected_ = false;
-    for (core::Alarm* alarm : {&again_, &ping_, &quiet_, &look_}) reactor_.withdraw(*alarm);
+    for (core::Timer* alarm : {&again_, &ping_, &quiet_, &look_}) reactor_.cancel(*alarm);
   }
 
   // Answers and dead letters leave at QoS 1 and are kept until the broker has them, also over a broken
@@ -533,20 +534,20 @@
   std::deque<Held> order_, waiting_;                            // as they came; of these, not taken yet
   std::multimap<Time, Held> resting_;                           // to be taken again then
   std::set<std::uint16_t> released_;                            // QoS 2: PUBREC sent, PUBREL awaited
-  std::map<EventId, Held> working_;
+  std::map<RequestId, Held> working_;
   std::map<std::string, Packet> answers_;
   std::deque<std::string> answer_order_;
   std::map<std::uint16_t, Packet> told_;  // published and not acknowledged by the broker
   std::uint16_t next_id_ = 1;
 
-  core::Alarm again_, ping_, quiet_, look_, rest_;
+  core::Timer again_, ping_, quiet_, look_, rest_;
   int failures_ = 0;
   bool connected_ = false, reading_ = false, left_ = false;
   std::shared_ptr<int> life_ = std::make_shared<int>(0);
 };
 
-MqttFront::MqttFront(transport::Reactor& reactor, core::Gateway& gateway, const core::Intake& intake,
-                     core::Diary& diary, const deployment::MqttLinks& links, std::uint64_t seed)
+MqttFront::MqttFront(transport::Reactor& reactor, core::Gateway& gateway, const core::RequestReader& intake,
+                     core::EventLog& diary, const deployment::MqttLinks& links, std::uint64_t seed)
     : reactor_(reactor), gateway_(gateway), intake_(intake), diary_(diary), links_(links) {
   double weights = 0;
   for (const deployment::MqttTopic& rule : links.topics) weights += rule.weight;
--- a/src/frontends/mqtt_front.h
+++ b/src/frontends/mqtt_front.h
@@ -21,8 +21,8 @@
 
 class MqttFront {
  public:
-  MqttFront(transport::Reactor& reactor, core::Gateway& gateway, const core::Intake& intake,
-            core::Diary& diary, const deployment::MqttLinks& links, std::uint64_t seed);
+  MqttFront(transport::Reactor& reactor, core::Gateway& gateway, const core::RequestReader& intake,
+            core::EventLog& diary, const deployment::MqttLinks& links, std::uint64_t seed);
   ~MqttFront();
   MqttFront(const MqttFront&) = delete;
   MqttFront& operator=(const MqttFront&) = delete;
@@ -36,8 +36,8 @@
   class Session;
   transport::Reactor& reactor_;
   core::Gateway& gateway_;
-  const core::Intake& intake_;
-  core::Diary& diary_;
+  const core::RequestReader& intake_;
+  core::EventLog& diary_;
   deployment::MqttLinks links_;
   MqttTally tally_;
   bool winding_up_ = false;
--- a/src/lab/bench.cpp
+++ b/src/lab/bench.cpp
@@ -84,7 +84,7 @@
 
   std::vector<std::unique_ptr<Process>> start_routers(int count, const std::string& listen, int connections,
                                                       const std::string& more = "",
-                                                      const std::string& hard_limit = "1000s",
+                                                      const std::string& deadline_span = "1000s",
                                                       const std::string& permissions = "open = 200000\n") {
     Json servers = Json::array();
     for (std::size_t i = 0; i < echo_addresses_.size(); ++i)
@@ -102,7 +102,7 @@
                           << connections << "\n[http]\nbatch = 100\nlisten = " << listen
                           << "\n[roster]\nremembered = " << (folder_ / "roster.json")
                           << "\n[log]\nleast = warning\n[traffic lookup]\ndue = "
-                          << (hard_limit == "1s" ? "100ms" : "600s") << "\nhard-limit = " << hard_limit
+                          << (deadline_span == "1s" ? "100ms" : "600s") << "\nhard-limit = " << deadline_span
                           << "\n"
                              "effect = reissuable\n"
                           << more;
--- a/src/lab/emulate.cpp
+++ b/src/lab/emulate.cpp
@@ -34,16 +34,17 @@
 void print(const emulator::Spent& spent, const std::string& trace) {
   rusage used{};
   getrusage(RUSAGE_SELF, &used);
-  const double events = static_cast<double>(spent.tally.taken);
+  const double events = static_cast<double>(spent.tally.accepted);
   std::cout << std::fixed << std::setprecision(1) << spent.virtual_seconds << " s of virtual time in "
             << spent.real_seconds << " s, " << spent.virtual_seconds / spent.real_seconds
             << " virtual seconds a real one; " << std::setprecision(0) << spent.real_seconds / events * 1e6
             << " us an event, of them the module " << spent.module_seconds / events * 1e6 << "; "
             << std::setprecision(1) << static_cast<double>(spent.happenings) / events
             << " happenings an event; peak memory " << static_cast<double>(used.ru_maxrss) / 1024
-            << " MiB\nrouters: taken " << spent.tally.taken << ", shots " << spent.tally.shots << ", orders "
-            << spent.tally.orders << ", probes " << spent.tally.probes << ", words to peers "
-            << spent.tally.told << ", overdue " << spent.tally.overdue << "\ntrace " << trace << '\n';
+            << " MiB\nrouters: taken " << spent.tally.accepted << ", shots " << spent.tally.attempts
+            << ", orders " << spent.tally.prewarms << ", probes " << spent.tally.probes << ", words to peers "
+            << spent.tally.gossip_messages << ", overdue " << spent.tally.expired << "\ntrace " << trace
+            << '\n';
 }
 
 }  // namespace
--- a/src/lab/lag.cpp
+++ b/src/lab/lag.cpp
@@ -30,9 +30,9 @@
   void second_of_us(const replica::Writer&) override {}
   void honoured_twice(const std::string&, const replica::Writer&, const replica::Writer&) override {}
 };
-struct NoDiary final : core::Diary {
+struct NoEventLog final : core::EventLog {
   bool wants(core::Level) const override { return false; }
-  void line(core::Level, const char*, Fields) override {}
+  void write(core::Level, const char*, Fields) override {}
 };
 
 replica::Bounds bounds(int routers) {
@@ -54,7 +54,7 @@
                .everybody = addresses.size() <= replica::most_meeting},
               copy, diary) {}
   Unheeded unheeded;
-  NoDiary diary;
+  NoEventLog diary;
   replica::Replica copy;
   replicating::ReplicaLinks links;
 };
--- a/src/lab/mqtt_pump.cpp
+++ b/src/lab/mqtt_pump.cpp
@@ -14,13 +14,14 @@
 
 }  // namespace
 
-class MqttPump::Session final : public transport::StreamUser {
+class MqttPump::Session final : public transport::StreamHandler {
  public:
-  Session(MqttPump& pump, const transport::Arrival& arrival) : pump_(pump), reader_(0, longest_packet) {
+  Session(MqttPump& pump, const transport::PendingConnection& arrival)
+      : pump_(pump), reader_(0, longest_packet) {
     stream_ = transport::Stream::adopt(pump.reactor_, arrival, *this);
   }
   ~Session() override { stream_->close(); }
-  void arrived(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     in_ += bytes;
     Packet packet;
     while (!stream_->closed() && reader_.put(in_, packet) == mqtt::Progress::done) {
@@ -28,12 +29,12 @@
       packet = {};
     }
   }
-  void lost(transport::Loss) override {
+  void on_closed(transport::CloseReason) override {
     for (Session*& of : pump_.session_of_) {
       if (of == this) of = nullptr;
     }
     const auto it = pump_.sessions_.find(this);
-    pump_.reactor_.soon([gone = it->second] {});
+    pump_.reactor_.post([gone = it->second] {});
     pump_.sessions_.erase(it);
   }
   void send(const Packet& packet) { stream_->write(mqtt::encode(packet, reader_.version())); }
@@ -54,7 +55,7 @@
                    std::vector<Stream> streams, Time span, Time due, int functions)
     : reactor_(reactor), streams_(std::move(streams)), span_(span), due_(due), functions_(functions),
       session_of_(streams_.size()), next_(streams_.size()), results_(streams_.size()),
-      listener_(reactor, address, true, [this](const transport::Arrival& arrival) {
+      listener_(reactor, address, true, [this](const transport::PendingConnection& arrival) {
         const auto session = std::make_shared<Session>(*this, arrival);
         sessions_.emplace(session.get(), session);
       }) {}
@@ -118,7 +119,7 @@
     const auto step = static_cast<std::int64_t>(1e9 / streams_[i].rate);
     for (; next_[i] <= now; next_[i] += step) offer(i, next_[i]);
   }
-  reactor_.soon([this] { pace(); });  // turning without rest: the broker's own delay must not count
+  reactor_.post([this] { pace(); });  // turning without rest: the broker's own delay must not count
 }
 
 void MqttPump::offer(std::size_t stream, std::int64_t intended_ns) {
--- a/src/lab/pump.cpp
+++ b/src/lab/pump.cpp
@@ -39,13 +39,14 @@
 
 }  // namespace
 
-class Echo::Caller final : public transport::StreamUser, public std::enable_shared_from_this<Echo::Caller> {
+class Echo::Caller final : public transport::StreamHandler,
+                           public std::enable_shared_from_this<Echo::Caller> {
  public:
-  Caller(Echo& echo, const transport::Arrival& arrival) : echo_(echo) {
+  Caller(Echo& echo, const transport::PendingConnection& arrival) : echo_(echo) {
     stream_ = transport::Stream::adopt(echo.reactor_, arrival, *this);
   }
   ~Caller() override { stream_->close(); }
-  void arrived(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     in_ += bytes;
     while (take_message(in_)) {
       if (echo_.work_ == 0) {
@@ -63,9 +64,9 @@
     if (echo_.left_ > 0) --echo_.left_;
     stream_->write(bytes);
   }
-  void lost(transport::Loss) override {
+  void on_closed(transport::CloseReason) override {
     const auto it = echo_.callers_.find(this);
-    echo_.reactor_.soon([gone = it->second] {});
+    echo_.reactor_.post([gone = it->second] {});
     echo_.callers_.erase(it);
   }
 
@@ -97,19 +98,19 @@
   });
 }
 
-class Pump::Line final : public transport::StreamUser {
+class Pump::Line final : public transport::StreamHandler {
  public:
   Line(Pump& pump, const transport::Address& to) : pump_(pump) {
     stream = transport::Stream::connect(pump.reactor_, to, *this);
   }
   ~Line() override { stream->close(); }
-  void opened() override { pump_.answered(*this, false); }
-  void arrived(std::string_view bytes) override {
+  void on_connected() override { pump_.answered(*this, false); }
+  void on_data(std::string_view bytes) override {
     in_ += bytes;
     bool honoured = false;
     if (take_message(in_, &honoured)) pump_.answered(*this, honoured);
   }
-  void lost(transport::Loss) override { pump_.broken(*this); }
+  void on_closed(transport::CloseReason) override { pump_.broken(*this); }
 
   std::shared_ptr<transport::Stream> stream;
   std::int64_t intended = 0;  // of the request that is out; 0: none
@@ -169,7 +170,7 @@
     send(*line, late_[used++]);
   }
   late_.erase(late_.begin(), late_.begin() + static_cast<std::ptrdiff_t>(used));
-  reactor_.soon([this] { pace(); });  // turning without rest: a client's own delay must not count
+  reactor_.post([this] { pace(); });  // turning without rest: a client's own delay must not count
 }
 
 void Pump::send(Line& line, std::int64_t intended_ns) {
--- a/src/line_protocol/answers.cpp
+++ b/src/line_protocol/answers.cpp
@@ -30,11 +30,11 @@
   return value;
 }
 
-std::optional<Warmth> warmth_of(std::string_view remark) {
-  if (remark == "reused") return Warmth::found;
-  if (remark == "init") return Warmth::began_load;
-  if (remark == "shared_init") return Warmth::awaited_load;
-  if (remark == "init_error") return Warmth::load_failed;
+std::optional<CopyState> warmth_of(std::string_view remark) {
+  if (remark == "reused") return CopyState::loaded;
+  if (remark == "init") return CopyState::load_started;
+  if (remark == "shared_init") return CopyState::load_awaited;
+  if (remark == "init_error") return CopyState::load_failed;
   return std::nullopt;
 }
 
@@ -59,7 +59,7 @@
     if (equals == std::string_view::npos || equals == 0) return false;
     const std::string_view name = pair.substr(0, equals), value = pair.substr(equals + 1);
     if (name == "remark") {
-      answer.warmth = warmth_of(value).value_or(Warmth::untold);
+      answer.warmth = warmth_of(value).value_or(CopyState::unknown);
     } else if (name == "ahead" || name == "units") {
       const auto count = number<long>(value);
       if (!count || *count < 0) return false;
@@ -159,24 +159,25 @@
 }
 std::string evict(std::string_view function) { return line_of("evict", function); }
 
-std::optional<core::ShotResult> shot_result(Answer answer) {
-  core::ShotResult result{.warmth = answer.warmth, .crowd = answer.crowd, .report = std::move(answer.report)};
+std::optional<core::AttemptResult> attempt_result(Answer answer) {
+  core::AttemptResult result{
+      .copy_state = answer.warmth, .in_flight = answer.crowd, .report = std::move(answer.report)};
   switch (answer.word) {
     case Word::hit:
-      result.ending = Ending::honoured;
+      result.outcome = AttemptOutcome::succeeded;
       result.reply.data = std::move(answer.body);
       return result;
     case Word::none:
-      result.ending = Ending::not_stored;
+      result.outcome = AttemptOutcome::function_missing;
       return result;
     case Word::shed:
-      result.ending = Ending::turned_away;
+      result.outcome = AttemptOutcome::overloaded;
       return result;
     case Word::fault:
-      result.ending = Ending::error;
+      result.outcome = AttemptOutcome::error;
       return result;
     case Word::late:
-      result.ending = Ending::not_sent;  // its time was over when it came: it never ran
+      result.outcome = AttemptOutcome::not_sent;  // its time was over when it came: it never ran
       return result;
     case Word::pong:
     case Word::sick:
--- a/src/line_protocol/answers.h
+++ b/src/line_protocol/answers.h
@@ -16,7 +16,7 @@
 struct Answer {
   std::string id{};
   Word word = Word::hit;
-  Warmth warmth = Warmth::untold;  // load_failed also with none and fault
+  CopyState warmth = CopyState::unknown;  // load_failed also with none and fault
   int crowd = 0;
   int copies = 0;
   LoadReport report{};
@@ -69,6 +69,6 @@
 std::string evict(std::string_view function);
 
 // What an answer to a shot says; nothing: it is no answer to a shot.
-std::optional<core::ShotResult> shot_result(Answer answer);
+std::optional<core::AttemptResult> attempt_result(Answer answer);
 
 }  // namespace rushhill::line_protocol
--- a/src/log/diary.cpp
+++ b/src/log/event_log.cpp
@@ -1,4 +1,4 @@
-#include "log/diary.h"
+#include "log/event_log.h"
 
 #include <poll.h>
 #include <spdlog/pattern_formatter.h>
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-Diary::Diary(Form form, core::Level least, std::string who)
+EventLog::EventLog(Form form, core::Level least, std::string who)
     : form_(form), least_(least), who_(std::move(who)),
       logger_(
           std::make_shared<spdlog::logger>("rushhill", std::make_shared<spdlog::sinks::stderr_sink_mt>())) {
@@ -52,9 +52,9 @@
                          : "%Y-%m-%d %H:%M:%S.%e %L %v",
       spdlog::pattern_time_type::utc));
 }
-Diary::~Diary() = default;
+EventLog::~EventLog() = default;
 
-void Diary::line(core::Level level, const char* what, Fields fields) {
+void EventLog::write(core::Level level, const char* what, Fields fields) {
   if (!wants(level)) return;
   int left_out = 0;
   if (level != core::Level::debug) {
--- a/src/log/diary.h
+++ b/src/log/event_log.h
@@ -15,12 +15,12 @@
 
 enum class Form { people, json };
 
-class Diary final : public core::Diary {
+class EventLog final : public core::EventLog {
  public:
-  Diary(Form form, core::Level least, std::string who);
-  ~Diary() override;
+  EventLog(Form form, core::Level least, std::string who);
+  ~EventLog() override;
   bool wants(core::Level level) const override { return level >= least_; }
-  void line(core::Level level, const char* what, Fields fields) override;
+  void write(core::Level level, const char* what, Fields fields) override;
 
  private:
   // Lines of one kind are few a second above debug; the rest is counted and told with the next.
--- a/src/membership/board_client.cpp
+++ b/src/membership/board_client.cpp
@@ -15,12 +15,14 @@
 constexpr Time first_pause = 300;      // before the next try; doubled up to
 constexpr Time longest_pause = 4'800;  // which leaves several tries in the 2 s after which news count as told
 
-RosterForm form_of(const Notice& notice) { return notice.whole ? RosterForm::complete : RosterForm::changes; }
+EndpointListForm form_of(const Notice& notice) {
+  return notice.whole ? EndpointListForm::snapshot : EndpointListForm::delta;
+}
 
 }  // namespace
 
 // One connection to discovery, cut into lines.
-class BoardClient::Watch final : public transport::StreamUser {
+class BoardClient::Watch final : public transport::StreamHandler {
  public:
   explicit Watch(BoardClient& client) : client_(client) {
     stream_ = transport::Stream::connect(client.reactor_, client.address_, *this);
@@ -34,13 +36,13 @@
   Time since() const { return since_; }  // when it was established
 
  private:
-  void opened() override {
+  void on_connected() override {
     established_ = true;
     since_ = client_.reactor_.now();
     stream_->write("watch " + std::to_string(client_.last_) + "\n");
     client_.silent_after(beat_limit);
   }
-  void arrived(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     in_ += bytes;
     std::size_t at = 0;
     for (std::size_t end = 0; (end = in_.find('\n', at)) != std::string::npos; at = end + 1) {
@@ -54,7 +56,7 @@
     counted_ = in_.size();
     client_.alive(*this);
   }
-  void lost(transport::Loss) override { client_.failed(*this, "broken"); }
+  void on_closed(transport::CloseReason) override { client_.failed(*this, "broken"); }
 
   BoardClient& client_;
   std::shared_ptr<transport::Stream> stream_;
@@ -65,19 +67,19 @@
 };
 
 BoardClient::BoardClient(transport::Reactor& reactor, const transport::Address& address, std::int64_t last,
-                         std::uint64_t seed, core::Diary& diary, Heard heard)
+                         std::uint64_t seed, core::EventLog& diary, Heard heard)
     : reactor_(reactor), address_(address), last_(last),
       chance_(static_cast<std::uint_fast32_t>(seed % 16'777'216)), diary_(diary), heard_(std::move(heard)) {}
 
-BoardClient::~BoardClient() { reactor_.withdraw(alarm_); }
+BoardClient::~BoardClient() { reactor_.cancel(alarm_); }
 
-void BoardClient::follow(bool on) {
+void BoardClient::watch(bool on) {
   following_ = on;
   if (on && !watch_) connect();
 }
 
 // The board has no word for the list as a whole: what is missing comes with a new watch.
-void BoardClient::reload() {
+void BoardClient::resync() {
   drop(silent_);
   again("asked");
 }
@@ -96,7 +98,7 @@
 }
 
 void BoardClient::silent_after(Time span) {
-  reactor_.withdraw(alarm_);
+  reactor_.cancel(alarm_);
   alarm_ = reactor_.at(reactor_.now() + span, [this] { fell_silent(); });
 }
 
@@ -126,7 +128,7 @@
 void BoardClient::drop(std::shared_ptr<Watch>& watch) {
   if (!watch) return;
   watch->close();
-  reactor_.soon([gone = std::exchange(watch, nullptr)] {});
+  reactor_.post([gone = std::exchange(watch, nullptr)] {});
 }
 
 void BoardClient::line(Watch& watch, std::string_view text) {
@@ -142,8 +144,8 @@
   try {
     notice = read_line(text, as_told);
   } catch (const settings::BadField& wrong) {
-    diary_.line(core::Level::warning, "notice cannot be read",
-                {{"reason", wrong.what()}, {"line", std::string(text.substr(0, shown))}});
+    diary_.write(core::Level::warning, "notice cannot be read",
+                 {{"reason", wrong.what()}, {"line", std::string(text.substr(0, shown))}});
     return again("unreadable");
   }
   if (notice.number <= last_) {  // told before, or a beat that agrees
@@ -181,10 +183,10 @@
 
 // Doubling pauses, each with a part by chance, so that many routers do not come back in one moment.
 void BoardClient::again(const char* why) {
-  reactor_.withdraw(alarm_);
+  reactor_.cancel(alarm_);
   drop(watch_);
   if (!following_) return;
-  diary_.line(core::Level::info, "watching again", {{"reason", why}, {"last", std::to_string(last_)}});
+  diary_.write(core::Level::info, "watching again", {{"reason", why}, {"last", std::to_string(last_)}});
   const Time pause = std::min(first_pause << std::min(failures_++, 8), longest_pause);
   const double part = static_cast<double>(chance_()) / static_cast<double>(chance_.max());
   alarm_ = reactor_.at(reactor_.now() + static_cast<Time>(static_cast<double>(pause) * (0.5 + part / 2)),
--- a/src/membership/board_client.h
+++ b/src/membership/board_client.h
@@ -14,16 +14,16 @@
 
 namespace rushhill::membership {
 
-class BoardClient final : public core::RosterSource {
+class BoardClient final : public core::EndpointListSource {
  public:
-  using Heard = std::function<void(RosterForm, const std::vector<core::RosterEntry>&)>;
+  using Heard = std::function<void(EndpointListForm, const std::vector<core::EndpointListEntry>&)>;
 
   BoardClient(transport::Reactor& reactor, const transport::Address& address, std::int64_t last,
-              std::uint64_t seed, core::Diary& diary, Heard heard);
+              std::uint64_t seed, core::EventLog& diary, Heard heard);
   ~BoardClient() override;
 
-  void follow(bool on) override;
-  void reload() override;
+  void watch(bool on) override;
+  void resync() override;
   void move_to(const transport::Address& address);  // the numbers go on there
   // The initial endpoint list with its start times on this process's clock; before anything else is heard.
   Known translated(Known initial);
@@ -49,12 +49,12 @@
   transport::Address address_;
   std::int64_t last_;
   std::ranlux24_base chance_;
-  core::Diary& diary_;
+  core::EventLog& diary_;
   Heard heard_;
   StartTimeTranslator start_times_;
   std::shared_ptr<Watch> watch_;
   std::shared_ptr<Watch> silent_;  // an older one, which may still speak; only while watch_ has not
-  core::Alarm alarm_;
+  core::Timer alarm_;
   int failures_ = 0;
   bool following_ = false;
 };
--- a/src/membership/board_words.cpp
+++ b/src/membership/board_words.cpp
@@ -8,18 +8,18 @@
 
 constexpr std::array condition_words{"active", "leaving", "left"};
 
-core::RosterEntry read_host(const settings::Json& json, Time wall_offset) {
+core::EndpointListEntry read_host(const settings::Json& json, Time wall_offset) {
   const settings::Fields fields(json, "hosts");
-  core::RosterEntry entry;
-  entry.server.id = fields.text("host");
-  entry.server.condition = fields.word<Condition>("health", condition_words);
+  core::EndpointListEntry entry;
+  entry.endpoint.id = fields.text("host");
+  entry.endpoint.state = fields.word<EndpointState>("health", condition_words);
   entry.address = fields.text("dial", "");
-  entry.server.location = fields.text("site", "");
-  entry.server.kind = fields.text("class", "");
-  entry.server.cell = static_cast<int>(fields.whole("block", 0));
-  entry.server.rating = fields.number("share", 1);
+  entry.endpoint.location = fields.text("site", "");
+  entry.endpoint.kind = fields.text("class", "");
+  entry.endpoint.cell = static_cast<int>(fields.whole("block", 0));
+  entry.endpoint.rating = fields.number("share", 1);
   const std::int64_t born = fields.whole("born_ms", 0);
-  entry.server.started = born == 0 ? 0 : born * 10 - wall_offset;
+  entry.endpoint.started = born == 0 ? 0 : born * 10 - wall_offset;
   return entry;
 }
 
--- a/src/membership/board_words.h
+++ b/src/membership/board_words.h
@@ -16,7 +16,7 @@
   std::int64_t number = 0;
   bool beat = false;   // no event: the board's last number, told each second
   bool whole = false;  // else what has changed
-  std::vector<core::RosterEntry> entries{};
+  std::vector<core::EndpointListEntry> entries{};
 };
 
 // `wall_offset`: what is taken off a start's Unix time, in tenths of a millisecond; none where the start
--- a/src/membership/roster_client.cpp
+++ b/src/membership/roster_client.cpp
@@ -15,29 +15,29 @@
 }  // namespace
 
 RosterClient::RosterClient(transport::Reactor& reactor, const transport::Address& address, int router,
-                           Time retry, std::uint64_t seed, core::Diary& diary, Heard heard)
+                           Time retry, std::uint64_t seed, core::EventLog& diary, Heard heard)
     : reactor_(reactor), address_(address), router_(router), retry_(retry),
       chance_(static_cast<std::uint_fast32_t>(seed % 16'777'216)), diary_(diary), heard_(std::move(heard)) {}
 
 RosterClient::~RosterClient() {
-  reactor_.withdraw(again_);
+  reactor_.cancel(again_);
   if (stream_) stream_->close();
 }
 
-void RosterClient::follow(bool on) {
+void RosterClient::watch(bool on) {
   following_ = on;
   if (open_) return ask(on ? "follow" : "rest");
   if (on && !stream_) connect();
 }
 
-void RosterClient::reload() {
+void RosterClient::resync() {
   if (open_) return ask("reload");
   reload_due_ = true;
   if (!stream_) connect();
 }
 
 void RosterClient::connect() {
-  reactor_.withdraw(again_);
+  reactor_.cancel(again_);
   in_.clear();
   stream_ = transport::Stream::connect(reactor_, address_, *this);
   stream_->keepalive();
@@ -51,14 +51,14 @@
   stream_->write("{\"ask\":\"" + std::string(what) + "\",\"router\":" + std::to_string(router_) + "}\n");
 }
 
-void RosterClient::opened() {
+void RosterClient::on_connected() {
   open_ = true;
-  reactor_.withdraw(again_);
+  reactor_.cancel(again_);
   if (following_) ask("follow");
   if (std::exchange(reload_due_, false) && !following_) ask("reload");
 }
 
-void RosterClient::arrived(std::string_view bytes) {
+void RosterClient::on_data(std::string_view bytes) {
   in_ += bytes;
   for (;;) {
     const std::size_t end = in_.find('\n');
@@ -68,18 +68,18 @@
     try {
       RosterWord word = read_word(line, 0);
       for (const std::string& remark : word.remarks)
-        diary_.line(core::Level::warning, "roster disagrees with itself", {{"remark", remark}});
+        diary_.write(core::Level::warning, "roster disagrees with itself", {{"remark", remark}});
       failures_ = 0;
       take(std::move(word));
     } catch (const std::invalid_argument& wrong) {
       // The list as it stood stays in force; a complete one is asked for on a new connection.
-      diary_.line(core::Level::warning, "roster's word cannot be read", {{"reason", wrong.what()}});
+      diary_.write(core::Level::warning, "roster's word cannot be read", {{"reason", wrong.what()}});
       stream_->close();
       return broke();
     }
   }
   if (in_.size() > longest_line) {
-    diary_.line(core::Level::warning, "roster's word is too long", {});
+    diary_.write(core::Level::warning, "roster's word is too long", {});
     stream_->close();
     broke();
   }
@@ -87,7 +87,7 @@
 
 void RosterClient::take(RosterWord word) {
   remembered_.hear(word);
-  if (!std::exchange(heard_any_, true) && word.form == RosterForm::complete) {
+  if (!std::exchange(heard_any_, true) && word.form == EndpointListForm::snapshot) {
     start_times_.translate_snapshot(read_clocks(reactor_), latest_start(word.entries), word.form,
                                     word.entries);
   } else {
@@ -96,14 +96,14 @@
   heard_(word.form, word.entries);
 }
 
-void RosterClient::lost(transport::Loss) { broke(); }
+void RosterClient::on_closed(transport::CloseReason) { broke(); }
 
 void RosterClient::broke() {
   open_ = false;
-  reactor_.withdraw(again_);
-  reactor_.soon([gone = std::move(stream_)] {});
+  reactor_.cancel(again_);
+  reactor_.post([gone = std::move(stream_)] {});
   stream_.reset();
-  heard_(RosterForm::failed, {});
+  heard_(EndpointListForm::failed, {});
   // Doubling pauses, each with a part by chance, so that many routers do not come back in one moment.
   const Time pause =
       std::min(retry_ << std::min(failures_++, most_doublings), std::max(retry_, longest_pause));
--- a/src/membership/roster_client.h
+++ b/src/membership/roster_client.h
@@ -13,17 +13,17 @@
 
 namespace rushhill::membership {
 
-class RosterClient final : public core::RosterSource, private transport::StreamUser {
+class RosterClient final : public core::EndpointListSource, private transport::StreamHandler {
  public:
-  using Heard = std::function<void(RosterForm, const std::vector<core::RosterEntry>&)>;
+  using Heard = std::function<void(EndpointListForm, const std::vector<core::EndpointListEntry>&)>;
 
   RosterClient(transport::Reactor& reactor, const transport::Address& address, int router, Time retry,
-               std::uint64_t seed, core::Diary& diary, Heard heard);
+               std::uint64_t seed, core::EventLog& diary, Heard heard);
   ~RosterClient() override;
 
   // Asks from now on, also again after every break; `on` as in Host::follow.
-  void follow(bool on) override;
-  void reload() override;
+  void watch(bool on) override;
+  void resync() override;
 
   bool heard_any() const { return heard_any_; }
   // The list as it was told, its start times in Unix time.
@@ -35,19 +35,19 @@
   void ask(const char* what);
   void take(RosterWord word);
   void broke();
-  void opened() override;
-  void arrived(std::string_view bytes) override;
-  void lost(transport::Loss why) override;
+  void on_connected() override;
+  void on_data(std::string_view bytes) override;
+  void on_closed(transport::CloseReason why) override;
 
   transport::Reactor& reactor_;
   transport::Address address_;
   int router_;
   Time retry_;
   std::ranlux24_base chance_;
-  core::Diary& diary_;
+  core::EventLog& diary_;
   Heard heard_;
   std::shared_ptr<transport::Stream> stream_;
-  core::Alarm again_;
+  core::Timer again_;
   std::string in_;
   Remembered remembered_;
   StartTimeTranslator start_times_;
--- a/src/membership/roster_words.cpp
+++ b/src/membership/roster_words.cpp
@@ -36,35 +36,35 @@
   return value;
 }
 
-Condition condition(const std::string& word) {
-  if (word == "active") return Condition::active;
-  if (word == "draining") return Condition::leaving;
-  if (word == "gone") return Condition::left;
+EndpointState condition(const std::string& word) {
+  if (word == "active") return EndpointState::active;
+  if (word == "draining") return EndpointState::draining;
+  if (word == "gone") return EndpointState::removed;
   throw Fault("field 'condition' is none of active, draining, gone");
 }
 
-core::RosterEntry read_entry(const Json& entry, Time wall_offset) {
+core::EndpointListEntry read_entry(const Json& entry, Time wall_offset) {
   if (!entry.is_object()) throw Fault("an entry of 'servers' is not an object");
-  core::RosterEntry read;
-  read.server.id = text(entry, "id", nullptr);
-  if (read.server.id.empty()) throw Fault("field 'id' is empty");
-  if (!std::ranges::all_of(read.server.id, [](char c) { return c > ' ' && c < 0x7F; }))
+  core::EndpointListEntry read;
+  read.endpoint.id = text(entry, "id", nullptr);
+  if (read.endpoint.id.empty()) throw Fault("field 'id' is empty");
+  if (!std::ranges::all_of(read.endpoint.id, [](char c) { return c > ' ' && c < 0x7F; }))
     throw Fault("field 'id' holds more than visible ASCII characters");
   read.address = text(entry, "address", "");
   const double started_ms = number(entry, "started_ms", 0, 0, 1e14);
-  if (started_ms > 0) read.server.started = std::max<Time>(std::llround(started_ms * 10) - wall_offset, 1);
-  read.server.rating = number(entry, "rating", 1, 0, 1e9);
-  read.server.kind = text(entry, "kind", "");
-  read.server.location = text(entry, "location", "");
-  read.server.cell = static_cast<int>(number(entry, "cell", 0, -1e9, 1e9));
-  read.server.condition = condition(text(entry, "condition", "active"));
-  if (read.address.empty() && read.server.condition == Condition::active)
+  if (started_ms > 0) read.endpoint.started = std::max<Time>(std::llround(started_ms * 10) - wall_offset, 1);
+  read.endpoint.rating = number(entry, "rating", 1, 0, 1e9);
+  read.endpoint.kind = text(entry, "kind", "");
+  read.endpoint.location = text(entry, "location", "");
+  read.endpoint.cell = static_cast<int>(number(entry, "cell", 0, -1e9, 1e9));
+  read.endpoint.state = condition(text(entry, "condition", "active"));
+  if (read.address.empty() && read.endpoint.state == EndpointState::active)
     throw Fault("field 'address' is missing for an active server");
   return read;
 }
 
-const char* name_of(Condition of) {
-  return of == Condition::active ? "active" : of == Condition::leaving ? "draining" : "gone";
+const char* name_of(EndpointState of) {
+  return of == EndpointState::active ? "active" : of == EndpointState::draining ? "draining" : "gone";
 }
 
 }  // namespace
@@ -75,39 +75,39 @@
   RosterWord word;
   const std::string form = text(object, "form", nullptr);
   if (form != "complete" && form != "changes") throw Fault("field 'form' is neither complete nor changes");
-  word.form = form == "complete" ? RosterForm::complete : RosterForm::changes;
+  word.form = form == "complete" ? EndpointListForm::snapshot : EndpointListForm::delta;
   word.revision = static_cast<std::int64_t>(number(object, "revision", 0, 0, 9e15));
   const auto servers = object.find("servers");
   if (servers == object.end() || !servers->is_array()) throw Fault("field 'servers' is not a list");
   if (servers->size() > most_servers) throw Fault("field 'servers' holds more than 100000 entries");
   std::map<std::string, std::size_t> place, by_address;
   for (const Json& entry : *servers) {
-    core::RosterEntry read = read_entry(entry, wall_offset);
-    const auto [it, fresh] = place.try_emplace(read.server.id, word.entries.size());
+    core::EndpointListEntry read = read_entry(entry, wall_offset);
+    const auto [it, fresh] = place.try_emplace(read.endpoint.id, word.entries.size());
     if (fresh) {
       word.entries.push_back(std::move(read));
       continue;
     }
     // Named twice: the later start is the newer life; of one life the stricter condition holds.
-    word.remarks.push_back("server " + read.server.id + " is named twice");
-    core::RosterEntry& known = word.entries[it->second];
-    if (read.server.started < known.server.started) continue;
-    if (read.server.started == known.server.started)
-      read.server.condition = std::max(read.server.condition, known.server.condition);
+    word.remarks.push_back("server " + read.endpoint.id + " is named twice");
+    core::EndpointListEntry& known = word.entries[it->second];
+    if (read.endpoint.started < known.endpoint.started) continue;
+    if (read.endpoint.started == known.endpoint.started)
+      read.endpoint.state = std::max(read.endpoint.state, known.endpoint.state);
     known = std::move(read);
   }
   // An address that two active servers claim belongs to the one that started last: the other has gone.
   for (std::size_t i = 0; i < word.entries.size(); ++i) {
-    core::RosterEntry& entry = word.entries[i];
-    if (entry.server.condition == Condition::left || entry.address.empty()) continue;
+    core::EndpointListEntry& entry = word.entries[i];
+    if (entry.endpoint.state == EndpointState::removed || entry.address.empty()) continue;
     const auto [it, fresh] = by_address.try_emplace(entry.address, i);
     if (fresh) continue;
-    core::RosterEntry& other = word.entries[it->second];
-    word.remarks.push_back("address " + entry.address + " belongs to " + other.server.id + " and " +
-                           entry.server.id);
-    core::RosterEntry& older = other.server.started <= entry.server.started ? other : entry;
+    core::EndpointListEntry& other = word.entries[it->second];
+    word.remarks.push_back("address " + entry.address + " belongs to " + other.endpoint.id + " and " +
+                           entry.endpoint.id);
+    core::EndpointListEntry& older = other.endpoint.started <= entry.endpoint.started ? other : entry;
     if (&older == &other) it->second = i;
-    older.server.condition = Condition::left;
+    older.endpoint.state = EndpointState::removed;
     older.address.clear();
   }
   return word;
@@ -115,9 +115,9 @@
 
 std::string write_word(const RosterWord& word, Time wall_offset) {
   Json servers = Json::array();
-  for (const core::RosterEntry& entry : word.entries) {
-    const ModelServer& server = entry.server;
-    Json row{{"id", server.id}, {"address", entry.address}, {"condition", name_of(server.condition)}};
+  for (const core::EndpointListEntry& entry : word.entries) {
+    const Endpoint& server = entry.endpoint;
+    Json row{{"id", server.id}, {"address", entry.address}, {"condition", name_of(server.state)}};
     if (server.started > 0) row["started_ms"] = static_cast<double>(server.started + wall_offset) / 10;
     if (server.rating != 1) row["rating"] = server.rating;
     if (!server.kind.empty()) row["kind"] = server.kind;
@@ -125,26 +125,26 @@
     if (server.cell != 0) row["cell"] = server.cell;
     servers.push_back(std::move(row));
   }
-  const Json object{{"form", word.form == RosterForm::changes ? "changes" : "complete"},
+  const Json object{{"form", word.form == EndpointListForm::delta ? "changes" : "complete"},
                     {"revision", word.revision},
                     {"servers", std::move(servers)}};
   return object.dump();
 }
 
 void Remembered::hear(const RosterWord& word) {
-  if (word.form != RosterForm::changes) entries_.clear();
+  if (word.form != EndpointListForm::delta) entries_.clear();
   revision_ = word.revision;
-  for (const core::RosterEntry& entry : word.entries) {
-    if (entry.server.condition == Condition::left) {
-      entries_.erase(entry.server.id);
+  for (const core::EndpointListEntry& entry : word.entries) {
+    if (entry.endpoint.state == EndpointState::removed) {
+      entries_.erase(entry.endpoint.id);
     } else {
-      entries_.insert_or_assign(entry.server.id, entry);
+      entries_.insert_or_assign(entry.endpoint.id, entry);
     }
   }
 }
 
 RosterWord Remembered::whole() const {
-  RosterWord word{.form = RosterForm::remembered, .revision = revision_, .entries = {}};
+  RosterWord word{.form = EndpointListForm::cached, .revision = revision_, .entries = {}};
   for (const auto& [id, entry] : entries_) word.entries.push_back(entry);
   return word;
 }
--- a/src/membership/roster_words.h
+++ b/src/membership/roster_words.h
@@ -12,9 +12,9 @@
 namespace rushhill::membership {
 
 struct RosterWord {
-  RosterForm form = RosterForm::complete;
+  EndpointListForm form = EndpointListForm::snapshot;
   std::int64_t revision = 0;
-  std::vector<core::RosterEntry> entries{};
+  std::vector<core::EndpointListEntry> entries{};
   std::vector<std::string> remarks{};  // what was mended on reading: a server named twice, and the like
 };
 
@@ -30,7 +30,7 @@
   RosterWord whole() const;
 
  private:
-  std::map<ServerId, core::RosterEntry> entries_;
+  std::map<EndpointId, core::EndpointListEntry> entries_;
   std::int64_t revision_ = 0;
 };
 
--- a/src/membership/start_times.cpp
+++ b/src/membership/start_times.cpp
@@ -27,44 +27,44 @@
 
 Time latest_start(const EndpointEntries& entries) {
   Time latest = 0;
-  for (const core::RosterEntry& entry : entries) latest = std::max(latest, entry.server.started);
+  for (const core::EndpointListEntry& entry : entries) latest = std::max(latest, entry.endpoint.started);
   return latest;
 }
 
 template <typename FirstTranslation>
-void StartTimeTranslator::translate(RosterForm form, EndpointEntries& entries,
+void StartTimeTranslator::translate(EndpointListForm form, EndpointEntries& entries,
                                     FirstTranslation first_translation) {
-  std::map<ServerId, StartTime> replaced;
-  const bool whole = form != RosterForm::changes;
+  std::map<EndpointId, StartTime> replaced;
+  const bool whole = form != EndpointListForm::delta;
   if (whole) known_.swap(replaced);
-  const std::map<ServerId, StartTime>& earlier = whole ? replaced : known_;
-  for (core::RosterEntry& entry : entries) {
-    const auto known = earlier.find(entry.server.id);
+  const std::map<EndpointId, StartTime>& earlier = whole ? replaced : known_;
+  for (core::EndpointListEntry& entry : entries) {
+    const auto known = earlier.find(entry.endpoint.id);
     const StartTime last = known != earlier.end() ? known->second : StartTime{};
-    StartTime start{.told = entry.server.started, .translated = last.translated};
+    StartTime start{.told = entry.endpoint.started, .translated = last.translated};
     if (start.told == 0) start.translated = 0;
     if (start.told != 0 && start.told != last.told) {
       start.translated = first_translation(start.told);
       // Another start is another incarnation, also where both are heard of at one moment.
       if (start.translated == last.translated) ++start.translated;
     }
-    entry.server.started = start.translated;
+    entry.endpoint.started = start.translated;
     // Most servers started long ago; of these nothing has to be kept.
-    const bool kept = start.told != 0 && entry.server.condition != Condition::left;
+    const bool kept = start.told != 0 && entry.endpoint.state != EndpointState::removed;
     if (kept) {
-      known_[entry.server.id] = start;
+      known_[entry.endpoint.id] = start;
     } else if (!known_.empty()) {
-      known_.erase(entry.server.id);
+      known_.erase(entry.endpoint.id);
     }
   }
 }
 
-void StartTimeTranslator::translate_snapshot(const ClockReading& at, Time latest, RosterForm form,
+void StartTimeTranslator::translate_snapshot(const ClockReading& at, Time latest, EndpointListForm form,
                                              EndpointEntries& entries) {
   translate(form, entries, [&](Time told) { return at.monotonic - proven_age(at, latest, told); });
 }
 
-void StartTimeTranslator::translate_update(Time now, RosterForm form, EndpointEntries& entries) {
+void StartTimeTranslator::translate_update(Time now, EndpointListForm form, EndpointEntries& entries) {
   translate(form, entries, [now](Time) { return now; });
 }
 
--- a/src/membership/start_times.h
+++ b/src/membership/start_times.h
@@ -18,7 +18,7 @@
 };
 ClockReading read_clocks(const transport::Reactor& reactor);
 
-using EndpointEntries = std::vector<core::RosterEntry>;
+using EndpointEntries = std::vector<core::EndpointListEntry>;
 
 // The latest start among the entries, as told; 0 where none is told.
 Time latest_start(const EndpointEntries& entries);
@@ -39,9 +39,10 @@
  public:
   // A list of which this process has not seen how it came about: of its start, remembered, or the first one
   // that discovery tells. `latest`: the latest start told in all of its messages.
-  void translate_snapshot(const ClockReading& at, Time latest, RosterForm form, EndpointEntries& entries);
+  void translate_snapshot(const ClockReading& at, Time latest, EndpointListForm form,
+                          EndpointEntries& entries);
   // A watch event, or what a reload brings beyond these.
-  void translate_update(Time now, RosterForm form, EndpointEntries& entries);
+  void translate_update(Time now, EndpointListForm form, EndpointEntries& entries);
 
  private:
   struct StartTime {
@@ -49,9 +50,9 @@
     Time translated = 0;  // monotonic
   };
   template <typename FirstTranslation>
-  void translate(RosterForm form, EndpointEntries& entries, FirstTranslation first_translation);
+  void translate(EndpointListForm form, EndpointEntries& entries, FirstTranslation first_translation);
 
-  std::map<ServerId, StartTime> known_;  // of the listed servers that are told with a start
+  std::map<EndpointId, StartTime> known_;  // of the listed servers that are told with a start
 };
 
 }  // namespace rushhill::membership
--- a/src/node/configuration.h
+++ b/src/node/configuration.h
@@ -21,7 +21,7 @@
   std::vector<std::string> peers{};  // by router number, our own among them
   std::string peers_all{};
   std::string board{};
-  Deployment module{};
+  RoutingConfiguration module{};
   settings::Json known{};  // read when the clock's offset is known
   std::string fixed{};     // all but discovery's address and the list, as text, to see what a reload changes
 };
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -27,14 +27,14 @@
 
 constexpr double idle_part = 0.66;  // of the time after which servers close: ours close before
 
-class NoPeers final : public core::Peers {
+class NoPeers final : public core::PeerMessenger {
  public:
-  void tell(int, const std::string&) override {}
+  void send(int, const std::string&) override {}
 } no_peers;
 
 }  // namespace
 
-Node::Node(transport::Reactor& reactor, const Configuration& told, core::Diary& diary)
+Node::Node(transport::Reactor& reactor, const Configuration& told, core::EventLog& diary)
     : reactor_(reactor), diary_(diary), shares_(transport::share_descriptors(told.sockets, reserve)),
       pool_(reactor,
             {.shots_a_connection = std::max(told.module.shots_a_connection, 1),
@@ -43,24 +43,25 @@
              .idle = static_cast<Time>(static_cast<double>(told.module.connection_idle) * idle_part),
              .reports = told.module.reports != "" && told.module.reports != "none"},
             diary),
-      peers_(!told.module.peers
-                 ? nullptr
-                 : std::make_unique<transport::BarePeers>(
-                       reactor, transport::numeric_address(told.peer_listen), told.module.me, told.peers,
-                       told.peers_all,
-                       [this](int router, const std::string& bytes) { gateway_.peer_told(router, bytes); })),
+      peers_(!told.module.peers ? nullptr
+                                : std::make_unique<transport::BarePeers>(
+                                      reactor, transport::numeric_address(told.peer_listen),
+                                      told.module.router_number, told.peers, told.peers_all,
+                                      [this](int router, const std::string& bytes) {
+                                        gateway_.gossip_received(router, bytes);
+                                      })),
       board_(std::make_unique<membership::BoardClient>(
           reactor, transport::numeric_address(told.board), settings::Fields(told.known, "known").whole("rev"),
           told.seed, diary,
-          [this](RosterForm form, const std::vector<core::RosterEntry>& entries) {
-            gateway_.roster(form, entries);
+          [this](EndpointListForm form, const std::vector<core::EndpointListEntry>& entries) {
+            gateway_.endpoints_updated(form, entries);
           })),
       gateway_(told.module, told.seed,
                {.clock = reactor,
-                .carrier = pool_,
-                .peers = peers_ ? static_cast<core::Peers&>(*peers_) : no_peers,
-                .roster = *board_,
-                .diary = diary}),
+                .upstream = pool_,
+                .peers = peers_ ? static_cast<core::PeerMessenger&>(*peers_) : no_peers,
+                .endpoint_lists = *board_,
+                .log = diary}),
       front_(reactor, gateway_, diary, {.connections = shares_.clients}) {
   pool_.report_to(gateway_);
   const membership::Known known =
@@ -69,16 +70,16 @@
   bool first = true;
   for (const membership::Notice& notice : known.notices) {
     const bool whole = std::exchange(first, false) || notice.whole;
-    gateway_.roster(whole ? RosterForm::remembered : RosterForm::changes, notice.entries);
+    gateway_.endpoints_updated(whole ? EndpointListForm::cached : EndpointListForm::delta, notice.entries);
   }
-  if (first) gateway_.roster(RosterForm::remembered, {});
-  if (!told.module.roster_on_request) board_->follow(true);
-  for (const TrafficType& type : told.module.traffic_types)
-    longest_limit_ = std::max(longest_limit_, type.hard_limit);
+  if (first) gateway_.endpoints_updated(EndpointListForm::cached, {});
+  if (!told.module.roster_on_request) board_->watch(true);
+  for (const RequestClass& type : told.module.request_classes)
+    longest_limit_ = std::max(longest_limit_, type.deadline_span);
   fixed_ = told.fixed;
   front_.ready(true);
   address_ = front_.listen(transport::numeric_address(told.listen));
-  diary.line(core::Level::info, "serving", {{"address", address_.toString()}, {"name", told.name}});
+  diary.write(core::Level::info, "serving", {{"address", address_.toString()}, {"name", told.name}});
 }
 Node::~Node() = default;
 
@@ -86,9 +87,9 @@
   // All of it is read before any of it takes effect.
   const membership::Known known =
       membership::read_known(settings::Fields(changed.known, "known"), membership::as_told);
-  diary_.line(core::Level::info, "configuration read again", {{"board", changed.board}});
+  diary_.write(core::Level::info, "configuration read again", {{"board", changed.board}});
   if (changed.fixed != fixed_)
-    diary_.line(core::Level::warning, "changed settings, limits and addresses take effect at a restart", {});
+    diary_.write(core::Level::warning, "changed settings, limits and addresses take effect at a restart", {});
   board_->catch_up(known);
   board_->move_to(transport::numeric_address(changed.board));
 }
@@ -100,7 +101,7 @@
   end_by_ = killed_by - learned_after - answered_before;
   requests_until_ = std::min(now + still_coming, end_by_);
   front_.answer_by(end_by_);
-  diary_.line(core::Level::info, "winding up", {{"open", std::to_string(gateway_.open())}});
+  diary_.write(core::Level::info, "winding up", {{"open", std::to_string(gateway_.open_requests())}});
   wait_for_end(ended);
 }
 
@@ -109,8 +110,8 @@
 void Node::wait_for_end(const std::function<void()>& ended) {
   const Time now = reactor_.now();
   if (now >= requests_until_) front_.stop_listening();
-  if (now >= end_by_) gateway_.end_all();
-  const bool over = now >= requests_until_ && gateway_.open() == 0 && !gateway_.owes();
+  if (now >= end_by_) gateway_.expire_all();
+  const bool over = now >= requests_until_ && gateway_.open_requests() == 0 && !gateway_.any_client_waits();
   if (over && (front_.all_sent() || now >= end_by_ + last_answers)) {
     front_.finish();
     return take_leave(ended, now + leave_taking);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -18,7 +18,7 @@
 class Node {
  public:
   // Listens at once; throws where an address cannot be had. `told.sockets`: descriptors that are free for it.
-  Node(transport::Reactor& reactor, const Configuration& told, core::Diary& diary);
+  Node(transport::Reactor& reactor, const Configuration& told, core::EventLog& diary);
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
@@ -40,7 +40,7 @@
   void look_again(std::function<void()> look);
 
   transport::Reactor& reactor_;
-  core::Diary& diary_;
+  core::EventLog& diary_;
   transport::DescriptorShares shares_;
   upstream::LinePool pool_;
   std::unique_ptr<transport::BarePeers> peers_;
--- a/src/node/reloader.cpp
+++ b/src/node/reloader.cpp
@@ -25,13 +25,13 @@
   }
 }
 
-Reloader::Reloader(core::Clockwork& clock, std::string path, core::Diary& diary, Apply apply)
+Reloader::Reloader(core::TimerService& clock, std::string path, core::EventLog& diary, Apply apply)
     : clock_(clock), path_(std::move(path)), diary_(diary), apply_(std::move(apply)) {}
 
-Reloader::~Reloader() { clock_.withdraw(retry_); }
+Reloader::~Reloader() { clock_.cancel(retry_); }
 
 void Reloader::reload() {
-  clock_.withdraw(retry_);
+  clock_.cancel(retry_);
   attempts_ = 0;
   attempt();
 }
@@ -45,7 +45,7 @@
       retry_ = clock_.at(clock_.now() + retry_after, [this] { attempt(); });
       return;
     }
-    diary_.line(core::Level::error, "configuration not read: the old one stays", {{"reason", wrong.what()}});
+    diary_.write(core::Level::error, "configuration not read: the old one stays", {{"reason", wrong.what()}});
   }
 }
 
--- a/src/node/reloader.h
+++ b/src/node/reloader.h
@@ -5,8 +5,8 @@
 #include <functional>
 #include <string>
 
-#include "core/clockwork.h"
 #include "core/ports.h"
+#include "core/timer_service.h"
 #include "node/configuration.h"
 
 namespace rushhill::node {
@@ -18,7 +18,7 @@
  public:
   using Apply = std::function<void(const Configuration&)>;
 
-  Reloader(core::Clockwork& clock, std::string path, core::Diary& diary, Apply apply);
+  Reloader(core::TimerService& clock, std::string path, core::EventLog& diary, Apply apply);
   ~Reloader();
   Reloader(const Reloader&) = delete;
   Reloader& operator=(const Reloader&) = delete;
@@ -28,11 +28,11 @@
  private:
   void attempt();
 
-  core::Clockwork& clock_;
+  core::TimerService& clock_;
   std::string path_;
-  core::Diary& diary_;
+  core::EventLog& diary_;
   Apply apply_;
-  core::Alarm retry_;
+  core::Timer retry_;
   int attempts_ = 0;
 };
 
