--- a/src/replicating/replica_links.cpp
+++ b/src/replicating/replica_links.cpp
@@ -26,7 +26,7 @@
   return 3 * (everybody ? all : static_cast<std::size_t>(std::bit_width(all)));
 }
 
-class ReplicaLinks::Link final : public transport::StreamUser,
+class ReplicaLinks::Link final : public transport::StreamHandler,
                                  public replica::Line,
                                  public transport::Numbered {
  public:
@@ -34,7 +34,7 @@
       : links_(links), dialled_(router), talk_(links.ways_.hello, links.copy_, *this, links.ways_.pace) {
     begin(Stream::connect(links.reactor_, address, *this));
   }
-  Link(ReplicaLinks& links, const transport::Arrival& arrival)
+  Link(ReplicaLinks& links, const transport::PendingConnection& arrival)
       : links_(links), talk_(links.ways_.hello, links.copy_, *this, links.ways_.pace) {
     begin(Stream::adopt(links.reactor_, arrival, *this));
     talk_.opened();
@@ -43,8 +43,8 @@
     if (stream_) stream_->close();
   }
 
-  void opened() override { talk_.opened(); }
-  void arrived(std::string_view bytes) override {
+  void on_connected() override { talk_.opened(); }
+  void on_data(std::string_view bytes) override {
     const auto self = links_.links_.at(this);
     heard_ = links_.reactor_.now();
     const bool met = talk_.greeted();
@@ -53,11 +53,11 @@
     if (!good) links_.end(*this, talk_.reason());
     if (links_.ways_.heard) links_.ways_.heard();
   }
-  void lost(transport::Loss why) override {
-    links_.end(*this, why == transport::Loss::refused ? "refused" : "lost");
+  void on_closed(transport::CloseReason why) override {
+    links_.end(*this, why == transport::CloseReason::connect_failed ? "refused" : "lost");
   }
   void send(const std::string& bytes) override { stream_->write(bytes); }
-  std::size_t unsent() const override { return stream_->waiting(); }
+  std::size_t unsent() const override { return stream_->pending_bytes(); }
 
   void close() { stream_->close(); }
   int dialled() const { return dialled_; }  // -1: the other came to us
@@ -83,19 +83,19 @@
 };
 
 ReplicaLinks::ReplicaLinks(transport::Reactor& reactor, const Ways& ways, replica::Replica& copy,
-                           core::Diary& diary)
+                           core::EventLog& diary)
     : reactor_(reactor), ways_(ways), copy_(copy), diary_(diary),
       listener_(reactor, transport::numeric_address(ways.listen), true,
-                [this](const transport::Arrival& arrival) { accept(arrival); }) {
+                [this](const transport::PendingConnection& arrival) { accept(arrival); }) {
   for (std::size_t i = 0; i < ways_.addresses.size(); ++i) {
     if (!ways_.addresses[i].empty()) transport::numeric_address(ways_.addresses[i]);
   }
   turn();
 }
 
-ReplicaLinks::~ReplicaLinks() { reactor_.withdraw(alarm_); }
+ReplicaLinks::~ReplicaLinks() { reactor_.cancel(alarm_); }
 
-void ReplicaLinks::accept(const transport::Arrival& arrival) {
+void ReplicaLinks::accept(const transport::PendingConnection& arrival) {
   const auto came = std::ranges::count_if(links_, [](const auto& item) { return item.first->dialled() < 0; });
   if (static_cast<std::size_t>(came) >= ways_.most_links * 2 / 3 && !make_room()) return arrival.refuse();
   const auto link = std::make_shared<Link>(*this, arrival);
@@ -113,7 +113,7 @@
 
 void ReplicaLinks::written() {
   if (std::exchange(telling_soon_, true)) return;
-  reactor_.soon([this, alive = std::weak_ptr(life_)] {
+  reactor_.post([this, alive = std::weak_ptr(life_)] {
     if (alive.expired()) return;
     telling_soon_ = false;
     tell_now();
@@ -179,7 +179,7 @@
     end(link_stays ? *other : link, "");
     if (!link_stays) return;
   }
-  diary_.line(Level::info, "copies exchanged with", {{"router", std::to_string(router)}});
+  diary_.write(Level::info, "copies exchanged with", {{"router", std::to_string(router)}});
 }
 
 void ReplicaLinks::end(Link& link, const std::string& why) {
@@ -197,10 +197,10 @@
     far.again_at = reactor_.now() + far.pause;
   }
   if (!why.empty() && why != "refused")
-    diary_.line(Level::warning, "copies no longer exchanged",
-                {{"router", std::to_string(router)}, {"reason", why}});
+    diary_.write(Level::warning, "copies no longer exchanged",
+                 {{"router", std::to_string(router)}, {"reason", why}});
   // It may be the one that is calling: it goes when that call has returned.
-  reactor_.soon([gone] {});
+  reactor_.post([gone] {});
 }
 
 std::set<int> ReplicaLinks::met() const {
--- a/src/replicating/replica_links.h
+++ b/src/replicating/replica_links.h
@@ -34,7 +34,7 @@
 class ReplicaLinks {
  public:
   // Listens at once; throws where an address cannot be had.
-  ReplicaLinks(transport::Reactor& reactor, const Ways& ways, replica::Replica& copy, core::Diary& diary);
+  ReplicaLinks(transport::Reactor& reactor, const Ways& ways, replica::Replica& copy, core::EventLog& diary);
   ~ReplicaLinks();
   ReplicaLinks(const ReplicaLinks&) = delete;
   ReplicaLinks& operator=(const ReplicaLinks&) = delete;
@@ -64,7 +64,7 @@
     Time pause = 0, again_at = 0;  // while it could not be reached
   };
 
-  void accept(const transport::Arrival& arrival);
+  void accept(const transport::PendingConnection& arrival);
   bool make_room();
   void turn();
   void look(Time now);
@@ -75,10 +75,10 @@
   transport::Reactor& reactor_;
   Ways ways_;
   replica::Replica& copy_;
-  core::Diary& diary_;
+  core::EventLog& diary_;
   std::map<Link*, std::shared_ptr<Link>, transport::ByNumber> links_;
   std::map<int, Far> far_;
-  core::Alarm alarm_;
+  core::Timer alarm_;
   Time look_at_ = 0;
   bool telling_soon_ = false;
   std::shared_ptr<int> life_ = std::make_shared<int>(0);
--- a/src/router/remembered_endpoint_list.cpp
+++ b/src/router/remembered_endpoint_list.cpp
@@ -53,7 +53,7 @@
   return out;
 }
 
-RememberedEndpointList::RememberedEndpointList(core::Clockwork& clock, core::Diary& diary,
+RememberedEndpointList::RememberedEndpointList(core::TimerService& clock, core::EventLog& diary,
                                                const StorageAccess& access, const std::string& path,
                                                std::uint64_t seed, Source source)
     : clock_(clock), diary_(diary), execute_(access.execute),
@@ -72,14 +72,14 @@
     begin_write();
     ended = settle();
   }
-  clock_.withdraw(timer_);
+  clock_.cancel(timer_);
   if (!ended || unsaved_)
-    diary_.line(Level::warning, "endpoint list is not saved at the end", {{"file", writer_->path()}});
+    diary_.write(Level::warning, "endpoint list is not saved at the end", {{"file", writer_->path()}});
 }
 
 void RememberedEndpointList::changed() {
   unsaved_ = true;
-  if (!running_.valid() && timer_ == core::Alarm{}) schedule(not_before_);
+  if (!running_.valid() && timer_ == core::Timer{}) schedule(not_before_);
 }
 
 void RememberedEndpointList::flush() {
@@ -87,7 +87,7 @@
 }
 
 void RememberedEndpointList::schedule(Time when) {
-  clock_.withdraw(timer_);
+  clock_.cancel(timer_);
   timer_ = clock_.at(std::max(when, clock_.now()), [this] {
     timer_ = {};
     begin_write();
@@ -95,7 +95,7 @@
 }
 
 void RememberedEndpointList::begin_write() {
-  clock_.withdraw(timer_);
+  clock_.cancel(timer_);
   timer_ = {};
   unsaved_ = false;
   ++writes_.attempts;
@@ -129,15 +129,15 @@
   ++writes_.failures[error.operation];
   ++consecutive_failures_;
   if (std::exchange(writes_.failing, true)) return;
-  diary_.line(Level::warning, "endpoint list cannot be saved",
-              {{"file", writer_->path()}, {"reason", storage::describe(error)}});
+  diary_.write(Level::warning, "endpoint list cannot be saved",
+               {{"file", writer_->path()}, {"reason", storage::describe(error)}});
 }
 
 void RememberedEndpointList::note_success() {
   const int failed = std::exchange(consecutive_failures_, 0);
   if (!std::exchange(writes_.failing, false)) return;
-  diary_.line(Level::info, "endpoint list is saved again",
-              {{"file", writer_->path()}, {"failed_attempts", std::to_string(failed)}});
+  diary_.write(Level::info, "endpoint list is saved again",
+               {{"file", writer_->path()}, {"failed_attempts", std::to_string(failed)}});
 }
 
 // Doubling up to a bound, each with a random part, so that routers on one disk do not retry at one moment.
@@ -149,12 +149,12 @@
 }
 
 membership::RosterWord read_remembered_list(storage::FileSystem& files, const std::string& path,
-                                            Time wall_offset, core::Diary& diary) {
-  membership::RosterWord none{.form = RosterForm::remembered};
+                                            Time wall_offset, core::EventLog& diary) {
+  membership::RosterWord none{.form = EndpointListForm::cached};
   if (path.empty()) return none;
   const auto refused = [&](const std::string& reason) {
-    diary.line(Level::warning, "remembered endpoint list cannot be read",
-               {{"file", path}, {"reason", reason}});
+    diary.write(Level::warning, "remembered endpoint list cannot be read",
+                {{"file", path}, {"reason", reason}});
     return none;
   };
   const storage::ReadResult read = storage::read_file(files, path, longest_file);
@@ -162,7 +162,7 @@
   if (read.failure) return refused(storage::describe(*read.failure));
   try {
     membership::RosterWord list = parse_list(read.content, wall_offset);
-    list.form = RosterForm::remembered;
+    list.form = EndpointListForm::cached;
     return list;
   } catch (const std::invalid_argument& error) {
     return refused(error.what());
--- a/src/router/remembered_endpoint_list.h
+++ b/src/router/remembered_endpoint_list.h
@@ -12,8 +12,8 @@
 #include <random>
 #include <string>
 
-#include "core/clockwork.h"
 #include "core/ports.h"
+#include "core/timer_service.h"
 #include "membership/roster_words.h"
 #include "storage/background_task.h"
 #include "storage/files.h"
@@ -45,7 +45,7 @@
   using Source = std::function<EndpointListSnapshot()>;
 
   // Reads nothing and writes nothing before the first change. `source` is asked on the loop, until the end.
-  RememberedEndpointList(core::Clockwork& clock, core::Diary& diary, const StorageAccess& access,
+  RememberedEndpointList(core::TimerService& clock, core::EventLog& diary, const StorageAccess& access,
                          const std::string& path, std::uint64_t seed, Source source);
   // Makes a last attempt for what is not written, and waits for it for a bounded time.
   ~RememberedEndpointList();
@@ -67,15 +67,15 @@
   void note_success();
   Time backoff();
 
-  core::Clockwork& clock_;
-  core::Diary& diary_;
+  core::TimerService& clock_;
+  core::EventLog& diary_;
   storage::Execute execute_;
   std::shared_ptr<storage::AtomicFileWriter> writer_;  // shared with a write that outlives this
   Source source_;
   std::ranlux24_base random_;
   EndpointListWrites writes_;
   std::future<storage::Failure> running_;  // valid: a write is under way
-  core::Alarm timer_;                      // of the next write, or of the next look at the one under way
+  core::Timer timer_;                      // of the next write, or of the next look at the one under way
   Time not_before_ = 0;
   int consecutive_failures_ = 0;
   bool unsaved_ = false;
@@ -84,6 +84,6 @@
 // The list as a file holds it. An unreadable, cut, empty or foreign file is logged with its reason, left as
 // it is, and counts as an empty list; so does a missing one, which is not logged.
 membership::RosterWord read_remembered_list(storage::FileSystem& files, const std::string& path,
-                                            Time wall_offset, core::Diary& diary);
+                                            Time wall_offset, core::EventLog& diary);
 
 }  // namespace rushhill::router
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -16,14 +16,14 @@
 
 constexpr Time look_every = 100;  // tenths of a millisecond between looks whether all is wound up
 
-class NoPeers final : public core::Peers {
+class NoPeers final : public core::PeerMessenger {
  public:
-  void tell(int, const std::string&) override {}
+  void send(int, const std::string&) override {}
 } no_peers;
-class NoRoster final : public core::RosterSource {
+class NoRoster final : public core::EndpointListSource {
  public:
-  void follow(bool) override {}
-  void reload() override {}
+  void watch(bool) override {}
+  void resync() override {}
 } no_roster;
 
 // The remembered list keeps start times in Unix time, as they were told: nothing is taken off them.
@@ -52,7 +52,7 @@
 
 membership::RosterWord whole_list(const membership::Remembered& remembered) {
   membership::RosterWord list = remembered.whole();
-  list.form = RosterForm::complete;
+  list.form = EndpointListForm::snapshot;
   return list;
 }
 
@@ -63,10 +63,10 @@
 }  // namespace
 
 RouterProcess::RouterProcess(transport::Reactor& reactor, const deployment::Program& program,
-                             std::uint64_t seed, core::Diary& diary, const StorageAccess& storage)
+                             std::uint64_t seed, core::EventLog& diary, const StorageAccess& storage)
     : reactor_(reactor), program_(bounded(program)), server_connections_(shares_of(program).servers),
       diary_(diary), pool_(reactor,
-                           {.router = program.module.me,
+                           {.router = program.module.router_number,
                             .connections = program.links.connections,
                             .total = server_connections_,
                             .connect_limit = program.module.connect_limit,
@@ -76,22 +76,26 @@
       peers_(!program.module.peers
                  ? nullptr
                  : std::make_unique<transport::PeerLinks>(
-                       reactor, program.peers.listen, program.module.me, program.peers.addresses,
-                       [this](int router, const std::string& bytes) { gateway_.peer_told(router, bytes); })),
+                       reactor, program.peers.listen, program.module.router_number, program.peers.addresses,
+                       [this](int router, const std::string& bytes) {
+                         gateway_.gossip_received(router, bytes);
+                       })),
       shared_(program.replica.listen.empty()
                   ? nullptr
                   : std::make_unique<SharedState>(
                         reactor, program, seed, diary,
-                        [this](double orders) { gateway_.ration_known(orders); },
-                        [this](EventId event, core::Taking how) { gateway_.marked(event, how); })),
+                        [this](double orders) { gateway_.load_budget_restored(orders); },
+                        [this](RequestId event, core::AdmissionVerdict how) {
+                          gateway_.admission_decided(event, how);
+                        })),
       roster_(program.roster.address.empty()
                   ? nullptr
                   : std::make_unique<membership::RosterClient>(
-                        reactor, transport::numeric_address(program.roster.address), program.module.me,
-                        program.roster.retry, seed, diary,
-                        [this](RosterForm form, const std::vector<core::RosterEntry>& entries) {
-                          gateway_.roster(form, entries);
-                          if (form == RosterForm::failed) return;
+                        reactor, transport::numeric_address(program.roster.address),
+                        program.module.router_number, program.roster.retry, seed, diary,
+                        [this](EndpointListForm form, const std::vector<core::EndpointListEntry>& entries) {
+                          gateway_.endpoints_updated(form, entries);
+                          if (form == EndpointListForm::failed) return;
                           front_.ready(true);
                           if (remembered_list_) remembered_list_->changed();
                         })),
@@ -105,11 +109,11 @@
                                  })),
       gateway_(program.module, seed,
                {.clock = reactor,
-                .carrier = pool_,
-                .peers = peers_ ? static_cast<core::Peers&>(*peers_) : no_peers,
-                .roster = roster_ ? static_cast<core::RosterSource&>(*roster_) : no_roster,
-                .diary = diary,
-                .ledger = shared_.get()}),
+                .upstream = pool_,
+                .peers = peers_ ? static_cast<core::PeerMessenger&>(*peers_) : no_peers,
+                .endpoint_lists = roster_ ? static_cast<core::EndpointListSource&>(*roster_) : no_roster,
+                .log = diary,
+                .deduplication = shared_.get()}),
       intake_(program.module, program.type_of_event),
       front_(reactor, gateway_, intake_, diary,
              {.connections = program_.http.connections,
@@ -128,14 +132,14 @@
   membership::StartTimeTranslator& start_times = roster_ ? roster_->start_times() : unfollowed;
   start_times.translate_snapshot(membership::read_clocks(reactor), membership::latest_start(recalled.entries),
                                  recalled.form, recalled.entries);
-  gateway_.roster(recalled.form, recalled.entries);
-  if (roster_ && !program.module.roster_on_request) roster_->follow(true);
+  gateway_.endpoints_updated(recalled.form, recalled.entries);
+  if (roster_ && !program.module.roster_on_request) roster_->watch(true);
   if (!program.mqtt.address.empty())
     mqtt_ = std::make_unique<frontends::MqttFront>(reactor, gateway_, intake_, diary, program.mqtt, seed);
   const std::string& where = program.http.listen;
   address_ = where.starts_with("fd:") ? front_.listen_inherited(std::stoi(where.substr(3)))
                                       : front_.listen(transport::numeric_address(where), true);
-  diary.line(Level::info, "serving", {{"address", address_.toString()}, {"seed", std::to_string(seed)}});
+  diary.write(Level::info, "serving", {{"address", address_.toString()}, {"seed", std::to_string(seed)}});
 }
 
 RouterProcess::~RouterProcess() = default;
@@ -143,7 +147,7 @@
 void RouterProcess::wind_up(std::function<void()> ended) {
   if (winding_up()) return;
   end_by_ = reactor_.now() + std::max<Time>(program_.http.wind_up, 1);
-  diary_.line(Level::info, "winding up", {{"open", std::to_string(gateway_.open())}});
+  diary_.write(Level::info, "winding up", {{"open", std::to_string(gateway_.open_requests())}});
   front_.wind_up();
   if (mqtt_) mqtt_->wind_up();
   if (remembered_list_) remembered_list_->flush();
@@ -151,7 +155,7 @@
 }
 
 void RouterProcess::wait_for_end(const std::function<void()>& ended) {
-  const bool done = gateway_.open() == 0 && front_.connections() == 0 && (!mqtt_ || mqtt_->idle());
+  const bool done = gateway_.open_requests() == 0 && front_.connections() == 0 && (!mqtt_ || mqtt_->idle());
   if (done || reactor_.now() >= end_by_) return ended();
   reactor_.at(reactor_.now() + look_every, [this, ended, alive = std::weak_ptr(life_)] {
     if (!alive.expired()) wait_for_end(ended);
@@ -159,28 +163,28 @@
 }
 
 std::string RouterProcess::tally() const {
-  const core::Tally& tally = gateway_.tally();
+  const core::Counters& tally = gateway_.tally();
   rusage used{};
   getrusage(RUSAGE_SELF, &used);
-  return nlohmann::json{{"router", program_.module.me},
-                        {"taken", tally.taken},
-                        {"honoured", tally.honoured},
-                        {"shed", tally.shed},
-                        {"abandoned", tally.abandoned},
-                        {"known", tally.known},
-                        {"not_held", tally.not_held},
-                        {"gone", tally.gone},
-                        {"refused", tally.refused},
-                        {"overdue", tally.overdue},
+  return nlohmann::json{{"router", program_.module.router_number},
+                        {"taken", tally.accepted},
+                        {"honoured", tally.succeeded},
+                        {"shed", tally.rejected},
+                        {"abandoned", tally.failed},
+                        {"known", tally.duplicates},
+                        {"not_held", tally.not_replicated},
+                        {"gone", tally.cancelled},
+                        {"refused", tally.not_accepted},
+                        {"overdue", tally.expired},
                         {"http_requests", frontends::to_text(front_.counts())},
-                        {"shots", tally.shots},
+                        {"shots", tally.attempts},
                         {"attempts_after_cancel", tally.attempts_after_cancel},
                         {"probes", tally.probes},
-                        {"orders", tally.orders},
-                        {"told", tally.told},
-                        {"endings", tally.endings},
-                        {"open", gateway_.open()},
-                        {"module_seconds", static_cast<double>(gateway_.module_ns()) / 1e9},
+                        {"orders", tally.prewarms},
+                        {"told", tally.gossip_messages},
+                        {"endings", tally.outcomes},
+                        {"open", gateway_.open_requests()},
+                        {"module_seconds", static_cast<double>(gateway_.policy_ns()) / 1e9},
                         {"cpu_seconds", seconds(used.ru_utime) + seconds(used.ru_stime)},
                         {"peak_memory_kib", used.ru_maxrss}}
       .dump();
--- a/src/router/router_process.h
+++ b/src/router/router_process.h
@@ -24,7 +24,7 @@
  public:
   // Listens at once; throws where an address cannot be had.
   RouterProcess(transport::Reactor& reactor, const deployment::Program& program, std::uint64_t seed,
-                core::Diary& diary, const StorageAccess& storage = {});
+                core::EventLog& diary, const StorageAccess& storage = {});
   ~RouterProcess();
   RouterProcess(const RouterProcess&) = delete;
   RouterProcess& operator=(const RouterProcess&) = delete;
@@ -46,14 +46,14 @@
   transport::Reactor& reactor_;
   const deployment::Program program_;     // with no more connections than there are descriptors for
   const std::size_t server_connections_;  // 0: no bound
-  core::Diary& diary_;
+  core::EventLog& diary_;
   transport::ServerPool pool_;
   std::unique_ptr<transport::PeerLinks> peers_;
   std::unique_ptr<SharedState> shared_;  // none: nothing is held together
   std::unique_ptr<membership::RosterClient> roster_;
   std::unique_ptr<RememberedEndpointList> remembered_list_;  // none: no file is named for it
   core::Gateway gateway_;
-  core::Intake intake_;
+  core::RequestReader intake_;
   frontends::HttpFront front_;
   std::unique_ptr<frontends::MqttFront> mqtt_;
   transport::Address address_;
--- a/src/router/shared_state.cpp
+++ b/src/router/shared_state.cpp
@@ -57,17 +57,18 @@
 }
 
 SharedState::SharedState(transport::Reactor& reactor, const deployment::Program& program, std::uint64_t seed,
-                         core::Diary& diary, RationKnown known, Marked marked)
+                         core::EventLog& diary, RationKnown known, Marked marked)
     : reactor_(reactor), diary_(diary), told_(program.replica), routers_(program.module.routers),
       others_(others_of(program)), window_(program.module.load_window), born_(reactor.now()),
       known_(std::move(known)), marked_(std::move(marked)),
-      copy_({program.module.me, incarnation_of(seed, reactor.clock_ns())}, bounds_of(program), *this),
+      copy_({program.module.router_number, incarnation_of(seed, reactor.clock_ns())}, bounds_of(program),
+            *this),
       marks_(copy_, routers_, others_, *this),
       links_(reactor,
              {.listen = program.replica.listen,
               .addresses = program.replica.addresses,
               .hello = {.deployment = program.replica.deployment,
-                        .name = "router-" + std::to_string(program.module.me),
+                        .name = "router-" + std::to_string(program.module.router_number),
                         .writer = copy_.me()},
               .everybody = routers_ <= replica::most_meeting,
               .most_links = most_links_of(program),
@@ -79,8 +80,8 @@
   if (!settled_ || !ration_known_) alarm_ = reactor_.at(born_ + look_every, [this] { look(); });
 }
 SharedState::~SharedState() {
-  reactor_.withdraw(alarm_);
-  reactor_.withdraw(by_);
+  reactor_.cancel(alarm_);
+  reactor_.cancel(by_);
 }
 
 // Whatever an earlier life of this router held is here again: all others were met, or so many that vouch for
@@ -99,7 +100,7 @@
   if (!ration_known_ && (all_here || now - born_ >= ration_life(window_))) {
     ration_known_ = true;
     const std::uint64_t orders = all_here ? copy_.written_before(replica::Kind::ration) : 0;
-    diary_.line(
+    diary_.write(
         Level::info, "ration known",
         {{"orders of earlier lives", std::to_string(orders)}, {"nobody there", all_here ? "no" : "yes"}});
     known_(static_cast<double>(orders));
@@ -108,41 +109,41 @@
   if (!settled_ && (all_here || now - born_ >= longest)) {
     settled_ = true;
     copy_.vouch(true);
-    diary_.line(Level::info, "settled among the routers",
-                {{"marks", std::to_string(copy_.size(replica::Kind::mark))},
-                 {"ms", std::to_string((now - born_) / 10)}});
+    diary_.write(Level::info, "settled among the routers",
+                 {{"marks", std::to_string(copy_.size(replica::Kind::mark))},
+                  {"ms", std::to_string((now - born_) / 10)}});
   }
   if (!settled_ || !ration_known_) alarm_ = reactor_.at(now + look_every, [this] { look(); });
 }
 
-core::Taking SharedState::taking(EventId event, const std::string& traffic_type,
-                                 const events::CloudEvent& message, Time left) {
+core::AdmissionVerdict SharedState::admit(RequestId event, const std::string& traffic_type,
+                                          const events::CloudEvent& message, Time left) {
   const auto type = told_.marks.find(traffic_type);
-  if (type == told_.marks.end()) return core::Taking::unmarked;
+  if (type == told_.marks.end()) return core::AdmissionVerdict::untracked;
   const Time now = reactor_.now();
   const bool held = type->second == replica::MarkLevel::held;
-  if (!settled_ && (held || now - born_ < told_after)) return core::Taking::not_now;
+  if (!settled_ && (held || now - born_ < told_after)) return core::AdmissionVerdict::unavailable;
   const Time by = now + static_cast<Time>(told_.held_within * static_cast<double>(left));
   switch (marks_.take(now, event, replica::mark_of(message.source, message.id), type->second, by)) {
     case replica::Taking::known:
-      return core::Taking::known;
+      return core::AdmissionVerdict::duplicate;
     case replica::Taking::full:
-      return core::Taking::not_now;
+      return core::AdmissionVerdict::unavailable;
     case replica::Taking::go:
       links_.tell_now();
-      return core::Taking::marked;
+      return core::AdmissionVerdict::tracked;
     case replica::Taking::wait:
       links_.tell_now();
       set_alarm();
-      return core::Taking::wait;
+      return core::AdmissionVerdict::pending;
   }
-  return core::Taking::not_now;
+  return core::AdmissionVerdict::unavailable;
 }
 
-void SharedState::ended(const events::CloudEvent& message, core::Fate fate) {
-  const replica::Stage stage = fate == core::Fate::unrun      ? replica::Stage::shed
-                               : fate == core::Fate::honoured ? replica::Stage::honoured
-                                                              : replica::Stage::abandoned;
+void SharedState::request_ended(const events::CloudEvent& message, core::ExecutionCertainty fate) {
+  const replica::Stage stage = fate == core::ExecutionCertainty::not_executed ? replica::Stage::shed
+                               : fate == core::ExecutionCertainty::executed   ? replica::Stage::honoured
+                                                                              : replica::Stage::abandoned;
   marks_.ended(reactor_.now(), replica::mark_of(message.source, message.id), stage);
   links_.written();
 }
@@ -150,7 +151,7 @@
 void SharedState::set_alarm() {
   const Time next = marks_.next();
   if (next == 0 || by_.at == next) return;
-  reactor_.withdraw(by_);
+  reactor_.cancel(by_);
   by_ = reactor_.at(next, [this] {
     by_ = {};
     marks_.pass(reactor_.now());
@@ -158,9 +159,9 @@
   });
 }
 
-void SharedState::may_go(std::int64_t event) { marked_(event, core::Taking::marked); }
-void SharedState::taken_elsewhere(std::int64_t event) { marked_(event, core::Taking::known); }
-void SharedState::not_held(std::int64_t event) { marked_(event, core::Taking::not_now); }
+void SharedState::may_go(std::int64_t event) { marked_(event, core::AdmissionVerdict::tracked); }
+void SharedState::taken_elsewhere(std::int64_t event) { marked_(event, core::AdmissionVerdict::duplicate); }
+void SharedState::not_held(std::int64_t event) { marked_(event, core::AdmissionVerdict::unavailable); }
 
 std::string SharedState::standing() const {
   return "copies exchanged with " + std::to_string(links_.met().size()) + " of " +
@@ -169,7 +170,7 @@
 }
 
 // Told before the order leaves, so that it outlives this router wherever one that was told lives on.
-bool SharedState::ordering() {
+bool SharedState::prepare_prewarm() {
   if (window_ <= 0) return true;
   const Time now = reactor_.now();
   const Time bucket = now / std::max<Time>(window_ / window_parts, 1);
@@ -180,12 +181,12 @@
 }
 
 void SharedState::full(replica::Kind kind) {
-  diary_.line(Level::warning, "what is held together is at its bound",
-              {{"kind", std::to_string(static_cast<int>(kind))}});
+  diary_.write(Level::warning, "what is held together is at its bound",
+               {{"kind", std::to_string(static_cast<int>(kind))}});
 }
 void SharedState::copies_differed(const replica::StreamId& stream, const replica::Word& stands,
                                   const replica::Word& gone) {
-  diary_.line(
+  diary_.write(
       Level::error, "copies differed: the stricter stands",
       {{"kind", std::to_string(static_cast<int>(stream.kind))},
        {"router", std::to_string(stream.writer.router)},
@@ -194,14 +195,14 @@
 }
 void SharedState::honoured_twice(const std::string& event, const replica::Writer& one,
                                  const replica::Writer& other) {
-  diary_.line(Level::error, "an event was honoured twice",
-              {{"event", event},
-               {"router", std::to_string(one.router)},
-               {"and router", std::to_string(other.router)}});
+  diary_.write(Level::error, "an event was honoured twice",
+               {{"event", event},
+                {"router", std::to_string(one.router)},
+                {"and router", std::to_string(other.router)}});
 }
 void SharedState::second_of_us(const replica::Writer& writer) {
-  diary_.line(Level::error, "a second router of this number and life",
-              {{"router", std::to_string(writer.router)}});
+  diary_.write(Level::error, "a second router of this number and life",
+               {{"router", std::to_string(writer.router)}});
 }
 
 }  // namespace rushhill::router
--- a/src/router/shared_state.h
+++ b/src/router/shared_state.h
@@ -17,20 +17,20 @@
 // Links to and from other routers, at most.
 std::size_t most_links_of(const deployment::Program& program);
 
-class SharedState final : public core::Ledger, replica::Findings, replica::Taker {
+class SharedState final : public core::DeduplicationLog, replica::Findings, replica::Taker {
  public:
   using RationKnown = std::function<void(double orders)>;
-  using Marked = std::function<void(EventId event, core::Taking how)>;
+  using Marked = std::function<void(RequestId event, core::AdmissionVerdict how)>;
   // Listens at once; throws where the address cannot be had. `known` is called once, where orders are
   // rationed; `marked` for each event that waits for its mark.
   SharedState(transport::Reactor& reactor, const deployment::Program& program, std::uint64_t seed,
-              core::Diary& diary, RationKnown known, Marked marked);
+              core::EventLog& diary, RationKnown known, Marked marked);
   ~SharedState() override;
 
-  bool ordering() override;
-  core::Taking taking(EventId event, const std::string& traffic_type, const events::CloudEvent& message,
-                      Time left) override;
-  void ended(const events::CloudEvent& message, core::Fate fate) override;
+  bool prepare_prewarm() override;
+  core::AdmissionVerdict admit(RequestId event, const std::string& traffic_type,
+                               const events::CloudEvent& message, Time left) override;
+  void request_ended(const events::CloudEvent& message, core::ExecutionCertainty fate) override;
 
   // How far this copy is, for people.
   std::string standing() const;
@@ -50,7 +50,7 @@
   void second_of_us(const replica::Writer& writer) override;
 
   transport::Reactor& reactor_;
-  core::Diary& diary_;
+  core::EventLog& diary_;
   const deployment::ReplicaLinks told_;
   const int routers_, others_;  // in all; that must hold a mark
   const Time window_, born_;
@@ -59,7 +59,7 @@
   replica::Replica copy_;
   replica::Marks marks_;
   replicating::ReplicaLinks links_;
-  core::Alarm alarm_, by_;
+  core::Timer alarm_, by_;
   bool settled_ = false, ration_known_ = false;
   std::uint64_t bucket_orders_ = 0;
   Time bucket_ = 0;
--- a/src/routing/gossip.cpp
+++ b/src/routing/gossip.cpp
@@ -32,14 +32,14 @@
 GossipMessage decode(const std::string& bytes) {
   const std::size_t gap = bytes.find(separator);
   if (gap == std::string::npos) return EndpointDied{bytes};
-  const ServerId endpoint = bytes.substr(0, gap);
+  const EndpointId endpoint = bytes.substr(0, gap);
   const std::size_t figure = gap + 2;  // behind the letter
   if (figure >= bytes.size()) return ConnectionLost{endpoint};
   return UtilizationReported{endpoint, std::strtod(bytes.c_str() + figure, nullptr) / percent};
 }
 
-const ServerId& endpoint_of(const GossipMessage& message) {
-  return std::visit([](const auto& any) -> const ServerId& { return any.endpoint; }, message);
+const EndpointId& endpoint_of(const GossipMessage& message) {
+  return std::visit([](const auto& any) -> const EndpointId& { return any.endpoint; }, message);
 }
 
 }  // namespace rushhill::routing
--- a/src/routing/gossip.h
+++ b/src/routing/gossip.h
@@ -11,17 +11,17 @@
 
 // The endpoint's process died: whatever answers there next is cold.
 struct EndpointDied {
-  ServerId endpoint{};
+  EndpointId endpoint{};
 };
 
 // One connection to the endpoint was lost, which may be the network's doing.
 struct ConnectionLost {
-  ServerId endpoint{};
+  EndpointId endpoint{};
 };
 
 // How busy the endpoint's cores are, as it said to a health check; 1 is all of them.
 struct UtilizationReported {
-  ServerId endpoint{};
+  EndpointId endpoint{};
   double utilization = 0;
 };
 
@@ -31,6 +31,6 @@
 // Never fails: what is malformed names an endpoint that nobody knows, or reads as one of the three.
 GossipMessage decode(const std::string& bytes);
 
-const ServerId& endpoint_of(const GossipMessage& message);
+const EndpointId& endpoint_of(const GossipMessage& message);
 
 }  // namespace rushhill::routing
--- a/src/decide.cpp
+++ b/src/routing/routing_policy.cpp
@@ -2,8 +2,6 @@
 // abandoned, and which copies are held. The router calls one method of Router (decide.h) for each thing that
 // happens, with the clock's reading; the module acts at once by calling the Host handed over at start. It
 // keeps no clock, thread or socket of its own, and one instance knows only what its own router has seen.
-#include "decide.h"
-
 #include <algorithm>
 #include <cmath>
 #include <random>
@@ -11,6 +9,7 @@
 #include <set>
 #include <utility>
 
+#include "decide.h"
 #include "routing/duration.h"
 #include "routing/gossip.h"
 #include "routing/load_budget.h"
@@ -83,7 +82,7 @@
 struct Entry;
 
 struct Server {
-  ModelServer told;
+  Endpoint told;
   int open = 0, outlasting = 0;     // own shots out; of these, out for longer than usual
   routing::SlowStartTokens tokens;  // at it, while it is cold
   double ease = 1;                  // part of its weight that it bears with ease
@@ -122,11 +121,11 @@
   std::vector<std::pair<double, Server*>> homes;  // places for a new load, and how far each is by hash
   int hot_homes = 0;                              // as many of these as its heat keeps warm
   std::uint64_t ranked = 0;                       // version of the roster they were ranked for
-  std::map<ServerId, Entry> entries;
+  std::map<EndpointId, Entry> entries;
 };
 
 struct Shot {
-  ServerId server;
+  EndpointId server;
   Time sent = 0;
   bool open = true, may_have_run = true, judged = false;
   bool missed = false;     // answered that the function is not there
@@ -135,12 +134,12 @@
 
 // What differs by traffic type.
 struct TypeRow {
-  TrafficType told;
+  RequestClass told;
   double usual = 0;  // mean time of an answer; at first a guess from the due time that gives way slowly
 };
 
 struct Pending {
-  Event told;
+  RoutingRequest told;
   TypeRow* type = nullptr;
   Time due = 0, limit = 0;  // the limit is the last moment for a final answer
   bool over_share = false, done = false, waiting = false;
@@ -148,25 +147,26 @@
   std::vector<Shot> shots;
 };
 
-class Decider final : public Router {
+class Decider final : public RoutingPolicy {
  public:
-  Decider(const Deployment& deployment, std::uint64_t seed, Host& host)
+  Decider(const RoutingConfiguration& deployment, std::uint64_t seed, RoutingHost& host)
       : d_(deployment), host_(host),
         chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24U) ^ (seed >> 48U))),
         slow_start_(slow_start_limits(deployment)), load_budget_(load_budget_limits(deployment)),
-        tenant_quotas_(deployment.customers, deployment.routers) {
+        tenant_quotas_(deployment.tenants, deployment.routers) {
     const auto price = [&](const char* name) { return d_.prices.contains(name) ? d_.prices.at(name) : 0; };
     crossing_ = price("cross-zone") / (price("origin") + load_worth);
-    for (const TrafficType& type : d_.traffic_types) usual_ = std::max(usual_, row(type).usual);
+    for (const RequestClass& type : d_.request_classes) usual_ = std::max(usual_, row(type).usual);
   }
 
-  void roster(Time now, RosterForm form, const std::vector<ModelServer>& servers) override {
+  void endpoints_updated(Time now, EndpointListForm form, const std::vector<Endpoint>& servers) override {
     if (born_ == 0) born_ = kept_ = now, wake_housekeeping(now);
-    follow_due_ |= d_.roster_on_request && (form == RosterForm::remembered || form == RosterForm::failed);
-    if (form == RosterForm::failed) return;
+    follow_due_ |=
+        d_.roster_on_request && (form == EndpointListForm::cached || form == EndpointListForm::failed);
+    if (form == EndpointListForm::failed) return;
     ++roster_version_;
-    std::set<ServerId> named;
-    for (const ModelServer& told : servers) {
+    std::set<EndpointId> named;
+    for (const Endpoint& told : servers) {
       named.insert(told.id);
       auto [it, fresh] = servers_.try_emplace(told.id);
       Server& server = it->second;
@@ -176,77 +176,82 @@
         forget_copies(told.id);
       }
       server.told = told, server.gone_at = 0;
-      if (told.condition == Condition::left) leave(now, server);
+      if (told.state == EndpointState::removed) leave(now, server);
     }
     for (auto& [id, server] : servers_) {
-      if (form != RosterForm::changes && !named.contains(id)) leave(now, server);
+      if (form != EndpointListForm::delta && !named.contains(id)) leave(now, server);
     }
     place_waiting(now);
   }
 
   void leave(Time now, Server& server) {
-    server.told.condition = Condition::left;
+    server.told.state = EndpointState::removed;
     if (server.gone_at == 0) server.gone_at = now;
     forget_copies(server.told.id);
   }
 
-  void event(Time now, const Event& told) override {
+  void request_received(Time now, const RoutingRequest& told) override {
     load_budget_.request_taken(now);
     Pending& pending = events_[told.id];
     pending.told = told;
     // A traffic type that was not told at start is of the strictest kind.
-    pending.type = &row({.name = told.traffic_type, .due = second, .effect = Effect::at_most_once});
-    pending.limit = now + told.left - d_.tick;
-    const TrafficType& type = pending.type->told;
-    const auto stretch = static_cast<Time>(type.due_stretch * static_cast<double>(told.work));
-    pending.due = now + std::max(type.due, std::min(type.hard_limit, type.due + stretch));
+    pending.type = &row(
+        {.name = told.request_class, .latency_objective = second, .retry_safety = RetrySafety::at_most_once});
+    pending.limit = now + told.time_left - d_.tick;
+    const RequestClass& type = pending.type->told;
+    const auto stretch = static_cast<Time>(type.latency_objective_stretch * static_cast<double>(told.work));
+    pending.due = now + std::max(type.latency_objective,
+                                 std::min(type.deadline_span, type.latency_objective + stretch));
     Function& function = functions_[told.function];
     function.lanes = std::max(told.lanes, 1.0);
     function.asked = now;
     function.heat.bucket_at(now) += 1;
     heat_.bucket_at(now) += 1;
     if (told.load_time > 0) function.load = static_cast<double>(told.load_time);
-    pending.over_share = !tenant_quotas_.take(now, told.customer);
-    if (told.left <= d_.tick) return give_up(pending, 0);
-    host_.wake(told.id + 1, pending.limit);
+    pending.over_share = !tenant_quotas_.take(now, told.tenant);
+    if (told.time_left <= d_.tick) return give_up(pending, 0);
+    host_.set_timer(told.id + 1, pending.limit);
     // Standing copies are crowded: a part is shed at once, at every router alike, for the rest to be in time.
-    const double rejected = overload_control_.share_to_reject(now, told.customer);
+    const double rejected = overload_control_.share_to_reject(now, told.tenant);
     const bool shed = may_shed(pending) && draw() < rejected;
     if (shed) return give_up(pending, d_.longest_retry_advice);
     place(now, pending);
   }
 
-  void stream_began(Time, EventId id, int leg) override {
+  void response_started(Time, RequestId id, int leg) override {
     if (const auto it = events_.find(id); it != events_.end()) it->second.streaming = leg;
   }
 
-  void shot_ended(Time now, const ShotEnd& end) override {
-    const auto it = events_.find(end.event);
+  void attempt_ended(Time now, const AttemptEnd& end) override {
+    const auto it = events_.find(end.request);
     if (it == events_.end()) return;
     Pending& pending = it->second;
-    const auto leg = static_cast<std::size_t>(end.leg);
+    const auto leg = static_cast<std::size_t>(end.attempt_number);
     if (end.final) pending.done = true;
     if (leg >= pending.shots.size() || !pending.shots[leg].open) return;
     Shot& shot = pending.shots[leg];
     shot.open = false;
-    shot.may_have_run = end.ending != Ending::turned_away && end.ending != Ending::no_connection &&
-                        end.ending != Ending::not_sent && end.ending != Ending::not_stored;
-    shot.missed = end.ending == Ending::not_stored;
+    shot.may_have_run =
+        end.outcome != AttemptOutcome::overloaded && end.outcome != AttemptOutcome::connect_failed &&
+        end.outcome != AttemptOutcome::not_sent && end.outcome != AttemptOutcome::function_missing;
+    shot.missed = end.outcome == AttemptOutcome::function_missing;
     learn_from(now, pending, shot, end);
     if (pending.done) call_off_rest(pending);
-    if (pending.streaming == end.leg) pending.streaming = -1;
-    if (!pending.done && end.ending == Ending::not_stored && await_order(now, pending, end.server)) return;
+    if (pending.streaming == end.attempt_number) pending.streaming = -1;
+    if (!pending.done && end.outcome == AttemptOutcome::function_missing &&
+        await_order(now, pending, end.endpoint))
+      return;
     if (!pending.done && pending.streaming < 0 && !any_open(pending)) place(now, pending);
   }
 
-  void client_gone(Time, EventId id) override {
+  void client_cancelled(Time, RequestId id) override {
     if (const auto it = events_.find(id); it != events_.end()) {
       it->second.done = true;
       call_off_rest(it->second);
     }
   }
 
-  void woken(Time now, std::int64_t token) override {
+  void timer_fired(Time now, std::int64_t token) override {
     if (token == housekeeping_token) return keep_house(now);
     const auto it = events_.find(token - 1);
     if (it == events_.end() || it->second.done || it->second.streaming >= 0) return;
@@ -255,16 +260,16 @@
   }
 
   void probe_ended(Time now, const ProbeEnd& end) override {
-    const auto it = servers_.find(end.server);
+    const auto it = servers_.find(end.endpoint);
     if (it == servers_.end()) return;
-    note_contact(now, it->second, end.ending, end.taken);
+    note_contact(now, it->second, end.outcome, end.taken);
     if (!end.report.contains("util")) return;
     const double busy = end.report.at("util");
     weigh_use(now, it->second, busy);
-    if (d_.peers) tell_peers(routing::UtilizationReported{end.server, busy});
+    if (d_.peers) tell_peers(routing::UtilizationReported{end.endpoint, busy});
   }
   // A peer saw a server die, lost a connection to it, or saw how busy it is.
-  void told(Time now, int, const std::string& bytes) override {
+  void gossip_received(Time now, int, const std::string& bytes) override {
     const routing::GossipMessage message = routing::decode(bytes);
     const auto it = servers_.find(routing::endpoint_of(message));
     if (it == servers_.end()) return;
@@ -278,27 +283,29 @@
     seems_dead(now, server);
   }
 
-  void ration_known(Time now, double orders) override { load_budget_.earlier_orders_known(now, orders); }
+  void load_budget_restored(Time now, double orders) override {
+    load_budget_.earlier_orders_known(now, orders);
+  }
 
-  void order_ended(Time now, const OrderEnd& end) override {
+  void prewarm_ended(Time now, const PrewarmEnd& end) override {
     load_budget_.order_ended();
-    Entry& entry = functions_[end.function].entries[end.server];
+    Entry& entry = functions_[end.function].entries[end.endpoint];
     entry.ordered = false;
-    entry.confirmed = end.ending == Ending::honoured || end.copies > 0;
+    entry.confirmed = end.outcome == AttemptOutcome::succeeded || end.copies > 0;
     entry.used = now;
     place_waiting(now);
   }
 
  private:
-  static routing::SlowStartLimits slow_start_limits(const Deployment& deployment) {
+  static routing::SlowStartLimits slow_start_limits(const RoutingConfiguration& deployment) {
     return {.budget_multiple = deployment.fall_multiple,
             .budget_span = deployment.fall_span,
             .initial_capacity = deployment.cold_share,
             .warm_up_span = deployment.cold_span,
             .routers = deployment.routers,
-            .router_number = deployment.me};
+            .router_number = deployment.router_number};
   }
-  static routing::LoadBudgetLimits load_budget_limits(const Deployment& deployment) {
+  static routing::LoadBudgetLimits load_budget_limits(const RoutingConfiguration& deployment) {
     return {.orders_permitted = deployment.orders,
             .window = deployment.load_window,
             .free_orders = deployment.load_free,
@@ -308,19 +315,20 @@
 
   // The guards: every shot and order passes through these.
   // Rule 3. Nothing new for a server that drains or is gone, from the moment this router was told.
-  static bool may_receive(const Server& server) { return server.told.condition == Condition::active; }
+  static bool may_receive(const Server& server) { return server.told.state == EndpointState::active; }
 
   // Rules 1 and 2. Whether the event may have a further shot at this server.
   bool may_shoot(Time now, const Pending& pending, const Server& server) const {
     if (pending.done || pending.streaming >= 0 || now >= pending.limit) return false;
-    if (static_cast<int>(pending.shots.size()) >= d_.shot_cap) return false;
-    const TrafficType& type = pending.type->told;
+    if (static_cast<int>(pending.shots.size()) >= d_.attempt_limit) return false;
+    const RequestClass& type = pending.type->told;
     for (const Shot& shot : pending.shots) {
       if (shot.open && !d_.second_copies) return false;
       if (!shot.open && !shot.may_have_run) continue;
-      if (type.effect == Effect::at_most_once) return false;
-      if (type.effect == Effect::numbered &&
-          (now - shot.sent + d_.tick >= type.memory_span || !same_group(type.group, shot.server, server))) {
+      if (type.retry_safety == RetrySafety::at_most_once) return false;
+      if (type.retry_safety == RetrySafety::keyed &&
+          (now - shot.sent + d_.tick >= type.deduplication_span ||
+           !same_group(type.deduplication_scope, shot.server, server))) {
         return false;
       }
     }
@@ -348,23 +356,25 @@
   }
 
   bool may_shed(const Pending& pending) const {
-    const TrafficType& type = pending.type->told;
-    if (type.effect == Effect::reissuable) return true;
-    if (type.effect == Effect::numbered && type.group == Group::all) return true;
+    const RequestClass& type = pending.type->told;
+    if (type.retry_safety == RetrySafety::idempotent) return true;
+    if (type.retry_safety == RetrySafety::keyed && type.deduplication_scope == DeduplicationScope::everywhere)
+      return true;
     return std::ranges::none_of(pending.shots, [](const Shot& shot) { return shot.may_have_run; });
   }
 
-  bool same_group(Group group, const ServerId& one, const Server& other) const {
+  bool same_group(DeduplicationScope group, const EndpointId& one, const Server& other) const {
     const auto it = servers_.find(one);
-    if (it == servers_.end() || group == Group::all) return it != servers_.end();
-    const ModelServer& first = it->second.told;
-    return group == Group::location ? first.location == other.told.location : first.cell == other.told.cell;
+    if (it == servers_.end() || group == DeduplicationScope::everywhere) return it != servers_.end();
+    const Endpoint& first = it->second.told;
+    return group == DeduplicationScope::location ? first.location == other.told.location
+                                                 : first.cell == other.told.cell;
   }
 
   bool stands(Time now, const Entry& entry) const {
     return entry.open > 0 || entry.ordered || (entry.confirmed && now - entry.used < d_.keep_alive);
   }
-  bool warm(Time now, const Function& function, const ServerId& server) const {
+  bool warm(Time now, const Function& function, const EndpointId& server) const {
     const auto it = function.entries.find(server);
     return it != function.entries.end() && stands(now, it->second);
   }
@@ -478,7 +488,7 @@
     if (server == nullptr) {
       // Nobody may take it now: it waits here while it can still be answered in time.
       pending.waiting = !pending.over_share && may_shed(pending) &&
-                        static_cast<int>(pending.shots.size()) < d_.shot_cap &&
+                        static_cast<int>(pending.shots.size()) < d_.attempt_limit &&
                         2 * usual_time(pending, function) < std::min(due_left, left);
       if (!pending.waiting) return give_up(pending, d_.longest_retry_advice);
       waiting_.insert(pending.told.id);
@@ -496,7 +506,7 @@
   }
 
   void shoot(Time now, Pending& pending, Function& function, Server& server) {
-    const ServerId& id = server.told.id;
+    const EndpointId& id = server.told.id;
     Entry& entry = function.entries[id];
     const bool confirmed = entry.confirmed && now - entry.used < d_.keep_alive;
     entry.confirmed = confirmed;
@@ -507,16 +517,16 @@
     // Every send weighs as the mean work of its class.
     if (cold_since(now, server) != 0)
       server.tokens.take(routing::SlowStart::cost_of_request(pending.type->usual, observed_load()));
-    host_.shoot(pending.told.id, id, 0);
+    host_.send_attempt(pending.told.id, id, 0);
   }
 
-  bool await_order(Time now, Pending& pending, const ServerId& id) {
+  bool await_order(Time now, Pending& pending, const EndpointId& id) {
     Entry& entry = functions_[pending.told.function].entries[id];
     if (!entry.ordered && !may_order(now, servers_.at(id))) return false;
     if (!std::exchange(entry.ordered, true)) {
       load_budget_.order_sent(now);
       servers_.at(id).tokens.take(1);
-      host_.order(id, pending.told.function, 1);
+      host_.prewarm(id, pending.told.function, 1);
     }
     // A shot sent now could overtake the order: the event follows in housekeeping, or when the order ends.
     pending.waiting = true;
@@ -560,17 +570,19 @@
   }
 
   void move_on(Time now, Pending& pending, Function& function) {
-    const TrafficType& type = pending.type->told;
-    const bool capped = static_cast<int>(pending.shots.size()) >= d_.shot_cap;
+    const RequestClass& type = pending.type->told;
+    const bool capped = static_cast<int>(pending.shots.size()) >= d_.attempt_limit;
     // Where the fleet is late, what is overdue is only late too: doubling all of it would make that worse.
-    if (type.effect == Effect::at_most_once || capped || moves_ < 1) return;
+    if (type.retry_safety == RetrySafety::at_most_once || capped || moves_ < 1) return;
     if (d_.second_copies) {
       Server* server = pick(now, pending, function);
       if (server == nullptr || shot_at(pending, server->told.id) != nullptr) return;
       shoot(now, pending, function, *server);
     } else {
-      if (!d_.cancel || (type.effect == Effect::numbered && type.group != Group::all)) return;
-      host_.call_off(pending.told.id, static_cast<int>(pending.shots.size()) - 1);
+      if (!d_.cancel || (type.retry_safety == RetrySafety::keyed &&
+                         type.deduplication_scope != DeduplicationScope::everywhere))
+        return;
+      host_.cancel_attempt(pending.told.id, static_cast<int>(pending.shots.size()) - 1);
     }
     moves_ -= 1;
   }
@@ -578,37 +590,39 @@
   void call_off_rest(Pending& pending) {
     for (std::size_t leg = 0; leg < pending.shots.size(); ++leg) {
       if (d_.cancel && pending.streaming < 0 && pending.shots[leg].open)
-        host_.call_off(pending.told.id, static_cast<int>(leg));
+        host_.cancel_attempt(pending.told.id, static_cast<int>(leg));
     }
   }
 
   void give_up(Pending& pending, Time come_back) {
     const bool harmless = may_shed(pending);
     if (harmless)
-      host_.shed(pending.told.id, d_.retry_advice ? std::min(come_back, d_.longest_retry_advice) : 0);
-    if (!harmless) host_.abandon(pending.told.id);
+      host_.reject(pending.told.id, d_.retry_advice ? std::min(come_back, d_.longest_retry_advice) : 0);
+    if (!harmless) host_.fail(pending.told.id);
     pending.done = true;
     waiting_.erase(pending.told.id);
   }
 
   void place_waiting(Time now) {
-    const std::set<EventId> waiting = std::exchange(waiting_, {});
-    for (const EventId id : waiting) {
+    const std::set<RequestId> waiting = std::exchange(waiting_, {});
+    for (const RequestId id : waiting) {
       const auto it = events_.find(id);
       if (it != events_.end() && !it->second.done && it->second.waiting) place(now, it->second);
     }
   }
 
-  void learn_from(Time now, Pending& pending, Shot& shot, const ShotEnd& end) {
+  void learn_from(Time now, Pending& pending, Shot& shot, const AttemptEnd& end) {
     Server& server = servers_.at(shot.server);
     Function& function = functions_[pending.told.function];
     Entry& entry = function.entries[shot.server];
     --server.open;
     if (entry.open > 0) --entry.open;
-    const bool called_off = end.ending == Ending::called_off || end.ending == Ending::not_sent;
-    const bool heard = !called_off && end.ending != Ending::no_answer && end.ending != Ending::no_connection;
+    const bool called_off =
+        end.outcome == AttemptOutcome::cancelled || end.outcome == AttemptOutcome::not_sent;
+    const bool heard = !called_off && end.outcome != AttemptOutcome::unanswered &&
+                       end.outcome != AttemptOutcome::connect_failed;
     if (heard || server.open == 0) server.unanswered_since = server.open > 0 ? now : 0;
-    if (end.ending == Ending::honoured) {
+    if (end.outcome == AttemptOutcome::succeeded) {
       entry.confirmed = true;
       entry.used = now;
       server.past.bucket_at(now).honoured += 1;
@@ -618,10 +632,10 @@
       if (shot.sent < server.reborn && now - server.reborn > d_.tick) server.reborn = 0;
       moves_ = std::min(moves_ + move_share, move_burst);
       learn_times(now, pending, function, server, shot, end);
-      const bool loaded = d_.tells_warm ? end.warmth != Warmth::found : !shot.confirmed;
+      const bool loaded = d_.tells_warm ? end.copy_state != CopyState::loaded : !shot.confirmed;
       overload_control_.attempt_succeeded(
           now, usual_time(pending, function) * calm_pace_ + (loaded ? load_time(pending, function) : 0));
-    } else if (end.ending == Ending::turned_away) {
+    } else if (end.outcome == AttemptOutcome::overloaded) {
       // Full, or draining before the roster says so: home to fewer functions. Where no copy stood it may be
       // the loads that are too many, a slow store behind them: copies that stand still serve.
       weigh(server, 1);
@@ -630,18 +644,21 @@
       const int beyond = std::min(++server.refusals - refusals_of_shut, 6);
       const auto pause = static_cast<Time>(std::ldexp(pending.type->usual, beyond));
       if (beyond >= 0) server.shut_until = now + std::min(pause, second);
-    } else if (end.warmth == Warmth::load_failed || end.ending == Ending::not_stored) {
+    } else if (end.copy_state == CopyState::load_failed || end.outcome == AttemptOutcome::function_missing) {
       entry.confirmed = false;
     }
-    note_contact(now, server, end.ending, end.taken);
+    note_contact(now, server, end.outcome, end.taken);
     if (end.report.contains("util")) weigh_use(now, server, end.report.at("util"));
-    const bool stood = d_.tells_warm ? end.warmth == Warmth::found : end.ending == Ending::honoured;
-    if (stood || (end.ending == Ending::turned_away && shot.confirmed)) {
-      const bool bad = end.ending == Ending::turned_away || 4 * end.taken > 3 * pending.type->told.due;
-      overload_control_.attempt_at_loaded_copy(now, pending.told.customer, bad);
+    const bool stood =
+        d_.tells_warm ? end.copy_state == CopyState::loaded : end.outcome == AttemptOutcome::succeeded;
+    if (stood || (end.outcome == AttemptOutcome::overloaded && shot.confirmed)) {
+      const bool bad = end.outcome == AttemptOutcome::overloaded ||
+                       4 * end.taken > 3 * pending.type->told.latency_objective;
+      overload_control_.attempt_at_loaded_copy(now, pending.told.tenant, bad);
     }
-    if (!called_off && end.ending != Ending::turned_away)
-      judge_shot(now, server, shot, end.ending != Ending::honoured && end.ending != Ending::not_stored);
+    if (!called_off && end.outcome != AttemptOutcome::overloaded)
+      judge_shot(now, server, shot,
+                 end.outcome != AttemptOutcome::succeeded && end.outcome != AttemptOutcome::function_missing);
   }
 
   // Hashes load servers unevenly: what bears more than usual becomes home to fewer functions.
@@ -658,15 +675,16 @@
   // A process that has died refuses connections. One that was lost may have been cut on its way, and the
   // server as warm as it was: where it has answered just now, or peers can tell, only several in a row tell.
   // One that never comes up says that the way is cut, or the machine gone: nothing of the process.
-  void note_contact(Time now, Server& server, Ending ending, Time taken) {
-    const bool up = ending != Ending::no_connection;
+  void note_contact(Time now, Server& server, AttemptOutcome ending, Time taken) {
+    const bool up = ending != AttemptOutcome::connect_failed;
     if (!up && d_.connect_limit > 0 && 2 * taken >= d_.connect_limit) {  // a refusal comes at once
       server.shut_until = now + std::min(second << std::min(server.silences++, 3), longest_pause);
-    } else if (!up || ending == Ending::connection_lost) {
+    } else if (!up || ending == AttemptOutcome::connection_lost) {
       const bool lively = server.answered != 0 && now - server.answered <= second;
       if (cut(now, server) || (!lively && !(up && d_.peers))) return seems_dead(now, server);
       if (d_.peers) tell_peers(routing::ConnectionLost{server.told.id});
-    } else if (ending != Ending::no_answer && ending != Ending::called_off && ending != Ending::not_sent) {
+    } else if (ending != AttemptOutcome::unanswered && ending != AttemptOutcome::cancelled &&
+               ending != AttemptOutcome::not_sent) {
       server.cuts = server.silences = 0, server.answered = now;
     }
   }
@@ -684,13 +702,15 @@
       tell_peers(routing::EndpointDied{server.told.id});
   }
 
-  void tell_peers(const routing::GossipMessage& message) { host_.tell(every_peer, routing::encode(message)); }
+  void tell_peers(const routing::GossipMessage& message) {
+    host_.send_gossip(every_peer, routing::encode(message));
+  }
 
   void learn_times(Time now, Pending& pending, Function& function, Server& server, const Shot& shot,
-                   const ShotEnd& end) {
+                   const AttemptEnd& end) {
     const auto taken = static_cast<double>(end.taken);
-    const bool found = d_.tells_warm ? end.warmth == Warmth::found : shot.confirmed;
-    if (!found && d_.tells_warm && end.warmth != Warmth::began_load) return;
+    const bool found = d_.tells_warm ? end.copy_state == CopyState::loaded : shot.confirmed;
+    if (!found && d_.tells_warm && end.copy_state != CopyState::load_started) return;
     if (!found) return add_sample(load_usual_, std::max(taken - usual_time(pending, function), 0.0));
     add_sample(pending.type->usual, taken);
     add_sample(usual_, taken);
@@ -704,7 +724,8 @@
     return function.usual > 0 ? function.usual : pending.type->usual;
   }
   double load_time(const Pending& pending, const Function& function) const {
-    const double guess = load_usual_ > 0 ? load_usual_ : static_cast<double>(pending.type->told.due);
+    const double guess =
+        load_usual_ > 0 ? load_usual_ : static_cast<double>(pending.type->told.latency_objective);
     return std::max(function.load > 0 ? function.load : guess, 1.0);
   }
   double pace(const Tally& tally) const {
@@ -731,7 +752,7 @@
 
   // A server set aside gets a trickle that doubles while it goes well: a share of its usual shots.
   bool trickles(const Pending& pending, const Server& server) {
-    return pending.shots.empty() && pending.type->told.effect == Effect::reissuable &&
+    return pending.shots.empty() && pending.type->told.retry_safety == RetrySafety::idempotent &&
            draw() * serving_ < server.trickle;
   }
   static void pause_trickle(Time now, Server& server) {
@@ -754,7 +775,7 @@
 
   void keep_house(Time now) {
     wake_housekeeping(now);
-    if (std::exchange(follow_due_, false)) host_.follow(true);
+    if (std::exchange(follow_due_, false)) host_.watch_endpoints(true);
     std::vector<double> bad, paces;
     double done = 0, warm_weight = 0;
     serving_ = aside_ = 0;
@@ -812,40 +833,41 @@
     if (std::exchange(server.probe_turn, turn) == turn) return;
     const double whose =
         std::ceil(rendezvous_hash(std::to_string(turn), server.told.id) * std::max(1, d_.routers));
-    if (static_cast<int>(whose) != d_.me + 1) return;
+    if (static_cast<int>(whose) != d_.router_number + 1) return;
     server.tokens.take(1);
     host_.probe(server.told.id);
   }
 
-  void wake_housekeeping(Time now) { host_.wake(housekeeping_token, now + housekeeping_period); }
+  void wake_housekeeping(Time now) { host_.set_timer(housekeeping_token, now + housekeeping_period); }
 
-  void forget_copies(const ServerId& server) {
+  void forget_copies(const EndpointId& server) {
     for (auto& [id, function] : functions_) {
       if (const auto it = function.entries.find(server); it != function.entries.end())
         it->second.confirmed = it->second.ordered = false;
     }
   }
 
-  TypeRow& row(const TrafficType& type) {
-    return types_.try_emplace(type.name, TypeRow{type, static_cast<double>(type.due) / 4}).first->second;
+  TypeRow& row(const RequestClass& type) {
+    return types_.try_emplace(type.name, TypeRow{type, static_cast<double>(type.latency_objective) / 4})
+        .first->second;
   }
 
   static bool any_open(const Pending& pending) {
     return std::ranges::any_of(pending.shots, [](const Shot& shot) { return shot.open; });
   }
-  static const Shot* shot_at(const Pending& pending, const ServerId& server) {
+  static const Shot* shot_at(const Pending& pending, const EndpointId& server) {
     const auto newest_first = std::views::reverse(pending.shots);
     const auto it = std::ranges::find(newest_first, server, &Shot::server);
     return it == newest_first.end() ? nullptr : &*it;
   }
-  const Deployment d_;
-  Host& host_;
+  const RoutingConfiguration d_;
+  RoutingHost& host_;
   std::ranlux24_base chance_;
   std::map<std::string, TypeRow> types_;
-  std::map<ServerId, Server> servers_;
+  std::map<EndpointId, Server> servers_;
   std::map<FunctionId, Function> functions_;
-  std::map<EventId, Pending> events_;
-  std::set<EventId> waiting_;
+  std::map<RequestId, Pending> events_;
+  std::set<RequestId> waiting_;
   routing::SlowStart slow_start_;
   routing::LoadBudget load_budget_;
   routing::TenantQuotas tenant_quotas_;
@@ -868,7 +890,8 @@
 
 }  // namespace
 
-std::unique_ptr<Router> make_router(const Deployment& deployment, std::uint64_t seed, Host& host) {
+std::unique_ptr<RoutingPolicy> make_routing_policy(const RoutingConfiguration& deployment, std::uint64_t seed,
+                                                   RoutingHost& host) {
   return std::make_unique<Decider>(deployment, seed, host);
 }
 
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -19,7 +19,7 @@
     : limits_(limits), budget_span_(static_cast<double>(std::max<Time>(limits.budget_span, 1))),
       routers_(std::max(1, limits.routers)) {}
 
-SlowStartTokens SlowStart::first_tokens(const ServerId& endpoint) const {
+SlowStartTokens SlowStart::first_tokens(const EndpointId& endpoint) const {
   const double phase = limits_.router_number * phase_step + rendezvous_hash(endpoint, "");
   return SlowStartTokens(std::fmod(phase, 1.0));
 }
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -57,7 +57,7 @@
   explicit SlowStart(const SlowStartLimits& limits);
 
   // The tokens of an endpoint that this router has just been told of.
-  SlowStartTokens first_tokens(const ServerId& endpoint) const;
+  SlowStartTokens first_tokens(const EndpointId& endpoint) const;
 
   // Since when the endpoint has been warming up; 0 where it is warm. `started` is what the endpoint list
   // says, `restarted` the last sign that its process died, which may be newer.
--- a/src/routing/tenant_quotas.cpp
+++ b/src/routing/tenant_quotas.cpp
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-TenantQuotas::TenantQuotas(const std::vector<Customer>& tenants, int routers) {
-  for (const Customer& tenant : tenants) {
+TenantQuotas::TenantQuotas(const std::vector<Tenant>& tenants, int routers) {
+  for (const Tenant& tenant : tenants) {
     const double part = std::max(tenant.quota_per_s, 0.0) / std::max(1, routers);
     buckets_.try_emplace(tenant.name, TokenBucket{.tokens_per_s = part});
   }
--- a/src/routing/tenant_quotas.h
+++ b/src/routing/tenant_quotas.h
@@ -14,7 +14,7 @@
 // even part.
 class TenantQuotas {
  public:
-  TenantQuotas(const std::vector<Customer>& tenants, int routers);
+  TenantQuotas(const std::vector<Tenant>& tenants, int routers);
 
   // Counts the request and says whether it is within its tenant's quota. A tenant without a quota always is.
   bool take(Time now, const std::string& tenant);
--- a/src/scale/costs.cpp
+++ b/src/scale/costs.cpp
@@ -33,9 +33,9 @@
 constexpr double least_timed = 50e6;    // ns; user CPU is accounted in steps of some milliseconds
 constexpr double core_servers = 100;    // servers that a core's costs are measured beside
 
-struct Quiet final : core::Diary {
+struct Quiet final : core::EventLog {
   bool wants(core::Level) const override { return false; }
-  void line(core::Level, const char*, Fields) override {}
+  void write(core::Level, const char*, Fields) override {}
 };
 
 // Figures of a section metered: for each unit, and the user CPU of all that ran.
@@ -122,8 +122,8 @@
 
 // The core with its module.
 
-struct NoPeers final : core::Peers {
-  void tell(int, const std::string&) override {}
+struct NoPeers final : core::PeerMessenger {
+  void send(int, const std::string&) override {}
 };
 
 Figures core_second_cost(const Sizes& sizes, Counter& counter) {
@@ -131,9 +131,9 @@
   HollowServers servers(network, sizes.servers, sizes.functions);
   NoPeers none;
   HollowRouter router(deployment_of(sizes), servers, none, 1);
-  router.gateway().roster(RosterForm::complete, servers.list());
+  router.gateway().endpoints_updated(EndpointListForm::snapshot, servers.list());
   Calls calls(sizes, 1);
-  EventId number = 0;
+  RequestId number = 0;
   double next = static_cast<double>(network.now());
   const auto pass = [&](Time span) {
     const Time until = network.now() + span;
@@ -153,18 +153,18 @@
   HollowServers servers(network, static_cast<int>(size), 1);
   NoPeers none;
   HollowRouter router(deployment_of({.servers = static_cast<int>(size)}), servers, none, 1);
-  const std::vector<core::RosterEntry> list = servers.list();
-  router.gateway().roster(RosterForm::complete, list);
+  const std::vector<core::EndpointListEntry> list = servers.list();
+  router.gateway().endpoints_updated(EndpointListForm::snapshot, list);
   return metered(counter, repeats, [&] {
-    for (int i = 0; i < repeats; ++i) router.gateway().roster(RosterForm::complete, list);
+    for (int i = 0; i < repeats; ++i) router.gateway().endpoints_updated(EndpointListForm::snapshot, list);
   });
 }
 
 // Membership.
 
-std::vector<core::RosterEntry> entries_of(double servers) {
-  std::vector<core::RosterEntry> entries;
-  for (ModelServer& server : server_list(static_cast<int>(servers))) {
+std::vector<core::EndpointListEntry> entries_of(double servers) {
+  std::vector<core::EndpointListEntry> entries;
+  for (Endpoint& server : server_list(static_cast<int>(servers))) {
     const std::size_t i = entries.size();
     char address[32];
     std::snprintf(address, sizeof address, "10.%zu.%zu.%zu:10080", i / 65'536 % 256, i / 256 % 256, i % 256);
@@ -173,16 +173,16 @@
   return entries;
 }
 // As the platform's notice board writes a whole list: docs/platform.md, tests/membership/board_test.cpp.
-std::string notice_of(const std::vector<core::RosterEntry>& entries, std::int64_t number) {
+std::string notice_of(const std::vector<core::EndpointListEntry>& entries, std::int64_t number) {
   settings::Json hosts = settings::Json::array();
-  for (const core::RosterEntry& entry : entries)
-    hosts.push_back({{"host", entry.server.id},
+  for (const core::EndpointListEntry& entry : entries)
+    hosts.push_back({{"host", entry.endpoint.id},
                      {"dial", entry.address},
-                     {"site", entry.server.location},
-                     {"class", entry.server.kind},
-                     {"block", entry.server.cell},
+                     {"site", entry.endpoint.location},
+                     {"class", entry.endpoint.kind},
+                     {"block", entry.endpoint.cell},
                      {"health", "active"},
-                     {"share", entry.server.rating},
+                     {"share", entry.endpoint.rating},
                      {"born_ms", 0}});
   return settings::Json{{"rev", number},
                         {"pool", {{"seq", number}, {"whole", true}, {"hosts", std::move(hosts)}}}}
@@ -216,11 +216,11 @@
 }
 
 // A source that sends one line to whoever comes; its bytes are counted at the port.
-class HollowSource final : private transport::StreamUser {
+class HollowSource final : private transport::StreamHandler {
  public:
   HollowSource(emulator::Network& network, std::string line)
       : line_(std::move(line)), listener_(network, transport::numeric_address("127.0.0.1:0"), true,
-                                          [this, &network](const transport::Arrival& arrival) {
+                                          [this, &network](const transport::PendingConnection& arrival) {
                                             stream_ = transport::Stream::adopt(network, arrival, *this);
                                             stream_->write(line_);
                                           }) {}
@@ -230,8 +230,8 @@
   transport::Address address() const { return listener_.address(); }
 
  private:
-  void arrived(std::string_view) override {}
-  void lost(transport::Loss) override {}
+  void on_data(std::string_view) override {}
+  void on_closed(transport::CloseReason) override {}
   std::string line_;
   std::shared_ptr<transport::Stream> stream_;
   transport::Listener listener_;
@@ -242,10 +242,11 @@
   HollowSource source(network, notice_of(entries_of(size), 1) + "\n");
   Quiet quiet;
   std::size_t heard = 0;
-  membership::BoardClient client(
-      network, source.address(), 0, 1, quiet,
-      [&](RosterForm, const std::vector<core::RosterEntry>& entries) { heard += entries.size(); });
-  client.follow(true);
+  membership::BoardClient client(network, source.address(), 0, 1, quiet,
+                                 [&](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
+                                   heard += entries.size();
+                                 });
+  client.watch(true);
   Figures found = metered(counter, 1, [&] { network.run_until(network.now() + second); });
   found["port bytes"] = static_cast<double>(network.bytes());
   need(heard == static_cast<std::size_t>(size), "the list was not heard whole");
@@ -257,10 +258,11 @@
       network, membership::write_word({.revision = 1, .entries = entries_of(size), .remarks = {}}, 0) + "\n");
   Quiet quiet;
   std::size_t heard = 0;
-  membership::RosterClient client(
-      network, source.address(), 0, second, 1, quiet,
-      [&](RosterForm, const std::vector<core::RosterEntry>& entries) { heard += entries.size(); });
-  client.follow(true);
+  membership::RosterClient client(network, source.address(), 0, second, 1, quiet,
+                                  [&](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
+                                    heard += entries.size();
+                                  });
+  client.watch(true);
   Figures found = metered(counter, 1, [&] { network.run_until(network.now() + second); });
   found["port bytes"] = static_cast<double>(network.bytes());
   need(heard == static_cast<std::size_t>(size), "the list was not heard whole");
@@ -288,13 +290,13 @@
   transport::BarePeers teller(network, transport::numeric_address(addresses[addresses.size() / 2]),
                               static_cast<int>(addresses.size() / 2), addresses, "", hears);
   Figures found = metered(counter, repeats, [&] {
-    for (int i = 0; i < repeats; ++i) teller.tell(-1, message);
+    for (int i = 0; i < repeats; ++i) teller.send(-1, message);
   });
   found["messages"] = static_cast<double>(network.datagrams()) / repeats;
   found["port bytes"] = static_cast<double>(network.bytes()) / repeats;
   network.run_until(network.now() + second);
   need(heard == repeats, "a message was not heard");
-  for (int i = 0; i < repeats; ++i) teller.tell(static_cast<int>(size) - 1, message);
+  for (int i = 0; i < repeats; ++i) teller.send(static_cast<int>(size) - 1, message);
   found["instructions of hearing"] =
       metered(counter, repeats, [&] { network.run_until(network.now() + second); }).at("instructions");
   return found;
--- a/src/scale/hollow.cpp
+++ b/src/scale/hollow.cpp
@@ -48,8 +48,8 @@
 }
 std::string region_of(const std::string& location) { return location.substr(0, location.find('/')); }
 
-std::vector<ModelServer> server_list(int servers) {
-  std::vector<ModelServer> list;
+std::vector<Endpoint> server_list(int servers) {
+  std::vector<Endpoint> list;
   for (int i = 0; i < servers; ++i) {
     list.push_back(
         {.id = server_name(i), .rating = 2, .kind = "std", .location = location_of(i), .cell = i / rack});
@@ -57,12 +57,12 @@
   return list;
 }
 
-Deployment deployment_of(const Sizes& sizes) {
-  Deployment told;
+RoutingConfiguration deployment_of(const Sizes& sizes) {
+  RoutingConfiguration told;
   told.routers = sizes.routers;
   told.location = "region-0/zone-0";
   told.tick = 10;
-  told.shot_cap = attempt_cap;
+  told.attempt_limit = attempt_cap;
   told.tells_warm = true;
   told.keep_alive = copy_life;
   told.cold_span = 16 * second;
@@ -70,11 +70,12 @@
   told.probing = told.peers = sizes.probing;
   if (sizes.probing)
     told.reports = "probe", told.routers = 1;  // one probes for all: the whole fleet's messages
-  told.traffic_types = {
-      {.name = "lookup", .due = latency_target, .hard_limit = deadline, .effect = Effect::reissuable}};
+  told.request_classes = {{.name = "lookup",
+                           .latency_objective = latency_target,
+                           .deadline_span = deadline,
+                           .retry_safety = RetrySafety::idempotent}};
   for (int i = 0; i < sizes.tenants; ++i)
-    told.customers.push_back(
-        {.name = "tenant-" + std::to_string(i), .share = 1, .quota_per_s = tenant_quota});
+    told.tenants.push_back({.name = "tenant-" + std::to_string(i), .share = 1, .quota_per_s = tenant_quota});
   return told;
 }
 
@@ -100,7 +101,7 @@
       calls_(sizes, seed) {
   for (std::size_t i = 0; i < list_.size(); ++i) place_[list_[i].id] = i;
   for (int i = 0; i < sizes.functions; ++i) functions_.push_back(function_name(i));
-  router_ = make_router(deployment_of(sizes), seed, *this);
+  router_ = make_routing_policy(deployment_of(sizes), seed, *this);
   whole_list();
 }
 HollowModule::~HollowModule() = default;
@@ -118,31 +119,31 @@
 
 void HollowModule::whole_list() {
   lists.begin();
-  router_->roster(now_, RosterForm::complete, list_);
+  router_->endpoints_updated(now_, EndpointListForm::snapshot, list_);
   lists.end();
 }
 void HollowModule::change(int server) {
-  ModelServer& changed = list_[static_cast<std::size_t>(server) % list_.size()];
+  Endpoint& changed = list_[static_cast<std::size_t>(server) % list_.size()];
   changed.started = ++changes_;  // another life, and long ago: it is not cold any more
   lists.begin();
-  router_->roster(now_, RosterForm::changes, {changed});
+  router_->endpoints_updated(now_, EndpointListForm::delta, {changed});
   lists.end();
 }
 
 void HollowModule::request() {
   calling_ = calls_.next();
-  const EventId id = ++last_;
+  const RequestId id = ++last_;
   function_of_[id] = calling_;
   met_.insert(calling_);
-  Event told{.id = id,
-             .traffic_type = "lookup",
-             .function = functions_[static_cast<std::size_t>(calling_)],
-             .left = deadline,
-             .load_time = load};
-  if (sizes_.tenants > 0) told.customer = "tenant-" + std::to_string(id % sizes_.tenants);
+  RoutingRequest told{.id = id,
+                      .request_class = "lookup",
+                      .function = functions_[static_cast<std::size_t>(calling_)],
+                      .time_left = deadline,
+                      .load_time = load};
+  if (sizes_.tenants > 0) told.tenant = "tenant-" + std::to_string(id % sizes_.tenants);
   ++taken;
   requests.begin();
-  router_->event(now_, told);
+  router_->request_received(now_, told);
   requests.end();
 }
 
@@ -162,8 +163,8 @@
       next_request_ += static_cast<double>(second) / sizes_.requests;
       request();
     }
-    for (const ServerId& server : std::exchange(probed_, {}))
-      router_->probe_ended(now_, {.server = server, .taken = work, .report = {{"util", 0.5}}});
+    for (const EndpointId& server : std::exchange(probed_, {}))
+      router_->probe_ended(now_, {.endpoint = server, .taken = work, .report = {{"util", 0.5}}});
   }
   now_ = until;
 }
@@ -172,22 +173,22 @@
   if (!due.is_end) {
     Meter& meter = due.token == 0 ? ticks : requests;
     meter.begin();
-    router_->woken(now_, due.token);
+    router_->timer_fired(now_, due.token);
     meter.end();
     return;
   }
-  const ShotEnd end{.event = due.event,
-                    .server = list_[due.server].id,
-                    .final = true,
-                    .taken = now_ - due.sent,
-                    .warmth = due.found ? Warmth::found : Warmth::began_load};
+  const AttemptEnd end{.request = due.event,
+                       .endpoint = list_[due.server].id,
+                       .final = true,
+                       .taken = now_ - due.sent,
+                       .copy_state = due.found ? CopyState::loaded : CopyState::load_started};
   function_of_.erase(due.event);
   requests.begin();
-  router_->shot_ended(now_, end);
+  router_->attempt_ended(now_, end);
   requests.end();
 }
 
-void HollowModule::shoot(EventId event, const ServerId& server, Time) {
+void HollowModule::send_attempt(RequestId event, const EndpointId& server, Time) {
   ++attempts;
   const std::size_t place = place_.at(server);
   const auto [copy, fresh] = warm_.try_emplace({place, function_of_.at(event)}, now_);
@@ -201,14 +202,14 @@
              .found = found,
              .is_end = true});
 }
-void HollowModule::wake(std::int64_t token, Time at) { due_.push({.at = at, .token = token}); }
-void HollowModule::probe(const ServerId& server) { probed_.push_back(server); }
-void HollowModule::tell(int, const std::string& bytes) {
+void HollowModule::set_timer(std::int64_t token, Time at) { due_.push({.at = at, .token = token}); }
+void HollowModule::probe(const EndpointId& server) { probed_.push_back(server); }
+void HollowModule::send_gossip(int, const std::string& bytes) {
   ++messages;
   message_bytes += static_cast<std::int64_t>(bytes.size());
 }
 
-HollowServers::HollowServers(core::Clockwork& clock, int servers, int functions)
+HollowServers::HollowServers(core::TimerService& clock, int servers, int functions)
     : clock_(clock), store_({.fetches_at_once = std::max(fewest_fetches, 2.0 * servers),
                              .most_fetches = std::max(fewest_fetches, 8.0 * servers)}) {
   for (int i = 0; i < functions; ++i) {
@@ -216,7 +217,7 @@
     functions_[name] = {.name = name, .memory_mb = 150, .lanes = 2, .load = load, .work = work};
   }
   const standin::RuleFigures rules;
-  for (const ModelServer& told : server_list(servers)) {
+  for (const Endpoint& told : server_list(servers)) {
     standin::MachineMake make{.id = told.id, .kind = told.kind, .location = told.location, .cell = told.cell};
     make.keep_alive = copy_life;
     auto machine = std::make_unique<standin::Machine>(make, rules, false, store_, clock_, 1);
@@ -225,42 +226,46 @@
   }
 }
 HollowServers::~HollowServers() = default;
-standin::Machine& HollowServers::at(const ServerId& server) { return *machines_.at(server); }
+standin::Machine& HollowServers::at(const EndpointId& server) { return *machines_.at(server); }
 
-void HollowServers::stop(const ServerId& server) {
+void HollowServers::stop(const EndpointId& server) {
   stopped_.insert(server);
   at(server).stop();
 }
-void HollowServers::start(const ServerId& server) {
+void HollowServers::start(const EndpointId& server) {
   stopped_.erase(server);
   at(server).start(true);
 }
-bool HollowServers::reached(const std::string& region, const ServerId& server) const {
+bool HollowServers::reached(const std::string& region, const EndpointId& server) const {
   return !stopped_.contains(server) &&
          !(parted_ && region_of(machines_.at(server)->make().location) != region);
 }
 
-std::vector<core::RosterEntry> HollowServers::list() const {
-  std::vector<core::RosterEntry> entries;
-  for (ModelServer& server : server_list(static_cast<int>(machines_.size())))
+std::vector<core::EndpointListEntry> HollowServers::list() const {
+  std::vector<core::EndpointListEntry> entries;
+  for (Endpoint& server : server_list(static_cast<int>(machines_.size())))
     entries.push_back({std::move(server), "127.0.0.1:9"});
   return entries;
 }
 
-HollowRouter::HollowRouter(const Deployment& deployment, HollowServers& servers, core::Peers& peers,
-                           std::uint64_t seed)
-    : servers_(servers), region_(region_of(deployment.location)),
-      gateway_(deployment, seed,
-               {.clock = servers.clock(), .carrier = *this, .peers = peers, .roster = *this, .diary = *this}),
+HollowRouter::HollowRouter(const RoutingConfiguration& deployment, HollowServers& servers,
+                           core::PeerMessenger& peers, std::uint64_t seed)
+    : servers_(servers), region_(region_of(deployment.location)), gateway_(deployment, seed,
+                                                                           {.clock = servers.clock(),
+                                                                            .upstream = *this,
+                                                                            .peers = peers,
+                                                                            .endpoint_lists = *this,
+                                                                            .log = *this}),
       source_(gateway_.add_source(1)) {}
 HollowRouter::~HollowRouter() {
   for (const auto& [key, job] : jobs_) servers_.at(job.first).drop(job.second);
 }
 
-bool HollowRouter::request(const std::string& function, EventId number) {
+bool HollowRouter::request(const std::string& function, RequestId number) {
   calling_ = function;
-  const auto id = gateway_.take(
-      source_, *this, {.traffic_type = "lookup", .function = function, .left = deadline, .load_time = load},
+  const auto id = gateway_.accept(
+      source_, *this,
+      {.request_class = "lookup", .function = function, .time_left = deadline, .load_time = load},
       {.id = std::to_string(number), .source = "/clients", .type = "lookup"});
   // What waits for a place is sent later.
   if (id) open_.try_emplace(*id, function, servers_.clock().now());
@@ -268,30 +273,30 @@
   return id.has_value();
 }
 
-void HollowRouter::shoot(const core::ShotCall& call) {
-  const auto [open, first] = open_.try_emplace(call.event, calling_, servers_.clock().now());
-  const std::pair key{call.event, call.leg};
+void HollowRouter::send(const core::AttemptCall& call) {
+  const auto [open, first] = open_.try_emplace(call.request, calling_, servers_.clock().now());
+  const std::pair key{call.request, call.attempt_number};
   const Time now = servers_.clock().now();
-  if (!servers_.reached(region_, call.server)) {
-    jobs_[key] = {call.server, 0};
+  if (!servers_.reached(region_, call.endpoint)) {
+    jobs_[key] = {call.endpoint, 0};
     servers_.clock().at(now + connect_limit, [this, key, alive = std::weak_ptr(life_)] {
       if (alive.expired() || jobs_.erase(key) == 0) return;
-      gateway_.shot_ended(key.first, key.second,
-                          {.ending = Ending::no_connection, .report = {}, .reply = {}});
+      gateway_.attempt_ended(key.first, key.second,
+                             {.outcome = AttemptOutcome::connect_failed, .report = {}, .reply = {}});
     });
     return;
   }
   const auto done = [this, key, alive = std::weak_ptr(life_)](const standin::Machine::End& end) {
-    servers_.clock().soon([this, key, end, alive] {
+    servers_.clock().post([this, key, end, alive] {
       if (!alive.expired()) hear(key, end);
     });
   };
-  const auto job = servers_.at(call.server)
+  const auto job = servers_.at(call.endpoint)
                        .take(
-                           {&servers_.function(open->second.first), work, now + call.left}, [] {}, done);
-  jobs_[key] = {call.server, job};
+                           {&servers_.function(open->second.first), work, now + call.time_left}, [] {}, done);
+  jobs_[key] = {call.endpoint, job};
 }
-void HollowRouter::hear(const std::pair<EventId, int>& attempt, const standin::Machine::End& end) {
+void HollowRouter::hear(const std::pair<RequestId, int>& attempt, const standin::Machine::End& end) {
   const auto it = jobs_.find(attempt);
   if (it == jobs_.end()) return;
   const bool reached = servers_.reached(region_, it->second.first);
@@ -299,48 +304,49 @@
   if (!reached) return;  // the answer is lost on its way
   const bool ran = end.fate == standin::Fate::ran;
   const auto open = open_.find(attempt.first);
-  if (ran && end.warmth != Warmth::found && open != open_.end()) {
+  if (ran && end.warmth != CopyState::loaded && open != open_.end()) {
     ++cold;
     cold_in_time += servers_.clock().now() - open->second.second <= cold_target ? 1 : 0;
   }
-  gateway_.shot_ended(attempt.first, attempt.second,
-                      {.ending = ran ? Ending::honoured : Ending::turned_away,
-                       .warmth = end.warmth,
-                       .crowd = end.crowd,
-                       .report = {},
-                       .reply = {}});
+  gateway_.attempt_ended(attempt.first, attempt.second,
+                         {.outcome = ran ? AttemptOutcome::succeeded : AttemptOutcome::overloaded,
+                          .copy_state = end.warmth,
+                          .in_flight = end.crowd,
+                          .report = {},
+                          .reply = {}});
 }
-void HollowRouter::drop(EventId event, int leg) {
+void HollowRouter::cancel(RequestId event, int leg) {
   const auto it = jobs_.find({event, leg});
   if (it == jobs_.end()) return;
   servers_.at(it->second.first).drop(it->second.second);
   jobs_.erase(it);
 }
-void HollowRouter::probe(const ServerId& server, Time) {
-  servers_.clock().soon([this, server, alive = std::weak_ptr(life_)] {
+void HollowRouter::probe(const EndpointId& server, Time) {
+  servers_.clock().post([this, server, alive = std::weak_ptr(life_)] {
     if (!alive.expired())
-      gateway_.probe_ended(server, Ending::honoured, {{"util", servers_.at(server).busy()}});
+      gateway_.probe_ended(server, AttemptOutcome::succeeded, {{"util", servers_.at(server).busy()}});
   });
 }
-void HollowRouter::order(const ServerId& server, const FunctionId& function, int copies, Time) {
+void HollowRouter::prewarm(const EndpointId& server, const FunctionId& function, int copies, Time) {
   servers_.at(server).hold(
       servers_.function(function), copies,
       [this, server, function, alive = std::weak_ptr(life_)](standin::Fate fate, int standing) {
-        servers_.clock().soon([this, server, function, fate, standing, alive] {
+        servers_.clock().post([this, server, function, fate, standing, alive] {
           if (alive.expired()) return;
-          const Ending ending = fate == standin::Fate::ran ? Ending::honoured : Ending::turned_away;
-          gateway_.order_ended(server, function, ending, standing);
+          const AttemptOutcome ending =
+              fate == standin::Fate::ran ? AttemptOutcome::succeeded : AttemptOutcome::overloaded;
+          gateway_.prewarm_ended(server, function, ending, standing);
         });
       });
 }
-void HollowRouter::honoured(EventId event, events::CloudEvent) {
+void HollowRouter::succeeded(RequestId event, events::CloudEvent) {
   const auto it = open_.find(event);
   ++answered;
   if (it == open_.end()) return;
   in_time += servers_.clock().now() - it->second.second <= latency_target ? 1 : 0;
   open_.erase(it);
 }
-void HollowRouter::shed(EventId event, Time) { given_up += open_.erase(event) > 0 ? 1 : 0; }
-void HollowRouter::abandoned(EventId event) { given_up += open_.erase(event) > 0 ? 1 : 0; }
+void HollowRouter::rejected(RequestId event, Time) { given_up += open_.erase(event) > 0 ? 1 : 0; }
+void HollowRouter::failed(RequestId event) { given_up += open_.erase(event) > 0 ? 1 : 0; }
 
 }  // namespace rushhill::scale
--- a/src/scale/hollow.h
+++ b/src/scale/hollow.h
@@ -38,8 +38,8 @@
 std::string location_of(int number);  // zone and region, by turns, of servers and of routers
 std::string region_of(const std::string& location);
 std::string function_name(int number);
-std::vector<ModelServer> server_list(int servers);
-Deployment deployment_of(const Sizes& sizes);
+std::vector<Endpoint> server_list(int servers);
+RoutingConfiguration deployment_of(const Sizes& sizes);
 
 // Which function is called next.
 class Calls {
@@ -55,7 +55,7 @@
 };
 
 // The module behind decide.h. Servers answer after a fixed work and load what they lack.
-class HollowModule final : private Host {
+class HollowModule final : private RoutingHost {
  public:
   HollowModule(const Sizes& sizes, Counter& counter, std::uint64_t seed = 1);
   ~HollowModule() override;
@@ -76,107 +76,108 @@
   struct Due {
     Time at = 0;
     std::int64_t token = 0;  // of a timer; else an attempt's end
-    EventId event = 0;
+    RequestId event = 0;
     std::size_t server = 0;
     Time sent = 0;
     bool found = true, is_end = false;
     bool operator>(const Due& other) const { return at > other.at; }
   };
 
-  void shoot(EventId event, const ServerId& server, Time time_out) override;
-  void call_off(EventId, int) override {}
-  void shed(EventId event, Time) override { ++rejected, function_of_.erase(event); }
-  void abandon(EventId event) override { ++abandoned, function_of_.erase(event); }
-  void wake(std::int64_t token, Time at) override;
-  void probe(const ServerId& server) override;
-  void close_idle(const ServerId&) override {}
-  void order(const ServerId&, const FunctionId&, int) override {}
-  void unload(const ServerId&, const FunctionId&) override {}
-  void tell(int, const std::string& bytes) override;
-  void follow(bool) override {}
-  void reload() override {}
+  void send_attempt(RequestId event, const EndpointId& server, Time time_out) override;
+  void cancel_attempt(RequestId, int) override {}
+  void reject(RequestId event, Time) override { ++rejected, function_of_.erase(event); }
+  void fail(RequestId event) override { ++abandoned, function_of_.erase(event); }
+  void set_timer(std::int64_t token, Time at) override;
+  void probe(const EndpointId& server) override;
+  void close_idle(const EndpointId&) override {}
+  void prewarm(const EndpointId&, const FunctionId&, int) override {}
+  void evict(const EndpointId&, const FunctionId&) override {}
+  void send_gossip(int, const std::string& bytes) override;
+  void watch_endpoints(bool) override {}
+  void resync_endpoints() override {}
   void log(const std::string&) override {}
   void ring(const Due& due);
 
   Sizes sizes_;
-  std::vector<ModelServer> list_;
+  std::vector<Endpoint> list_;
   std::vector<std::string> functions_;
-  std::map<ServerId, std::size_t> place_;
+  std::map<EndpointId, std::size_t> place_;
   Calls calls_;
   Time now_ = 10'000, changes_ = 0;
   double next_request_ = 10'000;
-  EventId last_ = 0;
+  RequestId last_ = 0;
   int calling_ = 0;    // function of the request being taken
   std::set<int> met_;  // functions
-  std::map<EventId, int> function_of_;
+  std::map<RequestId, int> function_of_;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  std::vector<ServerId> probed_;
+  std::vector<EndpointId> probed_;
   std::map<std::pair<std::size_t, int>, Time> warm_;  // copy: server and function, last used
-  std::unique_ptr<Router> router_;
+  std::unique_ptr<RoutingPolicy> router_;
 };
 
 // Servers by the emulator's model, for any number of hollow routers.
 class HollowServers {
  public:
-  HollowServers(core::Clockwork& clock, int servers, int functions);
+  HollowServers(core::TimerService& clock, int servers, int functions);
   ~HollowServers();
-  standin::Machine& at(const ServerId& server);
+  standin::Machine& at(const EndpointId& server);
   const standin::FunctionMake& function(const std::string& name) const { return functions_.at(name); }
-  core::Clockwork& clock() { return clock_; }
-  std::vector<core::RosterEntry> list() const;
+  core::TimerService& clock() { return clock_; }
+  std::vector<core::EndpointListEntry> list() const;
   // A machine that is gone is silent: what it had in hand is never heard of, and no connection comes up.
-  void stop(const ServerId& server);
-  void start(const ServerId& server);  // cold
-  bool stopped(const ServerId& server) const { return stopped_.contains(server); }
+  void stop(const EndpointId& server);
+  void start(const EndpointId& server);  // cold
+  bool stopped(const EndpointId& server) const { return stopped_.contains(server); }
   // From now on, or no longer, nothing passes between routers and servers of different regions.
   void part_regions(bool on) { parted_ = on; }
-  bool reached(const std::string& region, const ServerId& server) const;
+  bool reached(const std::string& region, const EndpointId& server) const;
 
  private:
-  core::Clockwork& clock_;
+  core::TimerService& clock_;
   standin::Store store_;
   std::map<std::string, standin::FunctionMake> functions_;
-  std::map<ServerId, std::unique_ptr<standin::Machine>> machines_;
-  std::set<ServerId> stopped_;
+  std::map<EndpointId, std::unique_ptr<standin::Machine>> machines_;
+  std::set<EndpointId> stopped_;
   bool parted_ = false;
 };
 
 // Core and module; its connections to servers and clients are calls.
-class HollowRouter final : private core::Carrier,
+class HollowRouter final : private core::UpstreamTransport,
                            private core::Client,
-                           private core::RosterSource,
-                           private core::Diary {
+                           private core::EndpointListSource,
+                           private core::EventLog {
  public:
-  HollowRouter(const Deployment& deployment, HollowServers& servers, core::Peers& peers, std::uint64_t seed);
+  HollowRouter(const RoutingConfiguration& deployment, HollowServers& servers, core::PeerMessenger& peers,
+               std::uint64_t seed);
   ~HollowRouter() override;
 
-  bool request(const std::string& function, EventId number);  // false: no room
+  bool request(const std::string& function, RequestId number);  // false: no room
   core::Gateway& gateway() { return gateway_; }
   std::int64_t answered = 0, in_time = 0, given_up = 0;  // requests
   std::int64_t cold = 0, cold_in_time = 0;  // answers that waited for a load; of these, within 0.45 s
 
  private:
-  void shoot(const core::ShotCall& call) override;
-  void hear(const std::pair<EventId, int>& attempt, const standin::Machine::End& end);
-  void drop(EventId event, int leg) override;
-  bool recall(EventId, int) override { return false; }
-  void recall_all(const ServerId&) override {}
-  void probe(const ServerId& server, Time limit) override;
-  void order(const ServerId& server, const FunctionId& function, int copies, Time limit) override;
-  void unload(const ServerId&, const FunctionId&) override {}
-  void close_idle(const ServerId&) override {}
-  void reach(const ServerId&, const std::string&) override {}
-  void honoured(EventId event, events::CloudEvent reply) override;
-  void shed(EventId event, Time come_back) override;
-  void abandoned(EventId event) override;
-  void follow(bool) override {}
-  void reload() override {}
+  void send(const core::AttemptCall& call) override;
+  void hear(const std::pair<RequestId, int>& attempt, const standin::Machine::End& end);
+  void cancel(RequestId event, int leg) override;
+  bool cancel_unsent(RequestId, int) override { return false; }
+  void cancel_all_unsent(const EndpointId&) override {}
+  void probe(const EndpointId& server, Time limit) override;
+  void prewarm(const EndpointId& server, const FunctionId& function, int copies, Time limit) override;
+  void evict(const EndpointId&, const FunctionId&) override {}
+  void close_idle(const EndpointId&) override {}
+  void set_address(const EndpointId&, const std::string&) override {}
+  void succeeded(RequestId event, events::CloudEvent reply) override;
+  void rejected(RequestId event, Time come_back) override;
+  void failed(RequestId event) override;
+  void watch(bool) override {}
+  void resync() override {}
   bool wants(core::Level) const override { return false; }
-  void line(core::Level, const char*, Fields) override {}
+  void write(core::Level, const char*, Fields) override {}
 
   HollowServers& servers_;
-  std::map<EventId, std::pair<std::string, Time>> open_;  // function, when it came
-  std::map<std::pair<EventId, int>, std::pair<ServerId, standin::Machine::JobId>> jobs_;
+  std::map<RequestId, std::pair<std::string, Time>> open_;  // function, when it came
+  std::map<std::pair<RequestId, int>, std::pair<EndpointId, standin::Machine::JobId>> jobs_;
   std::shared_ptr<int> life_ = std::make_shared<int>(0);
   std::string calling_, region_;
   core::Gateway gateway_;
--- a/src/scale/size.cpp
+++ b/src/scale/size.cpp
@@ -19,8 +19,8 @@
 constexpr double most_bad = 0.01;     // of a second's requests, late or given up; more is a bad second
 constexpr int at_once = 4;            // instances of a server that are asked for together
 
-struct NoPeers final : core::Peers {
-  void tell(int, const std::string&) override {}
+struct NoPeers final : core::PeerMessenger {
+  void send(int, const std::string&) override {}
 } no_peers;
 
 // At least one of each function while there are enough, the rest by the part of the calls; at servers by
@@ -28,12 +28,12 @@
 void place(HollowServers& servers, const Size& size, emulator::Network& network) {
   std::ranlux24_base chance(1);
   Calls calls(size.sizes, 2);
-  const std::vector<core::RosterEntry> list = servers.list();
+  const std::vector<core::EndpointListEntry> list = servers.list();
   std::map<std::pair<std::size_t, int>, int> copies;
   for (int i = 0; i < size.instances; ++i) {
     const int function = i < size.sizes.functions ? i : calls.next();
     const std::size_t at = chance() % list.size();
-    servers.at(list[at].server.id)
+    servers.at(list[at].endpoint.id)
         .hold(servers.function(function_name(function)), ++copies[{at, function}], [](standin::Fate, int) {});
     if ((i + 1) % (size.sizes.servers * at_once) == 0) network.run_until(network.now() + loading);
   }
@@ -48,27 +48,27 @@
     for (int i = 0; i < size.routers; ++i) routers.push_back(router(i));
   }
   std::unique_ptr<HollowRouter> router(int me) {
-    Deployment deployment = deployment_of(size.sizes);
-    deployment.me = me;
+    RoutingConfiguration deployment = deployment_of(size.sizes);
+    deployment.router_number = me;
     deployment.location = location_of(me);
     deployment.cancel = true;  // an attempt at a silent machine is given up
     deployment.connect_limit = connect_limit;
     auto made =
         std::make_unique<HollowRouter>(deployment, servers, no_peers, static_cast<std::uint64_t>(++lives));
-    made->gateway().roster(RosterForm::complete, list());
+    made->gateway().endpoints_updated(EndpointListForm::snapshot, list());
     return made;
   }
   // As discovery tells it, which may be late.
-  std::vector<core::RosterEntry> list() const {
-    std::vector<core::RosterEntry> all = servers.list();
-    for (core::RosterEntry& entry : all) {
-      if (const auto it = told.find(entry.server.id); it != told.end()) entry = it->second;
+  std::vector<core::EndpointListEntry> list() const {
+    std::vector<core::EndpointListEntry> all = servers.list();
+    for (core::EndpointListEntry& entry : all) {
+      if (const auto it = told.find(entry.endpoint.id); it != told.end()) entry = it->second;
     }
     return all;
   }
-  void tell(const std::vector<core::RosterEntry>& changes) {
-    for (const core::RosterEntry& entry : changes) told[entry.server.id] = entry;
-    for (const auto& one : routers) one->gateway().roster(RosterForm::changes, changes);
+  void tell(const std::vector<core::EndpointListEntry>& changes) {
+    for (const core::EndpointListEntry& entry : changes) told[entry.endpoint.id] = entry;
+    for (const auto& one : routers) one->gateway().endpoints_updated(EndpointListForm::delta, changes);
   }
   // Clients choose a router by turns.
   void pass(Time span) {
@@ -84,7 +84,7 @@
   }
   Figures counted(Counter& counter) {
     pass(size.lead);
-    core::Tally start = tally();
+    core::Counters start = tally();
     const auto before = standings();
     const double cpu = user_ns();
     Meter meter(counter);
@@ -93,12 +93,12 @@
     meter.end();
     const auto count = static_cast<double>(routers.size());
     const double seconds = static_cast<double>(size.measured) / static_cast<double>(second) * count;
-    const core::Tally stop = tally();
+    const core::Counters stop = tally();
     Figures found{{"instructions", meter.sum() / seconds}, {"user ns", (user_ns() - cpu) / seconds}};
-    found["requests"] = static_cast<double>(stop.taken - start.taken) / seconds;
-    found["attempts a request"] =
-        static_cast<double>(stop.shots - start.shots) / static_cast<double>(stop.taken - start.taken);
-    const auto requests = static_cast<double>(stop.taken - start.taken);
+    found["requests"] = static_cast<double>(stop.accepted - start.accepted) / seconds;
+    found["attempts a request"] = static_cast<double>(stop.attempts - start.attempts) /
+                                  static_cast<double>(stop.accepted - start.accepted);
+    const auto requests = static_cast<double>(stop.accepted - start.accepted);
     const auto after = standings();
     const auto part = [&](std::size_t which) { return static_cast<double>(after[which] - before[which]); };
     found["answered"] = part(0) / requests;
@@ -106,11 +106,11 @@
     found["cold"] = part(3) / requests;
     if (part(3) > 0) found["cold within 0.45 s"] = part(4) / part(3);
     double standing = 0;
-    for (const core::RosterEntry& entry : servers.list()) {
-      for (const auto& [name, copies] : servers.at(entry.server.id).standing()) standing += copies;
+    for (const core::EndpointListEntry& entry : servers.list()) {
+      for (const auto& [name, copies] : servers.at(entry.endpoint.id).standing()) standing += copies;
     }
     found["instances standing"] = standing;
-    found["overdue"] = static_cast<double>(stop.overdue);
+    found["overdue"] = static_cast<double>(stop.expired);
     found["peak resident"] = peak_resident_bytes();
     const double held = allocated_bytes();
     routers.clear();
@@ -125,16 +125,16 @@
   double open() const {
     std::size_t sum = 0;
     for (const auto* all : {&routers, &ended}) {
-      for (const auto& router : *all) sum += router->gateway().open();
+      for (const auto& router : *all) sum += router->gateway().open_requests();
     }
     return static_cast<double>(sum);
   }
-  core::Tally tally() const {
-    core::Tally sum;
+  core::Counters tally() const {
+    core::Counters sum;
     for (const auto* all : {&routers, &ended}) {
       for (const auto& router : *all) {
-        const core::Tally& one = router->gateway().tally();
-        sum.taken += one.taken, sum.shots += one.shots, sum.overdue += one.overdue;
+        const core::Counters& one = router->gateway().tally();
+        sum.accepted += one.accepted, sum.attempts += one.attempts, sum.expired += one.expired;
       }
     }
     return sum;
@@ -151,9 +151,9 @@
   HollowServers servers;
   Calls calls;
   double next = 0;
-  EventId number = 0;
+  RequestId number = 0;
   int lives = 0;
-  std::map<ServerId, core::RosterEntry> told;  // what is no more as it was at the start
+  std::map<EndpointId, core::EndpointListEntry> told;  // what is no more as it was at the start
   std::vector<std::unique_ptr<HollowRouter>> routers;
   std::vector<std::unique_ptr<HollowRouter>>
       ended;  // by a restart: they answer what they had, and take nothing
@@ -184,20 +184,20 @@
 Figures run_fault(const Size& size, const Fault& fault, Counter& counter) {
   Running running(size);
   running.pass(size.lead);
-  const std::vector<core::RosterEntry> list = running.servers.list();
-  std::vector<core::RosterEntry> gone, back;
+  const std::vector<core::EndpointListEntry> list = running.servers.list();
+  std::vector<core::EndpointListEntry> gone, back;
   for (int i = 0; fault.kind == Fault::Kind::servers && i < fault.count; ++i) {
     const auto at = static_cast<std::size_t>(fault.first + i * fault.every);
     if (at < list.size()) gone.push_back(list[at]);
   }
   back = gone;
-  for (core::RosterEntry& entry : gone) entry.server.condition = Condition::left;
+  for (core::EndpointListEntry& entry : gone) entry.endpoint.state = EndpointState::removed;
   const Time begins = running.network.now(), ends = begins + fault.span;
   const Time told_at = fault.told_after > 0 ? begins + fault.told_after : 0;
   const auto begin = [&](bool on) {
-    for (core::RosterEntry& entry : back) {
-      if (on) running.servers.stop(entry.server.id);
-      if (!on) running.servers.start(entry.server.id), entry.server.started = running.network.now();
+    for (core::EndpointListEntry& entry : back) {
+      if (on) running.servers.stop(entry.endpoint.id);
+      if (!on) running.servers.start(entry.endpoint.id), entry.endpoint.started = running.network.now();
     }
     if (fault.kind == Fault::Kind::regions_apart) running.servers.part_regions(on);
     for (int i = 0; fault.kind == Fault::Kind::routers_restart && !on && i < fault.count; ++i) {
@@ -207,9 +207,9 @@
     }
   };
   const auto first = running.standings();
-  const core::Tally tally = running.tally();
+  const core::Counters tally = running.tally();
   auto before = first;
-  EventId sent = running.number;
+  RequestId sent = running.number;
   double dearest = 0, seconds_bad = 0;
   const double open = running.open();
   begin(true);
@@ -231,16 +231,16 @@
   }
   running.pass(2 * second + second);  // what is open ends by its deadline
   const auto last = running.standings();
-  const core::Tally after = running.tally();
-  const auto asked = static_cast<double>(after.taken - tally.taken);
+  const core::Counters after = running.tally();
+  const auto asked = static_cast<double>(after.accepted - tally.accepted);
   Figures found{{"requests", asked},
                 {"late", static_cast<double>(last[0] - first[0] - (last[1] - first[1]))},
                 {"unanswered", asked + open - running.open() -
                                    static_cast<double>(last[0] - first[0] + last[2] - first[2])},
                 {"given up", static_cast<double>(last[2] - first[2])},
-                {"attempts a request", static_cast<double>(after.shots - tally.shots) / asked},
+                {"attempts a request", static_cast<double>(after.attempts - tally.attempts) / asked},
                 {"last bad second", seconds_bad},
-                {"overdue", static_cast<double>(after.overdue - tally.overdue)},
+                {"overdue", static_cast<double>(after.expired - tally.expired)},
                 {"peak resident", peak_resident_bytes()},
                 {"instructions, dearest second", dearest}};
   return found;
--- a/src/settings/deployment.cpp
+++ b/src/settings/deployment.cpp
@@ -9,23 +9,24 @@
 constexpr std::array group_words{"all", "zone", "cell"};
 constexpr std::array condition_words{"active", "leaving", "left"};
 
-TrafficType read_traffic_type(const Json& entry) {
+RequestClass read_traffic_type(const Json& entry) {
   const Fields fields(entry, "services");
-  TrafficType type;
+  RequestClass type;
   type.name = fields.text("name");
-  type.due = floor_time(fields.whole("promise"));
-  type.hard_limit = floor_time(fields.whole("deadline"));
-  type.importance = fields.number("worth", 1);
-  type.late_share = fields.number("late-share", 0);
-  type.effect = fields.word<Effect>("effect", effect_words);
-  if (fields.find("group") != nullptr) type.group = fields.word<Group>("group", group_words);
-  type.memory_span = floor_time(fields.whole("memory-span", 0));
+  type.latency_objective = floor_time(fields.whole("promise"));
+  type.deadline_span = floor_time(fields.whole("deadline"));
+  type.priority_weight = fields.number("worth", 1);
+  type.late_value_share = fields.number("late-share", 0);
+  type.retry_safety = fields.word<RetrySafety>("effect", effect_words);
+  if (fields.find("group") != nullptr)
+    type.deduplication_scope = fields.word<DeduplicationScope>("group", group_words);
+  type.deduplication_span = floor_time(fields.whole("memory-span", 0));
   type.stream = fields.flag("stream");
-  type.due_stretch = fields.number("aim-stretch", 0);
+  type.latency_objective_stretch = fields.number("aim-stretch", 0);
   return type;
 }
 
-void read_family(const Fields& family, const Json* kinds, Deployment& deployment) {
+void read_family(const Fields& family, const Json* kinds, RoutingConfiguration& deployment) {
   deployment.orders = family.flag("placement-calls");
   deployment.miss_answers = family.text("not-loaded", "load") == "miss";
   deployment.tells_warm = family.flag("marks-cold");
@@ -47,9 +48,9 @@
 
 }  // namespace
 
-Deployment read_deployment(const Fields& info) {
-  Deployment deployment;
-  deployment.me = static_cast<int>(info.whole("me", 0));
+RoutingConfiguration read_deployment(const Fields& info) {
+  RoutingConfiguration deployment;
+  deployment.router_number = static_cast<int>(info.whole("me", 0));
   deployment.routers = static_cast<int>(info.whole("balancers", 1));
   deployment.location = info.text("zone", "");
   deployment.tick = ceil_time(info.whole("quantum", 0));
@@ -70,11 +71,11 @@
     deployment.report_names = info.object("reporting").texts("names");
   }
   for (const Json& entry : info.list("services"))
-    deployment.traffic_types.push_back(read_traffic_type(entry));
+    deployment.request_classes.push_back(read_traffic_type(entry));
   if (info.find("tenants") != nullptr) {
     for (const Json& entry : info.list("tenants")) {
       const Fields fields(entry, "tenants");
-      deployment.customers.push_back(
+      deployment.tenants.push_back(
           {fields.text("name"), fields.number("share", 0), fields.number("quota-per-s", 0)});
     }
   }
@@ -87,7 +88,7 @@
   deployment.cold_share = rules.number("cold-share", 1);
   deployment.cold_span = ceil_time(rules.whole("cold", 0));
   const Fields permissions = info.object("permissions");
-  deployment.shot_cap = static_cast<int>(permissions.whole("send-cap", 1));
+  deployment.attempt_limit = static_cast<int>(permissions.whole("send-cap", 1));
   deployment.open_cap = static_cast<int>(permissions.whole("open-cap", 0));
   deployment.cancel = permissions.flag("cancel");
   deployment.second_copies = permissions.flag("second-copies");
@@ -105,9 +106,9 @@
   return deployment;
 }
 
-ModelServer read_server(const Json& entry) {
+Endpoint read_server(const Json& entry) {
   const Fields fields(entry, "rows");
-  ModelServer server;
+  Endpoint server;
   server.id = fields.text("server");
   const std::int64_t born = fields.whole("born", 0);
   server.started = born == 0 ? 0 : ceil_time(born);
@@ -116,7 +117,7 @@
   server.location = fields.text("failure-domain", "");
   server.cell = static_cast<int>(fields.whole("block", 0));
   if (fields.find("condition") != nullptr) {
-    server.condition = fields.word<Condition>("condition", condition_words);
+    server.state = fields.word<EndpointState>("condition", condition_words);
   }
   return server;
 }
--- a/src/settings/deployment.h
+++ b/src/settings/deployment.h
@@ -10,7 +10,7 @@
 namespace rushhill::settings {
 
 // Times come in nanoseconds. Throws BadField.
-Deployment read_deployment(const Fields& info);
-ModelServer read_server(const Json& entry);
+RoutingConfiguration read_deployment(const Fields& info);
+Endpoint read_server(const Json& entry);
 
 }  // namespace rushhill::settings
--- a/src/standin/broker.cpp
+++ b/src/standin/broker.cpp
@@ -16,16 +16,17 @@
 
 }  // namespace
 
-class Broker::Link final : public transport::StreamUser {
+class Broker::Link final : public transport::StreamHandler {
  public:
-  Link(Broker& broker, const transport::Arrival& arrival) : broker_(broker), reader_(0, longest_packet) {
+  Link(Broker& broker, const transport::PendingConnection& arrival)
+      : broker_(broker), reader_(0, longest_packet) {
     stream_ = transport::Stream::adopt(broker.reactor_, arrival, *this);
     left_ = std::exchange(broker.cut_total_, 0);
     cutting_ = left_ > 0;
-    if (broker.reading_slowly_) stream_->read(false);
+    if (broker.reading_slowly_) stream_->set_reading(false);
   }
   ~Link() override { stream_->close(); }
-  void arrived(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     in_ += bytes;
     while (!broker_.reading_slowly_) {
       Packet packet;
@@ -35,7 +36,7 @@
       broker_.take(*this, packet);
     }
   }
-  void lost(transport::Loss) override { leave(true); }
+  void on_closed(transport::CloseReason) override { leave(true); }
   void send(const Packet& packet) {
     std::string bytes = mqtt::encode(packet, reader_.version());
     if (cutting_ && bytes.size() >= left_) {
@@ -54,13 +55,13 @@
     if (with_will && will) {
       Packet last{.type = Type::publish, .retain = will->retain, .qos = will->qos};
       last.topic = will->topic, last.payload = will->payload;
-      broker_.reactor_.soon([&broker = broker_, last] { broker.publish(last); });
+      broker_.reactor_.post([&broker = broker_, last] { broker.publish(last); });
     }
-    stream_->finish();
+    stream_->shutdown_write();
     broker_.gone(*this);
   }
   int version() const { return reader_.version(); }
-  void read(bool on) { stream_->read(on); }
+  void read(bool on) { stream_->set_reading(on); }
 
   Session* session = nullptr;
   std::optional<mqtt::Will> will;
@@ -75,14 +76,14 @@
 };
 
 Broker::Broker(transport::Reactor& reactor, const transport::Address& address, Record& record)
-    : reactor_(reactor), holder_(reactor.hold(address)), address_(holder_->address()), record_(record) {
+    : reactor_(reactor), holder_(reactor.reserve(address)), address_(holder_->address()), record_(record) {
   listen();
 }
 Broker::~Broker() = default;
 
 void Broker::listen() {
   listener_ = std::make_unique<transport::Listener>(
-      reactor_, address_, true, [this](const transport::Arrival& arrival) {
+      reactor_, address_, true, [this](const transport::PendingConnection& arrival) {
         const auto link = std::make_shared<Link>(*this, arrival);
         links_.emplace(link.get(), link);
       });
--- a/src/standin/broker.h
+++ b/src/standin/broker.h
@@ -79,7 +79,7 @@
   void gone(Link& link);
 
   transport::Reactor& reactor_;
-  std::unique_ptr<transport::Place> holder_;
+  std::unique_ptr<transport::BoundSocket> holder_;
   transport::Address address_;
   Record& record_;
   std::unique_ptr<transport::Listener> listener_;
--- a/src/standin/clients.cpp
+++ b/src/standin/clients.cpp
@@ -36,14 +36,14 @@
   int refused = 0;       // routers in a row that could not be reached
   bool again = false;    // answered, and sent once more all the same
   std::string outcome;   // then: the first answer
-  core::Alarm patience;  // with this router
+  core::Timer patience;  // with this router
   Link* link = nullptr;
-  core::Alarm alarm;
+  core::Timer alarm;
   Json line, tries = Json::array(), current;
   std::string id() const { return "e-" + std::to_string(number); }
 };
 
-class Clients::Link final : public transport::StreamUser, public transport::Numbered {
+class Clients::Link final : public transport::StreamHandler, public transport::Numbered {
  public:
   Link(Clients& clients, std::size_t router)
       : clients_(clients), router_(router), reader_({.body = 4 * 1024 * 1024}) {
@@ -55,13 +55,13 @@
     event_ = &event;
     event.link = this;
     waiting_ = std::move(bytes);
-    if (open_) opened();
+    if (open_) on_connected();
   }
-  void opened() override {
+  void on_connected() override {
     open_ = true;
     stream_->write(std::exchange(waiting_, {}));
   }
-  void arrived(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     in_ += bytes;
     if (unheeded_) return;
     if (event_ == nullptr) {
@@ -91,8 +91,9 @@
       return clients_.answered(event, response);
     }
   }
-  void lost(transport::Loss why) override {
-    broke(why == transport::Loss::refused || stream_->handed_over() == 0 ? "no-connection" : "lost");
+  void on_closed(transport::CloseReason why) override {
+    broke(why == transport::CloseReason::connect_failed || stream_->handed_over_bytes() == 0 ? "no-connection"
+                                                                                             : "lost");
   }
   // Sent, and whatever comes of it is heard by nobody.
   void use_unheeded(std::string bytes) {
@@ -104,14 +105,14 @@
     event_ = nullptr;
     leave();
   }
-  bool sound() { return !stream_->closed() && stream_->ahead() == transport::Stream::Ahead::nothing; }
+  bool sound() { return !stream_->closed() && stream_->peek() == transport::Stream::Peeked::nothing; }
 
   void leave() {
     stream_->close();
     std::erase(clients_.idle_[router_], this);
     const auto it = clients_.links_.find(this);
     if (it == clients_.links_.end()) return;
-    clients_.reactor_.soon([gone = it->second] {});
+    clients_.reactor_.post([gone = it->second] {});
     clients_.links_.erase(it);
   }
 
@@ -134,7 +135,7 @@
 };
 
 // The clients' one connection to the broker: publishes events and reads their answers.
-class Clients::Publisher final : public transport::StreamUser {
+class Clients::Publisher final : public transport::StreamHandler {
  public:
   Publisher(Clients& clients, const std::string& broker)
       : clients_(clients), broker_(transport::numeric_address(broker)), reader_(5, 4 * 1024 * 1024) {
@@ -159,12 +160,12 @@
     if (subscribed_) send_last();
   }
 
-  void opened() override {
+  void on_connected() override {
     mqtt::Packet connect{.type = mqtt::Type::connect, .client_id = "clients", .clean_start = false};
     connect.properties.session_expiry = 3600;
     stream_->write(mqtt::encode(connect, 5));
   }
-  void arrived(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     in_ += bytes;
     mqtt::Packet packet;
     while (reader_.put(in_, packet) == mqtt::Progress::done) {
@@ -172,9 +173,9 @@
       packet = {};
     }
   }
-  void lost(transport::Loss) override {
+  void on_closed(transport::CloseReason) override {
     subscribed_ = false;
-    clients_.reactor_.soon([gone = stream_] {});
+    clients_.reactor_.post([gone = stream_] {});
     clients_.reactor_.at(clients_.reactor_.now() + 200, [this] { connect(); });
   }
 
@@ -285,14 +286,14 @@
     event->type = &day_.types[place(type_steps_, draw())];
     event->function = &day_.functions[place(function_steps_, draw())];
     event->planned = when;
-    event->limit = reactor_.now() + event->type->hard_limit;
+    event->limit = reactor_.now() + event->type->deadline_span;
     event->router = static_cast<std::size_t>(draw() * static_cast<double>(routers_.size()));
     event->line = {{"what", "event"},
                    {"id", event->id()},
                    {"type", event->type->name},
                    {"function", event->function->name},
                    {"sent", reactor_.clock_ns()},
-                   {"limit_ms", event->type->hard_limit / 10}};
+                   {"limit_ms", event->type->deadline_span / 10}};
     Event& placed = *event;
     events_[placed.number] = std::move(event);
     placed.alarm = reactor_.at(placed.limit + late_slack, [this, &placed] {
@@ -313,11 +314,11 @@
 // The router counts from when it takes the message; how long it lies at the broker is not its doing.
 void Clients::publish(Event& event) {
   event.limit += broker_patience;
-  event.line["limit_ms"] = (event.type->hard_limit + broker_patience) / 10;
+  event.line["limit_ms"] = (event.type->deadline_span + broker_patience) / 10;
   event.line["front"] = "mqtt";
   event.current = {{"router", -1}, {"sent", reactor_.clock_ns()}};
   published_[event.id()] = event.number;
-  reactor_.withdraw(event.alarm);
+  reactor_.cancel(event.alarm);
   event.alarm = reactor_.at(event.limit + late_slack, [this, &event] {
     published_.erase(event.id());
     event.current["how"] = "silent";
@@ -367,8 +368,8 @@
     link = fresh.get();
   }
   if (day_.repeats) {
-    reactor_.withdraw(event.patience);
-    const Time span = static_cast<Time>(patience * static_cast<double>(event.type->hard_limit));
+    reactor_.cancel(event.patience);
+    const Time span = static_cast<Time>(patience * static_cast<double>(event.type->deadline_span));
     event.patience = reactor_.at(reactor_.now() + span, [this, &event] {
       if (event.link == nullptr) return;
       std::exchange(event.link, nullptr)->forsake();
@@ -418,8 +419,8 @@
 }
 
 void Clients::end(Event& event, const char* outcome) {
-  reactor_.withdraw(event.alarm);
-  reactor_.withdraw(event.patience);
+  reactor_.cancel(event.alarm);
+  reactor_.cancel(event.patience);
   if (event.current.contains("router")) {
     event.current["ended"] = reactor_.clock_ns();
     event.tries.push_back(event.current);
@@ -429,7 +430,7 @@
   event.line["outcome"] = event.again ? event.outcome : outcome;
   event.line["tries"] = event.tries;
   record_.line(event.line);
-  reactor_.soon([this, number = event.number] {
+  reactor_.post([this, number = event.number] {
     events_.erase(number);
     if (++ended_ < day_.events) return;
     record_.flush();
--- a/src/standin/day.cpp
+++ b/src/standin/day.cpp
@@ -124,7 +124,7 @@
   for (const TypeMake& make : day.types) {
     object["types"].push_back({{"name", make.name},
                                {"due", make.due},
-                               {"hard-limit", make.hard_limit},
+                               {"hard-limit", make.deadline_span},
                                {"effect", make.effect},
                                {"group", make.group},
                                {"memory-span", make.memory_span},
@@ -200,7 +200,7 @@
   read_list(object, "types", day.types, [](const Json& row, TypeMake& make) {
     read(row, "name", make.name);
     read(row, "due", make.due);
-    read(row, "hard-limit", make.hard_limit);
+    read(row, "hard-limit", make.deadline_span);
     read(row, "effect", make.effect);
     read(row, "group", make.group);
     read(row, "memory-span", make.memory_span);
@@ -262,9 +262,9 @@
     }
   }
   for (const TypeMake& type : day.types) {
-    out << "[traffic " << type.name << "]\ndue = " << ms(type.due) << "\nhard-limit = " << ms(type.hard_limit)
-        << "\neffect = " << type.effect << "\ngroup = " << type.group
-        << "\nmemory-span = " << ms(type.memory_span) << "\nlate-share = 0.3\n"
+    out << "[traffic " << type.name << "]\ndue = " << ms(type.due)
+        << "\nhard-limit = " << ms(type.deadline_span) << "\neffect = " << type.effect
+        << "\ngroup = " << type.group << "\nmemory-span = " << ms(type.memory_span) << "\nlate-share = 0.3\n"
         << (replicas.empty() || type.effect == "reissuable" ? "" : "marks = " + day.marks + "\n") << "\n";
   }
   return out.str();
--- a/src/standin/day.h
+++ b/src/standin/day.h
@@ -39,7 +39,7 @@
 
 struct TypeMake {
   std::string name{};
-  Time due = 0, hard_limit = 0;
+  Time due = 0, deadline_span = 0;
   std::string effect = "reissuable";  // reissuable, numbered, at-most-once
   std::string group = "all";
   Time memory_span = 0;
--- a/src/standin/fleet.cpp
+++ b/src/standin/fleet.cpp
@@ -31,7 +31,7 @@
 class Fleet::Box {
  public:
   Box(Fleet& fleet, const MachineMake& make, std::uint64_t seed)
-      : fleet_(fleet), port(fleet.reactor_.hold(transport::numeric_address("127.0.0.1:0"))),
+      : fleet_(fleet), port(fleet.reactor_.reserve(transport::numeric_address("127.0.0.1:0"))),
         machine(make, fleet.day_.rules, fleet.day_.missing_answers, fleet.store_, fleet.reactor_, seed,
                 fleet.day_.mean_work()) {
     machine.start(false);
@@ -54,7 +54,7 @@
   bool has(TroubleKind kind) const { return ailing.contains(kind); }
 
   Fleet& fleet_;
-  std::unique_ptr<transport::Place> port;
+  std::unique_ptr<transport::BoundSocket> port;
   Machine machine;
   std::unique_ptr<transport::Listener> listener;
   std::map<Connection*, std::shared_ptr<Connection>, transport::ByNumber> connections;
@@ -64,19 +64,20 @@
 };
 
 // One router's connection: reads a request, answers it by the contract and the present faults.
-class Fleet::Connection final : public transport::StreamUser, public transport::Numbered {
+class Fleet::Connection final : public transport::StreamHandler, public transport::Numbered {
  public:
-  Connection(Box& box, const transport::Arrival& arrival) : fleet_(box.fleet_), box_(box), reader_({}) {
+  Connection(Box& box, const transport::PendingConnection& arrival)
+      : fleet_(box.fleet_), box_(box), reader_({}) {
     stream_ = transport::Stream::adopt(fleet_.reactor_, arrival, *this);
   }
   ~Connection() override { stream_->close(); }
 
-  void arrived(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     in_ += bytes;
     if (busy_) return;
     proceed();
   }
-  void lost(transport::Loss) override { leave("closed-by-router"); }
+  void on_closed(transport::CloseReason) override { leave("closed-by-router"); }
 
   // The connection ends; what was open on it is recorded.
   void leave(const char* how, bool reset = false) {
@@ -88,7 +89,7 @@
     if (job_ != 0) box_.machine.drop(std::exchange(job_, 0));
     if (mark_ && !line_.contains("began")) fleet_.unmark(mark_);  // it never will run
     const auto it = box_.connections.find(this);
-    fleet_.reactor_.soon([held = it->second] {});
+    fleet_.reactor_.post([held = it->second] {});
     box_.connections.erase(it);
   }
 
@@ -151,7 +152,7 @@
   void repeat(const std::shared_ptr<Mark>& mark, const events::CloudEvent& event) {
     line_["repeat"] = true;
     const auto reply = [this, event, alive = weak()] {
-      if (!alive.expired() && !gone_) answer_event(event, {.warmth = Warmth::found});
+      if (!alive.expired() && !gone_) answer_event(event, {.warmth = CopyState::loaded});
     };
     if (mark->done) return reply();
     mark->waiters.push_back(reply);
@@ -319,7 +320,7 @@
     record_end(how);
     busy_ = false;
     if (!in_.empty())
-      fleet_.reactor_.soon([this, alive = weak()] {
+      fleet_.reactor_.post([this, alive = weak()] {
         if (!alive.expired() && !gone_ && !busy_) proceed();
       });
   }
@@ -349,7 +350,7 @@
 void Fleet::Box::listen() {
   if (listener) return;
   listener = std::make_unique<transport::Listener>(
-      fleet_.reactor_, port->address(), true, [this](const transport::Arrival& arrival) {
+      fleet_.reactor_, port->address(), true, [this](const transport::PendingConnection& arrival) {
         const auto connection = std::make_shared<Connection>(*this, arrival);
         connections.emplace(connection.get(), connection);
       });
--- a/src/standin/links.cpp
+++ b/src/standin/links.cpp
@@ -18,7 +18,7 @@
 // One connection: from the router that dialled to the one that was meant, and back.
 class Links::Pass final : public transport::Numbered {
  public:
-  Pass(Links& links, int from, int to, const transport::Arrival& arrival)
+  Pass(Links& links, int from, int to, const transport::PendingConnection& arrival)
       : links_(links), ends_{End{*this, from, to}, End{*this, to, from}} {
     const transport::Address& there = links.copies_[static_cast<std::size_t>(to)];
     ends_[0].stream = transport::Stream::adopt(links.reactor_, arrival, ends_[0]);
@@ -30,7 +30,7 @@
   }
   ~Pass() {
     for (End& end : ends_) {
-      links_.reactor_.withdraw(end.next);
+      links_.reactor_.cancel(end.next);
       if (end.stream) end.stream->close();
     }
     if (twin_) twin_->stream->close();
@@ -42,11 +42,11 @@
     const auto held = it->second;
     links_.passes_.erase(it);
     for (End& end : ends_) {
-      links_.reactor_.withdraw(end.next);
+      links_.reactor_.cancel(end.next);
       if (reset) end.stream->reset();
       end.stream->close();
     }
-    links_.reactor_.soon([held] {});
+    links_.reactor_.post([held] {});
   }
 
   // What waited may go on.
@@ -56,22 +56,22 @@
 
  private:
   // What one router sends, on its way to the other.
-  struct End final : transport::StreamUser {
+  struct End final : transport::StreamHandler {
     End(Pass& of, int by, int for_whom) : pass(of), from(by), to(for_whom) {}
-    void arrived(std::string_view came) override { pass.came(*this, came); }
-    void lost(transport::Loss why) override { pass.lost(*this, why); }
+    void on_data(std::string_view came) override { pass.came(*this, came); }
+    void on_closed(transport::CloseReason why) override { pass.lost(*this, why); }
     Pass& pass;
     int from, to;
     std::shared_ptr<transport::Stream> stream{};      // where it comes from
     std::deque<std::pair<Time, std::string>> held{};  // and when it may go on
     std::size_t bytes = 0;
-    core::Alarm next{};
+    core::Timer next{};
     bool over = false;
   };
   // The second of two connections that carry the same; what it answers is heard by nobody.
-  struct Deaf final : transport::StreamUser {
-    void arrived(std::string_view) override {}
-    void lost(transport::Loss) override { gone = true; }
+  struct Deaf final : transport::StreamHandler {
+    void on_data(std::string_view) override {}
+    void on_closed(transport::CloseReason) override { gone = true; }
     std::shared_ptr<transport::Stream> stream{};
     bool gone = false;
   };
@@ -90,12 +90,12 @@
     const Time now = links_.reactor_.now();
     end.held.emplace_back(now + (delay == nullptr ? 0 : static_cast<Time>(*delay * 10)), std::move(text));
     end.bytes += bytes.size();
-    if (end.bytes > most_held) end.stream->read(false);
+    if (end.bytes > most_held) end.stream->set_reading(false);
     pass_on(end);
   }
 
   void pass_on(End& end) {
-    links_.reactor_.withdraw(end.next);
+    links_.reactor_.cancel(end.next);
     if (links_.ails(end.from, end.to, TroubleKind::link_drop) != nullptr) return;
     const Time now = links_.reactor_.now();
     const double* rate = links_.ails(end.from, end.to, TroubleKind::link_throttle);
@@ -112,7 +112,7 @@
       text.erase(0, part.size());
       if (text.empty()) end.held.pop_front();
     }
-    if (end.bytes <= most_held && !end.over) end.stream->read(true);
+    if (end.bytes <= most_held && !end.over) end.stream->set_reading(true);
     if (end.held.empty()) {
       if (end.over) leave(false);
       return;
@@ -121,12 +121,12 @@
     end.next = links_.reactor_.at(when, [this, &end] { pass_on(end); });
   }
 
-  void lost(End& end, transport::Loss why) {
+  void lost(End& end, transport::CloseReason why) {
     // Also an end is not heard of through a way that lets nothing pass.
     end.over = true;
-    if (why != transport::Loss::ended && end.held.empty() &&
+    if (why != transport::CloseReason::closed_by_peer && end.held.empty() &&
         links_.ails(end.from, end.to, TroubleKind::link_drop) == nullptr)
-      return leave(why == transport::Loss::broken);
+      return leave(why == transport::CloseReason::reset);
     pass_on(end);
   }
 
@@ -144,7 +144,7 @@
     for (int to = 0; to < day_.routers; ++to) {
       listeners_.push_back(std::make_unique<transport::Listener>(
           reactor_, transport::numeric_address("127.0.0.1:0"), false,
-          [this, from, to](const transport::Arrival& arrival) {
+          [this, from, to](const transport::PendingConnection& arrival) {
             const auto pass = std::make_shared<Pass>(*this, from, to, arrival);
             passes_.emplace(pass.get(), pass);
           }));
--- a/src/standin/machine.cpp
+++ b/src/standin/machine.cpp
@@ -21,7 +21,7 @@
 }
 
 Machine::Machine(const MachineMake& make, const RuleFigures& rules, bool missing_answers, Store& store,
-                 core::Clockwork& clock, std::uint64_t seed, double mean_work)
+                 core::TimerService& clock, std::uint64_t seed, double mean_work)
     : make_(make), rules_(rules), mean_work_(mean_work), missing_answers_(missing_answers), store_(store),
       clock_(clock), chance_(static_cast<std::uint_fast32_t>(seed % 16'777'213)) {}
 Machine::~Machine() = default;
@@ -103,9 +103,9 @@
   if (copies.standing == 0 && !coming) {
     if (missing_answers_) return turn_away(Fate::not_stored);
     if (!ask_load(copies)) return turn_away(Fate::full);
-    end.warmth = Warmth::began_load;
+    end.warmth = CopyState::load_started;
   } else {
-    end.warmth = copies.standing > 0 ? Warmth::found : Warmth::awaited_load;
+    end.warmth = copies.standing > 0 ? CopyState::loaded : CopyState::load_awaited;
   }
   jobs_[id] = {job, std::move(began), std::move(done), end, false, &copies};
   copies.queue.push_back(id);
--- a/src/standin/machine.h
+++ b/src/standin/machine.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/clockwork.h"
+#include "core/timer_service.h"
 #include "standin/day.h"
 
 namespace rushhill::standin {
@@ -49,7 +49,7 @@
   using JobId = std::uint64_t;
   struct End {
     Fate fate = Fate::ran;
-    Warmth warmth = Warmth::untold;
+    CopyState warmth = CopyState::unknown;
     int crowd = 0;
   };
   using Began = std::function<void()>;
@@ -58,7 +58,7 @@
 
   // `mean_work` is that of the day's requests: each weighs as much against the budget in slow start.
   Machine(const MachineMake& make, const RuleFigures& rules, bool missing_answers, Store& store,
-          core::Clockwork& clock, std::uint64_t seed,
+          core::TimerService& clock, std::uint64_t seed,
           double mean_work = static_cast<double>(FunctionMake{}.work));
   ~Machine();
 
@@ -122,7 +122,7 @@
   double mean_work_;
   bool missing_answers_;
   Store& store_;
-  core::Clockwork& clock_;
+  core::TimerService& clock_;
   std::ranlux24_base chance_;
   std::map<JobId, Running> jobs_;
   std::map<std::string, std::unique_ptr<Copies>> functions_;
--- a/src/standin/parts.cpp
+++ b/src/standin/parts.cpp
@@ -32,17 +32,17 @@
   connect();
 }
 Lines::~Lines() {
-  reactor_.withdraw(again_);
+  reactor_.cancel(again_);
   if (stream_) stream_->close();
 }
 void Lines::connect() { stream_ = transport::Stream::connect(reactor_, address_, *this); }
-void Lines::opened() {
+void Lines::on_connected() {
   open_ = true;
   opened_();
 }
-void Lines::lost(transport::Loss) {
+void Lines::on_closed(transport::CloseReason) {
   open_ = false;
-  reactor_.soon([gone = stream_] {});
+  reactor_.post([gone = stream_] {});
   again_ = reactor_.at(reactor_.now() + retry, [this] { connect(); });
 }
 
--- a/src/standin/parts.h
+++ b/src/standin/parts.h
@@ -17,7 +17,7 @@
 void write_start(const std::string& path, std::int64_t start_ns);
 
 // A line protocol's connection that comes back after a break.
-class Lines final : public transport::StreamUser {
+class Lines final : public transport::StreamHandler {
  public:
   Lines(transport::Reactor& reactor, const transport::Address& address, std::function<void()> opened);
   ~Lines() override;
@@ -26,15 +26,15 @@
 
  private:
   void connect();
-  void opened() override;
-  void arrived(std::string_view) override {}
-  void lost(transport::Loss) override;
+  void on_connected() override;
+  void on_data(std::string_view) override {}
+  void on_closed(transport::CloseReason) override;
 
   transport::Reactor& reactor_;
   transport::Address address_;
   std::function<void()> opened_;
   std::shared_ptr<transport::Stream> stream_;
-  core::Alarm again_;
+  core::Timer again_;
   bool open_ = false;
 };
 
--- a/src/standin/roster_board.cpp
+++ b/src/standin/roster_board.cpp
@@ -11,14 +11,14 @@
 
 }  // namespace
 
-class RosterBoard::Caller final : public transport::StreamUser, public transport::Numbered {
+class RosterBoard::Caller final : public transport::StreamHandler, public transport::Numbered {
  public:
-  Caller(RosterBoard& board, const transport::Arrival& arrival) : board_(board) {
+  Caller(RosterBoard& board, const transport::PendingConnection& arrival) : board_(board) {
     stream_ = transport::Stream::adopt(board.reactor_, arrival, *this);
   }
   ~Caller() override { stream_->close(); }
 
-  void arrived(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     in_ += bytes;
     for (std::size_t end = in_.find('\n'); end != std::string::npos; end = in_.find('\n')) {
       const Json line = Json::parse(in_.substr(0, end), nullptr, false);
@@ -34,12 +34,12 @@
     }
     if (in_.size() > longest_line) leave();
   }
-  void lost(transport::Loss) override { leave(); }
+  void on_closed(transport::CloseReason) override { leave(); }
   void leave() {
     stream_->close();
     const auto it = board_.callers_.find(this);
     if (it == board_.callers_.end()) return;
-    board_.reactor_.soon([gone = it->second] {});
+    board_.reactor_.post([gone = it->second] {});
     board_.callers_.erase(it);
   }
   void write(const std::string& line) { stream_->write(line); }
@@ -58,7 +58,7 @@
                          Record& record)
     : reactor_(reactor), day_(day), record_(record),
       chance_(static_cast<std::uint_fast32_t>(day.seed % 16'777'211)) {
-  holder_ = reactor.hold(address);
+  holder_ = reactor.reserve(address);
   address_ = holder_->address();
   listen();
 }
@@ -66,7 +66,7 @@
 
 void RosterBoard::listen() {
   listener_ = std::make_unique<transport::Listener>(
-      reactor_, address_, true, [this](const transport::Arrival& arrival) {
+      reactor_, address_, true, [this](const transport::PendingConnection& arrival) {
         const auto caller = std::make_shared<Caller>(*this, arrival);
         callers_.emplace(caller.get(), caller);
       });
--- a/src/standin/roster_board.h
+++ b/src/standin/roster_board.h
@@ -39,7 +39,7 @@
   Day day_;
   Record& record_;
   std::ranlux24_base chance_;
-  std::unique_ptr<transport::Place> holder_;  // keeps the port while the roster is down
+  std::unique_ptr<transport::BoundSocket> holder_;  // keeps the port while the roster is down
   std::unique_ptr<transport::Listener> listener_;
   std::map<Caller*, std::shared_ptr<Caller>, transport::ByNumber> callers_;
   std::map<std::string, nlohmann::json> entries_;
--- a/src/transport/backoff.h
+++ b/src/transport/backoff.h
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "core/clockwork.h"
+#include "core/timer_service.h"
 
 namespace rushhill::transport {
 
--- a/src/transport/bare_peers.cpp
+++ b/src/transport/bare_peers.cpp
@@ -21,7 +21,7 @@
   if (!all.empty()) all_ = numeric_address(all);
 }
 
-void BarePeers::tell(int router, const std::string& bytes) {
+void BarePeers::send(int router, const std::string& bytes) {
   if (bytes.size() > most_bytes) return;
   const auto send = [&](const Address& to) { dropped_ += datagrams_.send(to, bytes) ? 0 : 1; };
   if (router < 0 && all_) return send(*all_);
--- a/src/transport/bare_peers.h
+++ b/src/transport/bare_peers.h
@@ -14,13 +14,13 @@
 
 namespace rushhill::transport {
 
-class BarePeers final : public core::Peers {
+class BarePeers final : public core::PeerMessenger {
  public:
   using Heard = std::function<void(int router, const std::string& bytes)>;
   // `addresses` by router number, our own among them; `all`: one address that reaches every router.
   BarePeers(Reactor& reactor, const Address& listen, int me, const std::vector<std::string>& addresses,
             const std::string& all, Heard heard);
-  void tell(int router, const std::string& bytes) override;
+  void send(int router, const std::string& bytes) override;
   std::uint64_t dropped() const { return dropped_; }
   Address address() const { return datagrams_.address(); }
 
@@ -32,7 +32,7 @@
   std::map<Address, int> routers_;  // by address; of one that stands twice, the first
   std::optional<Address> all_;
   Heard heard_;
-  Datagrams datagrams_;
+  DatagramEndpoint datagrams_;
   std::uint64_t dropped_ = 0;
 };
 
--- a/src/transport/datagram_socket.cpp
+++ b/src/transport/datagram_socket.cpp
@@ -15,14 +15,14 @@
 
 }  // namespace
 
-DatagramSocket::DatagramSocket(Loop& loop, FileDescriptor socket, Heard heard)
+DatagramSocket::DatagramSocket(Loop& loop, FileDescriptor socket, DatagramHandler heard)
     : loop_(loop), socket_(std::move(socket)), heard_(std::move(heard)) {
   set_non_blocking(socket_);
   loop_.watch(socket_.number(), *this, {.readable = true});
 }
 
 DatagramSocket::~DatagramSocket() {
-  loop_.withdraw(pause_);
+  loop_.cancel(pause_);
   loop_.watch(socket_.number(), *this, {});
 }
 
--- a/src/transport/datagram_socket.h
+++ b/src/transport/datagram_socket.h
@@ -1,7 +1,7 @@
 // A UDP socket of the event loop.
 #pragma once
 
-#include "core/clockwork.h"
+#include "core/timer_service.h"
 #include "transport/backoff.h"
 #include "transport/event_source.h"
 #include "transport/file_descriptor.h"
@@ -11,9 +11,9 @@
 
 class Loop;
 
-class DatagramSocket final : public Place, public EventSource {
+class DatagramSocket final : public BoundSocket, public EventSource {
  public:
-  DatagramSocket(Loop& loop, FileDescriptor socket, Heard heard);
+  DatagramSocket(Loop& loop, FileDescriptor socket, DatagramHandler heard);
   ~DatagramSocket() override;
   bool send(const Address& to, std::string_view bytes) override;
   Address address() const override;
@@ -24,8 +24,8 @@
 
   Loop& loop_;
   FileDescriptor socket_;
-  Heard heard_;
-  core::Alarm pause_;
+  DatagramHandler heard_;
+  core::Timer pause_;
   Backoff backoff_;
 };
 
--- a/src/transport/idle_close.h
+++ b/src/transport/idle_close.h
@@ -3,7 +3,7 @@
 // as warm as it was, where another lost connection may be its death.
 #pragma once
 
-#include "core/clockwork.h"
+#include "core/timer_service.h"
 
 namespace rushhill::transport {
 
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t buffer_bytes = 64 * 1024;
 
 // A bound socket that never listens.
-class HeldPort final : public Place {
+class HeldPort final : public BoundSocket {
  public:
   HeldPort(SystemCalls& system, const Address& address)
       : system_(system), socket_(bound_socket(system, address, SOCK_STREAM, {.shared = true})) {}
@@ -67,9 +67,9 @@
 
 Time Loop::now() const { return monotonic_ns() / nanoseconds_per_time_unit; }
 
-core::Alarm Loop::at(Time when, Call call) { return alarms_.set(when, std::move(call)); }
-void Loop::withdraw(core::Alarm& alarm) { alarms_.withdraw(alarm); }
-void Loop::soon(Call call) { soon_.push_back(std::move(call)); }
+core::Timer Loop::at(Time when, Call call) { return alarms_.add(when, std::move(call)); }
+void Loop::cancel(core::Timer& alarm) { alarms_.cancel(alarm); }
+void Loop::post(Call call) { soon_.push_back(std::move(call)); }
 
 // All that can be read, or written. Where the process slept or stood still it looks again, since what came
 // meanwhile may not be among what it was told.
@@ -112,7 +112,7 @@
 
 void Loop::act() {
   if (every_turn_) every_turn_();
-  alarms_.ring(now());
+  alarms_.fire_due(now());
   // What these put off runs in the next iteration, so that a chain of them cannot starve the sockets.
   for (const Call& call : std::exchange(soon_, {})) call();
 }
@@ -121,7 +121,8 @@
 int Loop::sleep_ms() const {
   if (!soon_.empty() || !deferred_.empty()) return 0;
   const Time now_is = now();
-  const Time wake = std::min(alarms_.next().value_or(now_is + longest_sleep), now_is + longest_sleep);
+  const Time wake =
+      std::min(alarms_.next_deadline().value_or(now_is + longest_sleep), now_is + longest_sleep);
   const Time left = std::max<Time>(wake - now_is, 0);
   return static_cast<int>((left + time_units_per_ms - 1) / time_units_per_ms);
 }
@@ -178,40 +179,40 @@
   if (!ready.empty() && std::ranges::none_of(ready, wanted)) system_.poll(nullptr, 0, stale_rest_ms);
 }
 
-std::shared_ptr<Stream> Loop::connect(const Address& address, StreamUser& user) {
+std::shared_ptr<Stream> Loop::connect(const Address& address, StreamHandler& user) {
   const auto stream = std::make_shared<SocketStream>(*this, user);
   stream->connect(address);
   return stream;
 }
 
-std::shared_ptr<Stream> Loop::adopt(const Arrival& arrival, StreamUser& user) {
+std::shared_ptr<Stream> Loop::adopt(const PendingConnection& arrival, StreamHandler& user) {
   const auto stream =
       std::make_shared<SocketStream>(*this, user, static_cast<const SocketArrival&>(arrival).take());
   stream->establish();
   return stream;
 }
 
-std::unique_ptr<Place> Loop::listen(const Address& address, bool shared, Accepted accepted) {
+std::unique_ptr<BoundSocket> Loop::listen(const Address& address, bool shared, AcceptHandler accepted) {
   FileDescriptor socket = bound_socket(system_, address, SOCK_STREAM, {.shared = shared});
   start_listening(system_, socket);
   return std::make_unique<SocketListener>(*this, std::move(socket), std::move(accepted));
 }
 
-std::unique_ptr<Place> Loop::listen_inherited(int descriptor, Accepted accepted) {
+std::unique_ptr<BoundSocket> Loop::listen_inherited(int descriptor, AcceptHandler accepted) {
   return std::make_unique<SocketListener>(*this, FileDescriptor(system_, descriptor), std::move(accepted));
 }
 
-std::unique_ptr<Place> Loop::hear(const Address& address, Heard heard) {
+std::unique_ptr<BoundSocket> Loop::open_datagrams(const Address& address, DatagramHandler heard) {
   // Beside one that has it already: a router's earlier self, which hears nothing from then on.
   return std::make_unique<DatagramSocket>(*this, bound_socket(system_, address, SOCK_DGRAM, {}),
                                           std::move(heard));
 }
 
-std::unique_ptr<Place> Loop::hear_inherited(int descriptor, Heard heard) {
+std::unique_ptr<BoundSocket> Loop::open_inherited_datagrams(int descriptor, DatagramHandler heard) {
   return std::make_unique<DatagramSocket>(*this, FileDescriptor(system_, descriptor), std::move(heard));
 }
 
-std::unique_ptr<Place> Loop::hold(const Address& address) {
+std::unique_ptr<BoundSocket> Loop::reserve(const Address& address) {
   return std::make_unique<HeldPort>(system_, address);
 }
 
--- a/src/transport/loop.h
+++ b/src/transport/loop.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "core/alarms.h"
+#include "core/timer_queue.h"
 #include "transport/backoff.h"
 #include "transport/event_source.h"
 #include "transport/poller.h"
@@ -34,20 +34,20 @@
   void halt() override;
 
   Time now() const override;
-  core::Alarm at(Time when, Call call) override;
-  void withdraw(core::Alarm& alarm) override;
-  void soon(Call call) override;
+  core::Timer at(Time when, Call call) override;
+  void cancel(core::Timer& alarm) override;
+  void post(Call call) override;
   std::int64_t nanoseconds() const override { return monotonic_ns(); }
   std::int64_t clock_ns() const override { return monotonic_ns(); }
   std::int64_t unix_ns() const override { return system_.unix_ns(); }
 
-  std::shared_ptr<Stream> connect(const Address& address, StreamUser& user) override;
-  std::shared_ptr<Stream> adopt(const Arrival& arrival, StreamUser& user) override;
-  std::unique_ptr<Place> listen(const Address& address, bool shared, Accepted accepted) override;
-  std::unique_ptr<Place> listen_inherited(int descriptor, Accepted accepted) override;
-  std::unique_ptr<Place> hear(const Address& address, Heard heard) override;
-  std::unique_ptr<Place> hear_inherited(int descriptor, Heard heard) override;
-  std::unique_ptr<Place> hold(const Address& address) override;
+  std::shared_ptr<Stream> connect(const Address& address, StreamHandler& user) override;
+  std::shared_ptr<Stream> adopt(const PendingConnection& arrival, StreamHandler& user) override;
+  std::unique_ptr<BoundSocket> listen(const Address& address, bool shared, AcceptHandler accepted) override;
+  std::unique_ptr<BoundSocket> listen_inherited(int descriptor, AcceptHandler accepted) override;
+  std::unique_ptr<BoundSocket> open_datagrams(const Address& address, DatagramHandler heard) override;
+  std::unique_ptr<BoundSocket> open_inherited_datagrams(int descriptor, DatagramHandler heard) override;
+  std::unique_ptr<BoundSocket> reserve(const Address& address) override;
 
   // Drops every timer and put-off call: for the end, when those that set them are gone.
   void forget_all();
@@ -86,7 +86,7 @@
 
   SystemCalls& system_;
   Poller poller_;
-  core::Alarms alarms_;
+  core::TimerQueue alarms_;
   std::vector<Call> soon_;
   std::vector<char> buffer_;
   Call every_turn_;
--- a/src/transport/peer_links.cpp
+++ b/src/transport/peer_links.cpp
@@ -18,7 +18,7 @@
   return addresses;
 }
 
-Datagrams opened(Reactor& reactor, const std::string& listen, transport::Heard heard) {
+DatagramEndpoint opened(Reactor& reactor, const std::string& listen, transport::DatagramHandler heard) {
   if (listen.starts_with("fd:")) return {reactor, std::stoi(listen.substr(3)), std::move(heard)};
   return {reactor, numeric_address(listen), std::move(heard)};
 }
@@ -31,7 +31,7 @@
       datagrams_(opened(reactor, listen,
                         [this](const Address& from, std::string_view bytes) { hear(from, bytes); })) {}
 
-void PeerLinks::tell(int router, const std::string& bytes) {
+void PeerLinks::send(int router, const std::string& bytes) {
   const std::string message = std::string(mark) + std::to_string(me_) + "\n" + bytes;
   for (std::size_t i = 0; i < addresses_.size(); ++i) {
     const bool meant = router < 0 ? static_cast<int>(i) != me_ : static_cast<int>(i) == router;
--- a/src/transport/peer_links.h
+++ b/src/transport/peer_links.h
@@ -12,13 +12,13 @@
 
 namespace rushhill::transport {
 
-class PeerLinks final : public core::Peers {
+class PeerLinks final : public core::PeerMessenger {
  public:
   using Heard = std::function<void(int router, const std::string& bytes)>;
   // `addresses` by router number; an empty one is a router that cannot be told.
   PeerLinks(Reactor& reactor, const std::string& listen, int me, const std::vector<std::string>& addresses,
             Heard heard);
-  void tell(int router, const std::string& bytes) override;
+  void send(int router, const std::string& bytes) override;
   std::uint64_t dropped() const { return dropped_; }
 
  private:
@@ -27,7 +27,7 @@
   int me_;
   std::vector<std::optional<Address>> addresses_;
   Heard heard_;
-  Datagrams datagrams_;
+  DatagramEndpoint datagrams_;
   std::uint64_t dropped_ = 0;
 };
 
--- a/src/transport/reactor.cpp
+++ b/src/transport/reactor.cpp
@@ -30,10 +30,11 @@
   return {ip, static_cast<Poco::UInt16>(port)};
 }
 
-std::shared_ptr<Stream> Stream::connect(Reactor& reactor, const Address& address, StreamUser& user) {
+std::shared_ptr<Stream> Stream::connect(Reactor& reactor, const Address& address, StreamHandler& user) {
   return reactor.connect(address, user);
 }
-std::shared_ptr<Stream> Stream::adopt(Reactor& reactor, const Arrival& arrival, StreamUser& user) {
+std::shared_ptr<Stream> Stream::adopt(Reactor& reactor, const PendingConnection& arrival,
+                                      StreamHandler& user) {
   return reactor.adopt(arrival, user);
 }
 
--- a/src/transport/server_pool.cpp
+++ b/src/transport/server_pool.cpp
@@ -48,13 +48,15 @@
 }
 
 // What a refusal's header proves; nothing: it may have run.
-std::optional<core::ShotResult> never_ran(const std::string* word) {
+std::optional<core::AttemptResult> never_ran(const std::string* word) {
   if (word == nullptr) return std::nullopt;
-  if (*word == "full" || *word == "draining") return core::ShotResult{.ending = Ending::turned_away};
-  if (*word == "misdirected") return core::ShotResult{.ending = Ending::no_connection};
-  if (*word == "not-stored") return core::ShotResult{.ending = Ending::not_stored};
+  if (*word == "full" || *word == "draining")
+    return core::AttemptResult{.outcome = AttemptOutcome::overloaded};
+  if (*word == "misdirected") return core::AttemptResult{.outcome = AttemptOutcome::connect_failed};
+  if (*word == "not-stored") return core::AttemptResult{.outcome = AttemptOutcome::function_missing};
   if (*word == "load-failed")
-    return core::ShotResult{.ending = Ending::not_stored, .warmth = Warmth::load_failed};
+    return core::AttemptResult{.outcome = AttemptOutcome::function_missing,
+                               .copy_state = CopyState::load_failed};
   return std::nullopt;
 }
 
@@ -111,33 +113,33 @@
   return report;
 }
 
-core::ShotResult shot_result(HttpResponse response) {
-  core::ShotResult result{.ending = Ending::error};
+core::AttemptResult attempt_result(HttpResponse response) {
+  core::AttemptResult result{.outcome = AttemptOutcome::error};
   const bool good = response.status >= 200 && response.status < 300;
   if (!good) result = never_ran(response.header("rushhill-never-ran")).value_or(result);
   if (const std::string* report = response.header("endpoint-load-metrics"))
     result.report = load_report(*report);
-  result.crowd = std::clamp(whole(response.header("rushhill-crowd")).value_or(0), 0, 1'000'000);
+  result.in_flight = std::clamp(whole(response.header("rushhill-crowd")).value_or(0), 0, 1'000'000);
   if (!good) return result;
   if (const std::string* copy = response.header("rushhill-copy")) {
-    result.warmth = *copy == "found"          ? Warmth::found
-                    : *copy == "began-load"   ? Warmth::began_load
-                    : *copy == "awaited-load" ? Warmth::awaited_load
-                                              : Warmth::untold;
+    result.copy_state = *copy == "found"          ? CopyState::loaded
+                        : *copy == "began-load"   ? CopyState::load_started
+                        : *copy == "awaited-load" ? CopyState::load_awaited
+                                                  : CopyState::unknown;
   }
   try {
     result.reply = events::from_headers(response.headers, std::move(response.body));
-    result.ending = Ending::honoured;
+    result.outcome = AttemptOutcome::succeeded;
   } catch (const events::BadEvent&) {
-    result.ending = Ending::error;  // an answer that is no event: it may have run
+    result.outcome = AttemptOutcome::error;  // an answer that is no event: it may have run
   }
   return result;
 }
 
 struct ServerPool::Exchange {
   enum class Kind { shot, probe, order, enquiry, unload } kind = Kind::shot;
-  ServerId server{};
-  EventId event = 0;
+  EndpointId server{};
+  RequestId event = 0;
   int leg = 0;
   FunctionId function{};
   Time limit = 0;  // 0: ended from above
@@ -146,7 +148,7 @@
 };
 
 // One connection: connecting, at one exchange, or idle.
-class ServerPool::Link final : public StreamUser, public Numbered {
+class ServerPool::Link final : public StreamHandler, public Numbered {
  public:
   Link(ServerPool& pool, Server& server)
       : pool_(pool), reactor_(pool.reactor_), server_(server), reader_({reply_head, pool.bounds_.reply}) {}
@@ -158,8 +160,8 @@
   void connect(Exchange exchange) {
     exchange_ = std::move(exchange);
     stream_ = Stream::connect(reactor_, *server_.address, *this);
-    alarm_ =
-        reactor_.at(reactor_.now() + pool_.bounds_.connect_limit, [this] { fail(Ending::no_connection); });
+    alarm_ = reactor_.at(reactor_.now() + pool_.bounds_.connect_limit,
+                         [this] { fail(AttemptOutcome::connect_failed); });
   }
   void use(Exchange exchange) {
     withdraw();
@@ -172,7 +174,7 @@
     withdraw();
     if (stream_) stream_->close();
   }
-  bool sound() { return !stream_->closed() && stream_->ahead() == Stream::Ahead::nothing; }
+  bool sound() { return !stream_->closed() && stream_->peek() == Stream::Peeked::nothing; }
   void retire() { reusable_ = false; }  // its address is no longer the server's
   Server& server() { return server_; }
   // The shot is given up: whatever still comes is heard by nobody, the connection is used no more.
@@ -183,13 +185,13 @@
   }
 
   // Nothing of what is asked on it has left: it is on its way up, or takes nothing.
-  bool unsent() const { return exchange_ && stream_->handed_over() == sent_before_; }
-  void take_back() { fail(Ending::not_sent); }
+  bool unsent() const { return exchange_ && stream_->handed_over_bytes() == sent_before_; }
+  void take_back() { fail(AttemptOutcome::not_sent); }
 
-  void opened() override { send(); }
-  void drained() override { note_started(); }
+  void on_connected() override { send(); }
+  void on_write_drained() override { note_started(); }
 
-  void arrived(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     if (!exchange_) return pool_.forget(*this);  // nothing was asked: not to be trusted
     came_ = true;
     in_ += bytes;
@@ -197,32 +199,35 @@
       const HttpProgress progress = reader_.put(in_);
       if (progress == HttpProgress::more) return;
       // What is no HTTP, or too much of it, is an answer all the same: it may have run.
-      if (progress != HttpProgress::done) return fail(Ending::error);
+      if (progress != HttpProgress::done) return fail(AttemptOutcome::error);
       HttpResponse response = reader_.take();
       if (response.status >= 200) return answered(std::move(response));
     }
   }
 
-  void lost(Loss why) override {
+  void on_closed(CloseReason why) override {
     if (!exchange_) return pool_.forget(*this);
-    if (why == Loss::not_begun) return fail(Ending::not_sent);  // ours, and says nothing of the server
+    if (why == CloseReason::not_started)
+      return fail(AttemptOutcome::not_sent);  // ours, and says nothing of the server
     // Only where the system took no byte of it is it certain that nothing was begun.
-    if (why == Loss::refused || stream_->handed_over() == sent_before_) return fail(Ending::no_connection);
-    if (why == Loss::ended && reader_.end() == HttpProgress::done) {
+    if (why == CloseReason::connect_failed || stream_->handed_over_bytes() == sent_before_)
+      return fail(AttemptOutcome::connect_failed);
+    if (why == CloseReason::closed_by_peer && reader_.end() == HttpProgress::done) {
       reusable_ = false;
       return answered(reader_.take());
     }
     const bool crossed = !came_ && crossed_idle_close(idle_before_, reactor_.now() - sent_);
-    fail(crossed ? Ending::no_answer : Ending::connection_lost);
+    fail(crossed ? AttemptOutcome::unanswered : AttemptOutcome::connection_lost);
   }
 
  private:
   void send() {
     withdraw();
-    sent_before_ = stream_->handed_over();
+    sent_before_ = stream_->handed_over_bytes();
     sent_ = reactor_.now();
     came_ = false;
-    if (exchange_->limit > 0) alarm_ = reactor_.at(exchange_->limit, [this] { fail(Ending::no_answer); });
+    if (exchange_->limit > 0)
+      alarm_ = reactor_.at(exchange_->limit, [this] { fail(AttemptOutcome::unanswered); });
     const std::string bytes = std::move(exchange_->bytes);
     stream_->write(bytes);
     note_started();
@@ -237,8 +242,8 @@
     const auto self = pool_.hold(*this);
     Exchange exchange = *std::exchange(exchange_, std::nullopt);
     // A byte more than the answer, or an answer before all was sent, leaves the connection in doubt.
-    const bool reuse =
-        reusable_ && response.keep_alive && in_.empty() && stream_->waiting() == 0 && !stream_->closed();
+    const bool reuse = reusable_ && response.keep_alive && in_.empty() && stream_->pending_bytes() == 0 &&
+                       !stream_->closed();
     if (exchange.kind == Exchange::Kind::shot) pool_.shots_.erase({exchange.event, exchange.leg});
     if (reuse) {
       server_.idle.push_back(this);
@@ -247,10 +252,10 @@
     } else {
       pool_.forget(*this);
     }
-    pool_.end(exchange, &response, Ending::honoured);
+    pool_.end(exchange, &response, AttemptOutcome::succeeded);
   }
 
-  void fail(Ending ending) {
+  void fail(AttemptOutcome ending) {
     const auto self = pool_.hold(*this);
     Exchange exchange = *std::exchange(exchange_, std::nullopt);
     if (exchange.kind == Exchange::Kind::shot) pool_.shots_.erase({exchange.event, exchange.leg});
@@ -258,7 +263,7 @@
     pool_.end(exchange, nullptr, ending);
   }
 
-  void withdraw() { reactor_.withdraw(alarm_); }
+  void withdraw() { reactor_.cancel(alarm_); }
 
   ServerPool& pool_;
   Reactor& reactor_;  // also when the pool is gone
@@ -268,7 +273,7 @@
   std::optional<Exchange> exchange_;
   std::string in_;
   std::size_t sent_before_ = 0;
-  core::Alarm alarm_;
+  core::Timer alarm_;
   // Of the present exchange: how long the connection was idle before it, since when it is out, and whether
   // anything has come since.
   Time idle_since_ = 0, idle_before_ = 0, sent_ = 0;
@@ -276,7 +281,7 @@
   bool reusable_ = true;
 };
 
-ServerPool::ServerPool(Reactor& reactor, const PoolBounds& bounds, core::Diary& diary)
+ServerPool::ServerPool(Reactor& reactor, const PoolBounds& bounds, core::EventLog& diary)
     : reactor_(reactor), bounds_(bounds), diary_(diary) {}
 ServerPool::~ServerPool() = default;
 
@@ -285,7 +290,7 @@
   return it == link.server().links.end() ? nullptr : it->second;
 }
 
-std::string ServerPool::address(const ServerId& id) const {
+std::string ServerPool::address(const EndpointId& id) const {
   const auto it = servers_.find(id);
   return it == servers_.end() ? "" : it->second->address_text;
 }
@@ -298,13 +303,13 @@
   it->second->close();
   --connections_;
   // It may be the one that is calling: it goes when that call has returned.
-  reactor_.soon([this, gone = it->second, id = server.id, alive = std::weak_ptr(life_)] {
+  reactor_.post([this, gone = it->second, id = server.id, alive = std::weak_ptr(life_)] {
     if (!alive.expired()) drop_if_unused(id);
   });
   server.links.erase(it);
 }
 
-void ServerPool::reach(const ServerId& id, const std::string& address) {
+void ServerPool::set_address(const EndpointId& id, const std::string& address) {
   auto& known = servers_[id];
   if (!known) known = std::make_unique<Server>();
   known->id = id;
@@ -315,8 +320,8 @@
     try {
       known->address = std::make_unique<Address>(numeric_address(address));
     } catch (const std::invalid_argument& wrong) {
-      diary_.line(core::Level::warning, "server cannot be reached",
-                  {{"server", id}, {"reason", wrong.what()}});
+      diary_.write(core::Level::warning, "server cannot be reached",
+                   {{"server", id}, {"reason", wrong.what()}});
     }
   }
   for (const auto& [link, held] : known->links) link->retire();
@@ -325,19 +330,19 @@
 }
 
 // A server that is reached nowhere and has no connection left is forgotten.
-void ServerPool::drop_if_unused(const ServerId& id) {
+void ServerPool::drop_if_unused(const EndpointId& id) {
   const auto it = servers_.find(id);
   if (it != servers_.end() && it->second->address_text.empty() && it->second->links.empty())
     servers_.erase(it);
 }
 
-void ServerPool::close_idle(const ServerId& id) {
+void ServerPool::close_idle(const EndpointId& id) {
   const auto it = servers_.find(id);
   if (it == servers_.end()) return;
   for (Link* link : std::vector<Link*>(it->second->idle)) forget(*link);
 }
 
-void ServerPool::start(const ServerId& id, Exchange exchange) {
+void ServerPool::start(const EndpointId& id, Exchange exchange) {
   exchange.server = id;
   const auto it = servers_.find(id);
   Server* server = it == servers_.end() ? nullptr : it->second.get();
@@ -358,8 +363,8 @@
   if (!permitted || (bounds_.total > 0 && connections_ >= bounds_.total && !make_room())) {
     auto refused = std::make_shared<Exchange>(std::move(exchange));
     // The bound of all together says nothing of the server.
-    const Ending ending = permitted ? Ending::not_sent : Ending::no_connection;
-    return reactor_.soon([this, refused, ending, alive = std::weak_ptr(life_)] {
+    const AttemptOutcome ending = permitted ? AttemptOutcome::not_sent : AttemptOutcome::connect_failed;
+    return reactor_.post([this, refused, ending, alive = std::weak_ptr(life_)] {
       if (!alive.expired()) end(*refused, nullptr, ending);
     });
   }
@@ -382,19 +387,21 @@
   return oldest != nullptr;
 }
 
-void ServerPool::shoot(const core::ShotCall& call) {
+void ServerPool::send(const core::AttemptCall& call) {
   HttpRequest request{.method = "POST", .target = "/", .headers = events::to_headers(call.message)};
-  request.headers.emplace_back("host", call.server);
-  request.headers.emplace_back("rushhill-server", events::header_encoded(call.server));
+  request.headers.emplace_back("host", call.endpoint);
+  request.headers.emplace_back("rushhill-server", events::header_encoded(call.endpoint));
   request.headers.emplace_back("rushhill-router", std::to_string(bounds_.router));
-  request.headers.emplace_back("rushhill-shot", std::to_string(call.leg));
-  request.headers.emplace_back("rushhill-time-left-ms", std::to_string(call.left / 10));
+  request.headers.emplace_back("rushhill-shot", std::to_string(call.attempt_number));
+  request.headers.emplace_back("rushhill-time-left-ms", std::to_string(call.time_left / 10));
   request.body = call.message.data;
-  start(call.server,
-        {.kind = Exchange::Kind::shot, .event = call.event, .leg = call.leg, .bytes = to_bytes(request)});
+  start(call.endpoint, {.kind = Exchange::Kind::shot,
+                        .event = call.request,
+                        .leg = call.attempt_number,
+                        .bytes = to_bytes(request)});
 }
 
-void ServerPool::drop(EventId event, int leg) {
+void ServerPool::cancel(RequestId event, int leg) {
   const auto it = shots_.find({event, leg});
   if (it == shots_.end()) return;
   Link* link = it->second;
@@ -403,26 +410,26 @@
   forget(*link);
 }
 
-bool ServerPool::recall(EventId event, int leg) {
+bool ServerPool::cancel_unsent(RequestId event, int leg) {
   const auto it = shots_.find({event, leg});
   if (it == shots_.end() || !it->second->unsent()) return false;
-  drop(event, leg);
+  cancel(event, leg);
   return true;
 }
 
-void ServerPool::recall_all(const ServerId& id) {
+void ServerPool::cancel_all_unsent(const EndpointId& id) {
   const auto it = servers_.find(id);
   if (it == servers_.end()) return;
   const auto links = it->second->links;
   for (const auto& [link, held] : links) {
     if (!link->unsent()) continue;
-    reactor_.soon([link = link, held = held, alive = std::weak_ptr(life_)] {
+    reactor_.post([link = link, held = held, alive = std::weak_ptr(life_)] {
       if (!alive.expired() && link->unsent()) link->take_back();
     });
   }
 }
 
-void ServerPool::probe(const ServerId& server, Time limit) {
+void ServerPool::probe(const EndpointId& server, Time limit) {
   const HttpRequest request{.method = "GET",
                             .target = "/v2/health/ready",
                             .headers = {{"host", server},
@@ -431,7 +438,7 @@
   start(server, {.kind = Exchange::Kind::probe, .limit = reactor_.now() + limit, .bytes = to_bytes(request)});
 }
 
-void ServerPool::order(const ServerId& server, const FunctionId& function, int copies, Time limit) {
+void ServerPool::prewarm(const EndpointId& server, const FunctionId& function, int copies, Time limit) {
   HttpRequest request{.method = "POST",
                       .target = model_path(function, "load"),
                       .headers = {{"host", server},
@@ -449,7 +456,7 @@
                  .bytes = to_bytes(request)});
 }
 
-void ServerPool::unload(const ServerId& server, const FunctionId& function) {
+void ServerPool::evict(const EndpointId& server, const FunctionId& function) {
   const HttpRequest request{.method = "POST",
                             .target = model_path(function, "unload"),
                             .headers = {{"host", server},
@@ -462,20 +469,20 @@
 }
 
 // Tells the core how an exchange ended: by an answer, or otherwise.
-void ServerPool::end(Exchange& exchange, HttpResponse* response, Ending otherwise) {
+void ServerPool::end(Exchange& exchange, HttpResponse* response, AttemptOutcome otherwise) {
   using Kind = Exchange::Kind;
   if (exchange.kind == Kind::shot) {
-    core::ShotResult result =
-        response == nullptr ? core::ShotResult{.ending = otherwise} : shot_result(std::move(*response));
-    return carried_->shot_ended(exchange.event, exchange.leg, std::move(result));
+    core::AttemptResult result = response == nullptr ? core::AttemptResult{.outcome = otherwise}
+                                                     : attempt_result(std::move(*response));
+    return carried_->attempt_ended(exchange.event, exchange.leg, std::move(result));
   }
-  Ending ending = otherwise;
+  AttemptOutcome ending = otherwise;
   LoadReport report;
   int copies = 0;
   if (response != nullptr) {
     const bool good = response->status >= 200 && response->status < 300;
     const auto refusal = never_ran(response->header("rushhill-never-ran"));
-    ending = good ? Ending::honoured : refusal ? refusal->ending : Ending::error;
+    ending = good ? AttemptOutcome::succeeded : refusal ? refusal->outcome : AttemptOutcome::error;
     if (const std::string* text = response->header("endpoint-load-metrics")) report = load_report(*text);
     const Json body = Json::parse(response->body, nullptr, false);
     if (exchange.kind == Kind::order && body.is_object() && body.contains("copies") &&
@@ -491,7 +498,7 @@
   }
   if (exchange.kind == Kind::probe) carried_->probe_ended(exchange.server, ending, report);
   if (exchange.kind == Kind::order || exchange.kind == Kind::enquiry)
-    carried_->order_ended(exchange.server, exchange.function, ending, copies);
+    carried_->prewarm_ended(exchange.server, exchange.function, ending, copies);
 }
 
 }  // namespace rushhill::transport
--- a/src/transport/server_pool.h
+++ b/src/transport/server_pool.h
@@ -30,52 +30,52 @@
 // A function's name as one segment of a path.
 std::string path_segment(std::string_view text);
 // What a server's answer to a shot says.
-core::ShotResult shot_result(HttpResponse response);
+core::AttemptResult attempt_result(HttpResponse response);
 
-class ServerPool final : public core::Carrier {
+class ServerPool final : public core::UpstreamTransport {
  public:
-  ServerPool(Reactor& reactor, const PoolBounds& bounds, core::Diary& diary);
+  ServerPool(Reactor& reactor, const PoolBounds& bounds, core::EventLog& diary);
   ~ServerPool() override;
-  void report_to(core::Carried& carried) { carried_ = &carried; }
+  void report_to(core::UpstreamObserver& carried) { carried_ = &carried; }
 
-  void shoot(const core::ShotCall& call) override;
-  void drop(EventId event, int leg) override;
-  bool recall(EventId event, int leg) override;
-  void recall_all(const ServerId& server) override;
-  void probe(const ServerId& server, Time limit) override;
-  void order(const ServerId& server, const FunctionId& function, int copies, Time limit) override;
-  void unload(const ServerId& server, const FunctionId& function) override;
-  void close_idle(const ServerId& server) override;
-  void reach(const ServerId& server, const std::string& address) override;
+  void send(const core::AttemptCall& call) override;
+  void cancel(RequestId event, int leg) override;
+  bool cancel_unsent(RequestId event, int leg) override;
+  void cancel_all_unsent(const EndpointId& server) override;
+  void probe(const EndpointId& server, Time limit) override;
+  void prewarm(const EndpointId& server, const FunctionId& function, int copies, Time limit) override;
+  void evict(const EndpointId& server, const FunctionId& function) override;
+  void close_idle(const EndpointId& server) override;
+  void set_address(const EndpointId& server, const std::string& address) override;
 
   std::size_t connections() const { return connections_; }
   // Where a server is reached now; empty: nowhere.
-  std::string address(const ServerId& server) const;
+  std::string address(const EndpointId& server) const;
 
  private:
   class Link;
   struct Exchange;
   struct Server {
-    ServerId id;
+    EndpointId id;
     std::string address_text;
     std::unique_ptr<Address> address;
     std::map<Link*, std::shared_ptr<Link>, ByNumber> links;
     std::vector<Link*> idle;  // the last used at the back
   };
 
-  void start(const ServerId& server, Exchange exchange);
-  void end(Exchange& exchange, HttpResponse* response, Ending otherwise);
+  void start(const EndpointId& server, Exchange exchange);
+  void end(Exchange& exchange, HttpResponse* response, AttemptOutcome otherwise);
   bool make_room();
   void forget(Link& link);
-  void drop_if_unused(const ServerId& id);
+  void drop_if_unused(const EndpointId& id);
   static std::shared_ptr<Link> hold(Link& link);
 
   Reactor& reactor_;
   PoolBounds bounds_;
-  core::Diary& diary_;
-  core::Carried* carried_ = nullptr;
-  std::map<ServerId, std::unique_ptr<Server>> servers_;
-  std::map<std::pair<EventId, int>, Link*> shots_;
+  core::EventLog& diary_;
+  core::UpstreamObserver* carried_ = nullptr;
+  std::map<EndpointId, std::unique_ptr<Server>> servers_;
+  std::map<std::pair<RequestId, int>, Link*> shots_;
   std::size_t connections_ = 0;
   std::shared_ptr<int> life_ = std::make_shared<int>(0);  // what was put off is void when the pool is gone
 };
--- a/src/transport/socket_listener.cpp
+++ b/src/transport/socket_listener.cpp
@@ -17,14 +17,14 @@
 
 }  // namespace
 
-SocketListener::SocketListener(Loop& loop, FileDescriptor socket, Accepted accepted)
+SocketListener::SocketListener(Loop& loop, FileDescriptor socket, AcceptHandler accepted)
     : loop_(loop), socket_(std::move(socket)), accepted_(std::move(accepted)) {
   set_non_blocking(socket_);
   watch(true);
 }
 
 SocketListener::~SocketListener() {
-  loop_.withdraw(pause_);
+  loop_.cancel(pause_);
   watch(false);
 }
 
@@ -32,7 +32,7 @@
 
 // The system has taken what stands in the queue for us, and its peers may have sent requests already: no
 // failure ends this before the queue is empty, but those that last for longer than the loop may stand still.
-void SocketListener::take_all() {
+void SocketListener::accept_all() {
   int lost = 0, rests = 0;
   while (lost < most_lost_in_all && rests < most_rests) {
     const Taken taken = take();
@@ -72,7 +72,7 @@
 // What cannot be taken now stays in the queue.
 void SocketListener::pause(Time span) {
   watch(false);
-  loop_.withdraw(pause_);
+  loop_.cancel(pause_);
   pause_ = loop_.at(loop_.now() + span, [this] { watch(true); });
 }
 
--- a/src/transport/socket_listener.h
+++ b/src/transport/socket_listener.h
@@ -3,7 +3,7 @@
 
 #include <functional>
 
-#include "core/clockwork.h"
+#include "core/timer_service.h"
 #include "transport/backoff.h"
 #include "transport/event_source.h"
 #include "transport/file_descriptor.h"
@@ -14,23 +14,24 @@
 class Loop;
 
 // A connection that was accepted and has no owner yet.
-class SocketArrival final : public Arrival {
+class SocketArrival final : public PendingConnection {
  public:
   explicit SocketArrival(FileDescriptor socket) : socket_(std::move(socket)) {}
   void refuse() const override { socket_.close(); }
   FileDescriptor take() const { return std::move(socket_); }
 
  private:
-  mutable FileDescriptor socket_;  // whoever accepts or refuses it is handed an Arrival that is const
+  mutable FileDescriptor
+      socket_;  // whoever accepts or refuses it is handed a PendingConnection that is const
 };
 
-class SocketListener final : public Place, public EventSource {
+class SocketListener final : public BoundSocket, public EventSource {
  public:
-  SocketListener(Loop& loop, FileDescriptor socket, Accepted accepted);
+  SocketListener(Loop& loop, FileDescriptor socket, AcceptHandler accepted);
   ~SocketListener() override;
   Address address() const override;
-  void take_all() override;
-  void take_where(std::function<bool()> room) override { room_ = std::move(room); }
+  void accept_all() override;
+  void accept_while(std::function<bool()> room) override { room_ = std::move(room); }
 
  private:
   void on_readable() override;
@@ -43,9 +44,9 @@
 
   Loop& loop_;
   FileDescriptor socket_;
-  Accepted accepted_;
+  AcceptHandler accepted_;
   std::function<bool()> room_;
-  core::Alarm pause_;
+  core::Timer pause_;
   Backoff backoff_;
 };
 
--- a/src/transport/socket_stream.cpp
+++ b/src/transport/socket_stream.cpp
@@ -26,9 +26,9 @@
 
 }  // namespace
 
-SocketStream::SocketStream(Loop& loop, StreamUser& user) : loop_(loop), user_(&user) {}
+SocketStream::SocketStream(Loop& loop, StreamHandler& user) : loop_(loop), user_(&user) {}
 
-SocketStream::SocketStream(Loop& loop, StreamUser& user, FileDescriptor accepted)
+SocketStream::SocketStream(Loop& loop, StreamHandler& user, FileDescriptor accepted)
     : EventSource(true), loop_(loop), socket_(std::move(accepted)), user_(&user) {}
 
 // The socket is made here: what fails for want of a descriptor is a loss like any other, and its own kind.
@@ -36,7 +36,7 @@
   if (!begin_connect(address)) {
     const bool local = cannot_begin(errno);
     socket_.close();
-    return local ? fail_to_begin() : lose_soon(Loss::refused);
+    return local ? fail_to_begin() : lose_soon(CloseReason::connect_failed);
   }
   set_option(loop_.system(), socket_, IPPROTO_TCP, TCP_NODELAY, 1);
   wait_for({.readable = wanted_.readable, .writable = true});
@@ -55,14 +55,14 @@
 // Told after a pause: whoever hears of it may try again at once, and must not spin.
 void SocketStream::fail_to_begin() {
   begin_pause_ = loop_.at(loop_.now() + loop_.connect_backoff().failed(),
-                          [self = shared_from_this()] { self->lose(Loss::not_begun); });
+                          [self = shared_from_this()] { self->lose(CloseReason::not_started); });
 }
 
 void SocketStream::establish() {
   established_ = true;
   came_after_ = loop_.looked_before();
   set_option(loop_.system(), socket_, IPPROTO_TCP, TCP_NODELAY, 1);
-  read(true);
+  set_reading(true);
 }
 
 void SocketStream::write(std::string_view bytes) {
@@ -71,7 +71,7 @@
   if (established_ && !wanted_.writable && !failed_) flush();
 }
 
-bool SocketStream::recall(std::size_t from, std::size_t count) {
+bool SocketStream::cancel_unsent(std::size_t from, std::size_t count) {
   if (from < handed_over_ || from - handed_over_ + count > out_.size()) return false;
   out_.erase(from - handed_over_, count);
   return true;
@@ -81,7 +81,7 @@
   deferred_ = false;
   if (closed() || failed_) return;
   flush();
-  if (out_.empty() && !closed()) user_->drained();
+  if (out_.empty() && !closed()) user_->on_write_drained();
 }
 
 void SocketStream::flush() {
@@ -101,7 +101,7 @@
       out_.clear();
       failed_ = true;
       // Not from within the user's own call to write().
-      loop_.soon([self = shared_from_this()] { self->lose_when_read(); });
+      loop_.post([self = shared_from_this()] { self->lose_when_read(); });
       return;
     }
     send_backoff_.succeeded();
@@ -115,7 +115,7 @@
   if (out_.empty() && finishing_) end_our_side();
 }
 
-void SocketStream::read(bool on) { wait_for({.readable = on, .writable = wanted_.writable}); }
+void SocketStream::set_reading(bool on) { wait_for({.readable = on, .writable = wanted_.writable}); }
 
 void SocketStream::wait_for(Interest wanted) {
   wanted_ = wanted;
@@ -149,7 +149,7 @@
   if (closed() || failed_) return;
   const bool waited = !out_.empty();
   flush();
-  if (waited && out_.empty() && !closed()) user_->drained();
+  if (waited && out_.empty() && !closed()) user_->on_write_drained();
 }
 
 // A call that a signal interrupts is made again: what it would have told is not known else.
@@ -164,14 +164,14 @@
 
 void SocketStream::end_our_side() { loop_.system().shutdown(socket_.number(), SHUT_WR); }
 
-Stream::Ahead SocketStream::ahead() {
+Stream::Peeked SocketStream::peek() {
   char byte = 0;
   const auto got = receive(&byte, 1, MSG_PEEK);
-  if (got > 0) return Ahead::bytes;
-  if (got == 0) return Ahead::end;
-  if (errno == EAGAIN || errno == EWOULDBLOCK) return Ahead::nothing;
+  if (got > 0) return Peeked::bytes;
+  if (got == 0) return Peeked::end;
+  if (errno == EAGAIN || errno == EWOULDBLOCK) return Peeked::nothing;
   // Not known: something may stand there.
-  return errno == EINTR || out_of_memory(errno) ? Ahead::bytes : Ahead::end;
+  return errno == EINTR || out_of_memory(errno) ? Peeked::bytes : Peeked::end;
 }
 
 std::size_t SocketStream::most_read() const {
@@ -189,11 +189,11 @@
     const auto got = receive(buffer.data(), most, 0);
     if (got < 0 && would_block(errno)) return;
     if (got < 0 && out_of_memory(errno)) return pause_reading();
-    if (got < 0) return lose(Loss::broken);
-    if (got == 0) return lose(Loss::ended);
+    if (got < 0) return lose(CloseReason::reset);
+    if (got == 0) return lose(CloseReason::closed_by_peer);
     read_backoff_.succeeded();
     read += static_cast<std::size_t>(got);
-    user_->arrived({buffer.data(), static_cast<std::size_t>(got)});
+    user_->on_data({buffer.data(), static_cast<std::size_t>(got)});
   } while (opened_by_peer() && !closed() && wanted_.readable && read < most_an_iteration);
 }
 
@@ -223,7 +223,7 @@
   if (closed() || !established_) return;
   const bool waited = !out_.empty();
   flush();
-  if (waited && out_.empty() && !closed()) user_->drained();
+  if (waited && out_.empty() && !closed()) user_->on_write_drained();
 }
 
 // Where even its error cannot be asked for, nothing has left on it all the same.
@@ -236,22 +236,22 @@
     socket_.close();
     return fail_to_begin();
   }
-  if (error != 0) return lose(Loss::refused);
+  if (error != 0) return lose(CloseReason::connect_failed);
   loop_.connect_backoff().succeeded();
   established_ = true;
-  read(true);
-  user_->opened();
+  set_reading(true);
+  user_->on_connected();
 }
 
-void SocketStream::lose(Loss why) {
+void SocketStream::lose(CloseReason why) {
   if (closed()) return;
-  StreamUser* user = user_;
+  StreamHandler* user = user_;
   close();
-  user->lost(why);
+  user->on_closed(why);
 }
 
-void SocketStream::lose_soon(Loss why) {
-  loop_.soon([self = shared_from_this(), why] { self->lose(why); });
+void SocketStream::lose_soon(CloseReason why) {
+  loop_.post([self = shared_from_this(), why] { self->lose(why); });
 }
 
 // What the peer sent before it broke off stands to be read still, and may be all that is known of what it
@@ -263,19 +263,19 @@
     note_unread_for();
     const auto got = receive(buffer.data(), most, 0);
     if (got <= 0) break;
-    user_->arrived({buffer.data(), static_cast<std::size_t>(got)});
+    user_->on_data({buffer.data(), static_cast<std::size_t>(got)});
   }
-  lose(Loss::broken);
+  lose(CloseReason::reset);
 }
 
-void SocketStream::finish() {
+void SocketStream::shutdown_write() {
   if (closed() || std::exchange(finishing_, true)) return;
   if (out_.empty() && established_) end_our_side();
 }
 
 void SocketStream::close() {
   if (closed()) return;
-  for (core::Alarm* pause : {&read_pause_, &send_pause_, &begin_pause_}) loop_.withdraw(*pause);
+  for (core::Timer* pause : {&read_pause_, &send_pause_, &begin_pause_}) loop_.cancel(*pause);
   wait_for({});
   user_ = nullptr;
   out_.clear();
--- a/src/transport/socket_stream.h
+++ b/src/transport/socket_stream.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/clockwork.h"
+#include "core/timer_service.h"
 #include "transport/backoff.h"
 #include "transport/event_source.h"
 #include "transport/file_descriptor.h"
@@ -21,9 +21,9 @@
                            public std::enable_shared_from_this<SocketStream> {
  public:
   // One that we open, by connect().
-  SocketStream(Loop& loop, StreamUser& user);
+  SocketStream(Loop& loop, StreamHandler& user);
   // One that came to us; establish() follows.
-  SocketStream(Loop& loop, StreamUser& user, FileDescriptor accepted);
+  SocketStream(Loop& loop, StreamHandler& user, FileDescriptor accepted);
   ~SocketStream() override { SocketStream::close(); }
 
   void connect(const Address& address);
@@ -31,16 +31,16 @@
   void send_deferred();
 
   void write(std::string_view bytes) override;
-  bool recall(std::size_t from, std::size_t count) override;
-  std::size_t handed_over() const override { return handed_over_; }
-  std::size_t waiting() const override { return out_.size(); }
-  void read(bool on) override;
-  Ahead ahead() override;
-  void finish() override;
+  bool cancel_unsent(std::size_t from, std::size_t count) override;
+  std::size_t handed_over_bytes() const override { return handed_over_; }
+  std::size_t pending_bytes() const override { return out_.size(); }
+  void set_reading(bool on) override;
+  Peeked peek() override;
+  void shutdown_write() override;
   void close() override;
   void reset() override;
   bool closed() const override { return user_ == nullptr; }
-  Time unread_for() const override { return unread_for_; }
+  Time unread_age() const override { return unread_for_; }
   void keepalive() override;
 
  private:
@@ -57,16 +57,16 @@
   void fail_to_begin();
   ssize_t receive(char* bytes, std::size_t count, int flags);
   void end_our_side();
-  void lose(Loss why);
+  void lose(CloseReason why);
   void lose_when_read();
-  void lose_soon(Loss why);
+  void lose_soon(CloseReason why);
   std::size_t most_read() const;
   void note_unread_for();
   Time since_last_data() const;
 
   Loop& loop_;
   FileDescriptor socket_;
-  StreamUser* user_;
+  StreamHandler* user_;
   std::string out_;
   std::size_t handed_over_ = 0;
   std::optional<Time> came_after_;  // of one that came to us and has not been read yet
@@ -78,7 +78,7 @@
   // What it waits for but for the pauses after calls that failed for want of memory.
   Interest wanted_;
   bool reading_paused_ = false, sending_paused_ = false;
-  core::Alarm read_pause_, send_pause_, begin_pause_;
+  core::Timer read_pause_, send_pause_, begin_pause_;
   Backoff read_backoff_, send_backoff_;
 };
 
