--- a/src/upstream/line_pool.cpp
+++ b/src/upstream/line_pool.cpp
@@ -9,7 +9,7 @@
 namespace rushhill::upstream {
 namespace {
 
-using transport::Loss;
+using transport::CloseReason;
 using transport::Stream;
 
 constexpr std::size_t most_unsent = 256 * 1024;  // bytes; a server that takes no more is silent
@@ -20,8 +20,8 @@
 
 struct LinePool::Exchange {
   enum class Kind { shot, probe, order, unload } kind = Kind::shot;
-  ServerId server{};
-  EventId event = 0;
+  EndpointId server{};
+  RequestId event = 0;
   int leg = 0;
   FunctionId function{};
   std::string tag{};    // the event's id, or our own
@@ -33,26 +33,26 @@
   bool started = false;  // bytes of it have left
   std::size_t from = 0;  // bytes before it on its connection
   std::size_t size = 0;  // bytes of it there
-  core::Alarm alarm{};
+  core::Timer alarm{};
 
   std::string text(Time now) const { return kind == Kind::shot ? invocation.text(deadline - now) : bytes; }
 };
 
 // One connection. A server's answers are believed by their ids alone, so an id is never twice on the same
 // one: a second copy of an answer, or one that was under way when its shot was given up, meets no later shot.
-class LinePool::Link final : public transport::StreamUser, public transport::Numbered {
+class LinePool::Link final : public transport::StreamHandler, public transport::Numbered {
  public:
   Link(LinePool& pool, Server& server)
       : pool_(pool), reactor_(pool.reactor_), server_(server), reader_(pool.bounds_.answers) {
     ++pool_.connections_;
     stream_ = Stream::connect(reactor_, *server.address, *this);
     alarm_ = reactor_.at(reactor_.now() + pool.bounds_.connect_limit,
-                         [this] { fail(Ending::no_connection, false); });
+                         [this] { fail(AttemptOutcome::connect_failed, false); });
   }
   ~Link() override {
-    reactor_.withdraw(alarm_);
-    reactor_.withdraw(renewal_);
-    for (auto& [tag, exchange] : open_) reactor_.withdraw(exchange.alarm);
+    reactor_.cancel(alarm_);
+    reactor_.cancel(renewal_);
+    for (auto& [tag, exchange] : open_) reactor_.cancel(exchange.alarm);
     if (stream_) stream_->close();
   }
 
@@ -63,7 +63,7 @@
     return !retired_ && !over_ && open_.size() < static_cast<std::size_t>(pool_.bounds_.shots_a_connection) &&
            std::ranges::find(carried_ids_, exchange.tag) == carried_ids_.end();
   }
-  bool sound() { return !established_ || stream_->ahead() == Stream::Ahead::nothing; }
+  bool sound() { return !established_ || stream_->peek() == Stream::Peeked::nothing; }
   // Nothing new goes on it; it is closed when what it carries has ended.
   void retire() {
     retired_ = true;
@@ -71,13 +71,13 @@
   }
   void close() {
     over_ = true;
-    reactor_.withdraw(alarm_);
-    reactor_.withdraw(renewal_);
+    reactor_.cancel(alarm_);
+    reactor_.cancel(renewal_);
     stream_->close();
   }
 
   void use(Exchange exchange) {
-    if (established_) reactor_.withdraw(alarm_);
+    if (established_) reactor_.cancel(alarm_);
     if (open_.empty()) {
       idle_before_ = established_ ? reactor_.now() - idle_since_ : 0;
       sent_ = reactor_.now();
@@ -95,7 +95,7 @@
         const auto self = hold();
         Exchange late = take(tag);
         retire();
-        pool_.end(late, Ending::no_answer);
+        pool_.end(late, AttemptOutcome::unanswered);
       });
     }
     if (exchange.kind == Exchange::Kind::shot) pool_.shots_[{exchange.event, exchange.leg}] = this;
@@ -103,13 +103,13 @@
     stream_->write(bytes);
     note_started();
     renew_later();
-    if (stream_->waiting() > most_unsent) retired_ = true;
+    if (stream_->pending_bytes() > most_unsent) retired_ = true;
   }
 
   // The shot is given up. Where none of it has left, it is only taken from what waits. Else: where nothing
   // else is on the connection its close says so, and a server whose answer will never come costs no later
   // shot; beside others it is taken back by a word, and they are the last.
-  void give_up(EventId event, int leg) {
+  void give_up(RequestId event, int leg) {
     const auto self = hold();
     const std::string tag = tag_of(event, leg);
     if (tag.empty() || recall(tag)) return;
@@ -129,7 +129,7 @@
     retire();
     return exchange;
   }
-  std::string tag_of(EventId event, int leg) const {
+  std::string tag_of(RequestId event, int leg) const {
     const auto it = std::ranges::find_if(open_, [&](const auto& item) {
       return item.second.kind == Exchange::Kind::shot && item.second.event == event && item.second.leg == leg;
     });
@@ -141,14 +141,14 @@
     return all;
   }
 
-  void opened() override {
+  void on_connected() override {
     established_ = true;
-    reactor_.withdraw(alarm_);
+    reactor_.cancel(alarm_);
     renew_deadlines();
     if (open_.empty() && !over_) rest();
   }
 
-  void arrived(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     const auto self = hold();
     came_ = true;
     reader_.put(bytes);
@@ -175,16 +175,17 @@
     }
   }
 
-  void drained() override {
+  void on_write_drained() override {
     note_started();
     renew_later();
   }
-  void lost(Loss why) override {
-    if (why == Loss::not_begun) return fail(Ending::not_sent, false);  // ours, and says nothing of the server
+  void on_closed(CloseReason why) override {
+    if (why == CloseReason::not_started)
+      return fail(AttemptOutcome::not_sent, false);  // ours, and says nothing of the server
     const bool crossed = !came_ && transport::crossed_idle_close(idle_before_, reactor_.now() - sent_);
-    fail(why == Loss::refused ? Ending::no_connection
-         : crossed            ? Ending::no_answer
-                              : Ending::connection_lost,
+    fail(why == CloseReason::connect_failed ? AttemptOutcome::connect_failed
+         : crossed                          ? AttemptOutcome::unanswered
+                                            : AttemptOutcome::connection_lost,
          true);
   }
 
@@ -195,21 +196,21 @@
   }
   void note_started() {
     for (auto& [tag, exchange] : open_) {
-      if (exchange.kind != Exchange::Kind::shot || stream_->handed_over() <= exchange.from) continue;
+      if (exchange.kind != Exchange::Kind::shot || stream_->handed_over_bytes() <= exchange.from) continue;
       if (!std::exchange(exchange.started, true)) pool_.carried_->attempt_started(exchange.event);
     }
   }
   // Its bytes as of now; they are to be written next.
   std::string place(Exchange& exchange) {
     std::string bytes = exchange.text(reactor_.now());
-    exchange.from = stream_->handed_over() + stream_->waiting();
+    exchange.from = stream_->handed_over_bytes() + stream_->pending_bytes();
     exchange.size = bytes.size();
     return bytes;
   }
   // Takes its bytes from what waits to leave. False: some of them have left.
   bool withdraw_bytes(const Exchange& exchange) {
     const std::size_t from = exchange.from;
-    if (!stream_->recall(from, exchange.size)) return false;
+    if (!stream_->cancel_unsent(from, exchange.size)) return false;
     for (auto& [tag, other] : open_) {
       if (other.from > from) other.from -= exchange.size;
     }
@@ -220,7 +221,7 @@
   void renew_deadlines() {
     std::vector<Exchange*> waiting;
     for (auto& [tag, exchange] : open_) {
-      if (exchange.kind == Exchange::Kind::shot && stream_->handed_over() <= exchange.from)
+      if (exchange.kind == Exchange::Kind::shot && stream_->handed_over_bytes() <= exchange.from)
         waiting.push_back(&exchange);
     }
     std::ranges::sort(waiting, {}, &Exchange::from);
@@ -234,15 +235,15 @@
       }
     }
     note_started();
-    for (const std::string& tag : too_late) pool_.fail_soon(take(tag), Ending::not_sent);
+    for (const std::string& tag : too_late) pool_.fail_soon(take(tag), AttemptOutcome::not_sent);
     renew_later();
   }
   void renew_later() {
     const bool waits =
         established_ && std::ranges::any_of(open_, [this](const auto& item) {
-          return item.second.kind == Exchange::Kind::shot && stream_->handed_over() <= item.second.from;
+          return item.second.kind == Exchange::Kind::shot && stream_->handed_over_bytes() <= item.second.from;
         });
-    reactor_.withdraw(renewal_);
+    reactor_.cancel(renewal_);
     if (waits)
       renewal_ = reactor_.at(reactor_.now() + deadline_renewed, [this] {
         renew_deadlines();
@@ -257,7 +258,7 @@
     const auto it = open_.find(tag);
     Exchange exchange = std::move(it->second);
     open_.erase(it);
-    reactor_.withdraw(exchange.alarm);
+    reactor_.cancel(exchange.alarm);
     if (exchange.kind == Exchange::Kind::shot) pool_.shots_.erase({exchange.event, exchange.leg});
     return exchange;
   }
@@ -270,30 +271,31 @@
   // What cannot be read: the one it was meant for has run and has no answer, the others lose their
   // connection.
   void spoilt(const std::string& suspect) {
-    pool_.diary_.line(core::Level::warning, "answer cannot be read", {{"server", server_.id}});
+    pool_.diary_.write(core::Level::warning, "answer cannot be read", {{"server", server_.id}});
     const bool known = open_.contains(suspect) || open_.size() == 1;
     pool_.forget(*this);
     std::vector<Exchange> all = take_all();
     for (const Exchange& exchange : all) {
       const bool meant = all.size() == 1 || exchange.tag == suspect;
-      pool_.end(exchange, meant || !known ? Ending::error : Ending::connection_lost);
+      pool_.end(exchange, meant || !known ? AttemptOutcome::error : AttemptOutcome::connection_lost);
     }
   }
 
   // A connection that ended, a new one also on its way up, may have been cut: what the system took no byte
   // of, which is certain not to have begun, goes on another one, once.
-  void fail(Ending ending, bool ended) {
+  void fail(AttemptOutcome ending, bool ended) {
     const auto self = hold();
-    const std::size_t handed_over = stream_->handed_over();
+    const std::size_t handed_over = stream_->handed_over_bytes();
     pool_.forget(*this);
     for (Exchange& exchange : take_all()) {
       const bool untouched = handed_over <= exchange.from;
       if (ended && untouched && !exchange.again) {
         exchange.again = true;
-        const ServerId id = exchange.server;
+        const EndpointId id = exchange.server;
         pool_.start(id, std::move(exchange));
       } else {
-        pool_.end(exchange, untouched && ending != Ending::not_sent ? Ending::no_connection : ending);
+        pool_.end(exchange,
+                  untouched && ending != AttemptOutcome::not_sent ? AttemptOutcome::connect_failed : ending);
       }
     }
   }
@@ -305,7 +307,7 @@
   line_protocol::Reader reader_;
   std::map<std::string, Exchange, std::less<>> open_;
   std::deque<std::string> carried_ids_;
-  core::Alarm alarm_, renewal_;
+  core::Timer alarm_, renewal_;
   // Of what went on it when it was idle last: how long it had been, since when that is out, and whether
   // anything has come since.
   Time idle_since_ = 0, idle_before_ = 0, sent_ = 0;
@@ -313,7 +315,7 @@
   bool established_ = false, retired_ = false, over_ = false;
 };
 
-LinePool::LinePool(transport::Reactor& reactor, const LineBounds& bounds, core::Diary& diary)
+LinePool::LinePool(transport::Reactor& reactor, const LineBounds& bounds, core::EventLog& diary)
     : reactor_(reactor), bounds_(bounds), diary_(diary) {}
 LinePool::~LinePool() = default;
 
@@ -324,13 +326,13 @@
   link.close();
   --connections_;
   // It may be the one that is calling: it goes when that call has returned. So does its server, after it.
-  reactor_.soon([this, gone = it->second, id = server.id, alive = std::weak_ptr(life_)] {
+  reactor_.post([this, gone = it->second, id = server.id, alive = std::weak_ptr(life_)] {
     if (!alive.expired()) drop_if_unused(id);
   });
   server.links.erase(it);
 }
 
-void LinePool::reach(const ServerId& id, const std::string& address) {
+void LinePool::set_address(const EndpointId& id, const std::string& address) {
   auto& known = servers_[id];
   if (!known) known = std::make_unique<Server>();
   known->id = id;
@@ -341,8 +343,8 @@
     try {
       known->address = transport::numeric_address(address);
     } catch (const std::invalid_argument& wrong) {
-      diary_.line(core::Level::warning, "server cannot be reached",
-                  {{"server", id}, {"reason", wrong.what()}});
+      diary_.write(core::Level::warning, "server cannot be reached",
+                   {{"server", id}, {"reason", wrong.what()}});
     }
   }
   const auto links = known->links;
@@ -351,13 +353,13 @@
 }
 
 // A server that is reached nowhere and has no connection left is forgotten.
-void LinePool::drop_if_unused(const ServerId& id) {
+void LinePool::drop_if_unused(const EndpointId& id) {
   const auto it = servers_.find(id);
   if (it != servers_.end() && it->second->address_text.empty() && it->second->links.empty())
-    reactor_.soon([gone = std::shared_ptr<Server>(std::move(it->second))] {}), servers_.erase(it);
+    reactor_.post([gone = std::shared_ptr<Server>(std::move(it->second))] {}), servers_.erase(it);
 }
 
-void LinePool::close_idle(const ServerId& id) {
+void LinePool::close_idle(const EndpointId& id) {
   const auto it = servers_.find(id);
   if (it == servers_.end()) return;
   const auto links = it->second->links;
@@ -404,59 +406,59 @@
   return oldest != nullptr;
 }
 
-void LinePool::start(const ServerId& id, Exchange exchange) {
+void LinePool::start(const EndpointId& id, Exchange exchange) {
   exchange.server = id;
   const auto it = servers_.find(id);
   if (it == servers_.end() || !it->second->address)
-    return fail_soon(std::move(exchange), Ending::no_connection);
+    return fail_soon(std::move(exchange), AttemptOutcome::connect_failed);
   Link* link = link_for(*it->second, exchange);
-  if (link == nullptr) return fail_soon(std::move(exchange), Ending::not_sent);
+  if (link == nullptr) return fail_soon(std::move(exchange), AttemptOutcome::not_sent);
   link->use(std::move(exchange));
 }
 
-void LinePool::fail_soon(Exchange exchange, Ending ending) {
+void LinePool::fail_soon(Exchange exchange, AttemptOutcome ending) {
   auto failed = std::make_shared<Exchange>(std::move(exchange));
-  reactor_.soon([this, failed, ending, alive = std::weak_ptr(life_)] {
+  reactor_.post([this, failed, ending, alive = std::weak_ptr(life_)] {
     if (!alive.expired()) end(*failed, ending);
   });
 }
 
-void LinePool::shoot(const core::ShotCall& call) {
+void LinePool::send(const core::AttemptCall& call) {
   const std::string *function = call.message.other("function"), *number = call.message.other("number");
-  start(call.server, {.event = call.event,
-                      .leg = call.leg,
-                      .tag = call.message.id,
-                      .invocation = line_protocol::invocation(
-                          call.message.id, call.message.type, function == nullptr ? "" : *function,
-                          number == nullptr ? "" : *number, call.message.data),
-                      .deadline = reactor_.now() + call.left});
+  start(call.endpoint, {.event = call.request,
+                        .leg = call.attempt_number,
+                        .tag = call.message.id,
+                        .invocation = line_protocol::invocation(
+                            call.message.id, call.message.type, function == nullptr ? "" : *function,
+                            number == nullptr ? "" : *number, call.message.data),
+                        .deadline = reactor_.now() + call.time_left});
 }
 
-void LinePool::drop(EventId event, int leg) {
+void LinePool::cancel(RequestId event, int leg) {
   const auto it = shots_.find({event, leg});
   if (it == shots_.end()) return;
   it->second->give_up(event, leg);
 }
 
-bool LinePool::recall(EventId event, int leg) {
+bool LinePool::cancel_unsent(RequestId event, int leg) {
   const auto it = shots_.find({event, leg});
   if (it == shots_.end()) return false;
   Link* link = it->second;
   return link->recall(link->tag_of(event, leg)).has_value();
 }
 
-void LinePool::recall_all(const ServerId& id) {
+void LinePool::cancel_all_unsent(const EndpointId& id) {
   const auto it = servers_.find(id);
   if (it == servers_.end()) return;
   const auto links = it->second->links;
   for (const auto& [link, held] : links) {
     for (const std::string& tag : link->tags()) {
-      if (auto recalled = link->recall(tag)) fail_soon(std::move(*recalled), Ending::not_sent);
+      if (auto recalled = link->recall(tag)) fail_soon(std::move(*recalled), AttemptOutcome::not_sent);
     }
   }
 }
 
-void LinePool::probe(const ServerId& server, Time limit) {
+void LinePool::probe(const EndpointId& server, Time limit) {
   const std::string tag = "p" + std::to_string(next_tag_++);
   start(server, {.kind = Exchange::Kind::probe,
                  .tag = tag,
@@ -464,7 +466,7 @@
                  .limit = reactor_.now() + limit});
 }
 
-void LinePool::order(const ServerId& server, const FunctionId& function, int copies, Time limit) {
+void LinePool::prewarm(const EndpointId& server, const FunctionId& function, int copies, Time limit) {
   const std::string tag = "o" + std::to_string(next_tag_++);
   start(server, {.kind = Exchange::Kind::order,
                  .function = function,
@@ -473,7 +475,7 @@
                  .limit = reactor_.now() + limit});
 }
 
-void LinePool::unload(const ServerId& server, const FunctionId& function) {
+void LinePool::evict(const EndpointId& server, const FunctionId& function) {
   start(server,
         {.kind = Exchange::Kind::unload, .function = function, .bytes = line_protocol::evict(function)});
 }
@@ -481,26 +483,26 @@
 void LinePool::answered(const Exchange& exchange, line_protocol::Answer answer) {
   using Kind = Exchange::Kind;
   if (exchange.kind == Kind::shot) {
-    auto result = line_protocol::shot_result(std::move(answer));
-    if (!result) return end(exchange, Ending::error);  // a word that answers no shot: it may have run
-    return carried_->shot_ended(exchange.event, exchange.leg, std::move(*result));
+    auto result = line_protocol::attempt_result(std::move(answer));
+    if (!result) return end(exchange, AttemptOutcome::error);  // a word that answers no shot: it may have run
+    return carried_->attempt_ended(exchange.event, exchange.leg, std::move(*result));
   }
   const bool good =
       answer.word == (exchange.kind == Kind::probe ? line_protocol::Word::pong : line_protocol::Word::hit) ||
       (exchange.kind == Kind::probe && answer.word == line_protocol::Word::hit);
-  const Ending ending = good                                       ? Ending::honoured
-                        : answer.word == line_protocol::Word::shed ? Ending::turned_away
-                                                                   : Ending::error;
+  const AttemptOutcome ending = good                                       ? AttemptOutcome::succeeded
+                                : answer.word == line_protocol::Word::shed ? AttemptOutcome::overloaded
+                                                                           : AttemptOutcome::error;
   if (exchange.kind == Kind::probe) return carried_->probe_ended(exchange.server, ending, answer.report);
-  carried_->order_ended(exchange.server, exchange.function, ending, answer.copies);
+  carried_->prewarm_ended(exchange.server, exchange.function, ending, answer.copies);
 }
 
-void LinePool::end(const Exchange& exchange, Ending ending) {
+void LinePool::end(const Exchange& exchange, AttemptOutcome ending) {
   using Kind = Exchange::Kind;
   if (exchange.kind == Kind::shot)
-    return carried_->shot_ended(exchange.event, exchange.leg, {.ending = ending});
+    return carried_->attempt_ended(exchange.event, exchange.leg, {.outcome = ending});
   if (exchange.kind == Kind::probe) return carried_->probe_ended(exchange.server, ending, {});
-  if (exchange.kind == Kind::order) carried_->order_ended(exchange.server, exchange.function, ending, 0);
+  if (exchange.kind == Kind::order) carried_->prewarm_ended(exchange.server, exchange.function, ending, 0);
 }
 
 }  // namespace rushhill::upstream
--- a/src/upstream/line_pool.h
+++ b/src/upstream/line_pool.h
@@ -25,21 +25,21 @@
   line_protocol::Bounds answers{};
 };
 
-class LinePool final : public core::Carrier {
+class LinePool final : public core::UpstreamTransport {
  public:
-  LinePool(transport::Reactor& reactor, const LineBounds& bounds, core::Diary& diary);
+  LinePool(transport::Reactor& reactor, const LineBounds& bounds, core::EventLog& diary);
   ~LinePool() override;
-  void report_to(core::Carried& carried) { carried_ = &carried; }
+  void report_to(core::UpstreamObserver& carried) { carried_ = &carried; }
 
-  void shoot(const core::ShotCall& call) override;
-  void drop(EventId event, int leg) override;
-  bool recall(EventId event, int leg) override;
-  void recall_all(const ServerId& server) override;
-  void probe(const ServerId& server, Time limit) override;
-  void order(const ServerId& server, const FunctionId& function, int copies, Time limit) override;
-  void unload(const ServerId& server, const FunctionId& function) override;
-  void close_idle(const ServerId& server) override;
-  void reach(const ServerId& server, const std::string& address) override;
+  void send(const core::AttemptCall& call) override;
+  void cancel(RequestId event, int leg) override;
+  bool cancel_unsent(RequestId event, int leg) override;
+  void cancel_all_unsent(const EndpointId& server) override;
+  void probe(const EndpointId& server, Time limit) override;
+  void prewarm(const EndpointId& server, const FunctionId& function, int copies, Time limit) override;
+  void evict(const EndpointId& server, const FunctionId& function) override;
+  void close_idle(const EndpointId& server) override;
+  void set_address(const EndpointId& server, const std::string& address) override;
 
   std::size_t connections() const { return connections_; }
   std::size_t servers() const { return servers_.size(); }
@@ -48,27 +48,27 @@
   class Link;
   struct Exchange;
   struct Server {
-    ServerId id;
+    EndpointId id;
     std::string address_text;
     std::optional<transport::Address> address;
     std::map<Link*, std::shared_ptr<Link>, transport::ByNumber> links;
   };
 
-  void start(const ServerId& server, Exchange exchange);
+  void start(const EndpointId& server, Exchange exchange);
   Link* link_for(Server& server, const Exchange& exchange);
   bool make_room();
-  void fail_soon(Exchange exchange, Ending ending);
-  void end(const Exchange& exchange, Ending ending);
+  void fail_soon(Exchange exchange, AttemptOutcome ending);
+  void end(const Exchange& exchange, AttemptOutcome ending);
   void answered(const Exchange& exchange, line_protocol::Answer answer);
   void forget(Link& link);
-  void drop_if_unused(const ServerId& id);
+  void drop_if_unused(const EndpointId& id);
 
   transport::Reactor& reactor_;
   LineBounds bounds_;
-  core::Diary& diary_;
-  core::Carried* carried_ = nullptr;
-  std::map<ServerId, std::unique_ptr<Server>> servers_;
-  std::map<std::pair<EventId, int>, Link*> shots_;
+  core::EventLog& diary_;
+  core::UpstreamObserver* carried_ = nullptr;
+  std::map<EndpointId, std::unique_ptr<Server>> servers_;
+  std::map<std::pair<RequestId, int>, Link*> shots_;
   std::size_t connections_ = 0;
   std::uint64_t next_tag_ = 1;
   std::shared_ptr<int> life_ = std::make_shared<int>(0);  // what was put off is void when the pool is gone
--- a/tests/admission/taking_test.cpp
+++ b/tests/admission/taking_test.cpp
@@ -80,31 +80,31 @@
 
 TEST(Tries, WhatIsGivenUpRestsLongerEachTimeAndEndsAtTheToldCount) {
   Tries tries(3, 100);
-  EXPECT_EQ(tries.again(0, "m", Outcome::shed, Effect::reissuable, 100'000, 0), Time{1'000});
-  EXPECT_EQ(tries.again(1'000, "m", Outcome::abandoned, Effect::reissuable, 100'000, 0), Time{3'000});
+  EXPECT_EQ(tries.again(0, "m", Outcome::shed, RetrySafety::idempotent, 100'000, 0), Time{1'000});
+  EXPECT_EQ(tries.again(1'000, "m", Outcome::abandoned, RetrySafety::idempotent, 100'000, 0), Time{3'000});
   EXPECT_EQ(tries.made("m"), 2);
-  EXPECT_EQ(tries.again(3'000, "m", Outcome::shed, Effect::reissuable, 100'000, 0), std::nullopt);
+  EXPECT_EQ(tries.again(3'000, "m", Outcome::shed, RetrySafety::idempotent, 100'000, 0), std::nullopt);
   EXPECT_EQ(tries.made("m"), 3);
 }
 
 TEST(Tries, TheCoresTimeToComeBackIsKeptAndNothingIsTriedPastItsTime) {
   Tries tries(10, 100);
-  EXPECT_EQ(tries.again(50, "m", Outcome::shed, Effect::reissuable, 100'000, 7'000), Time{7'050});
-  EXPECT_EQ(tries.again(7'050, "m", Outcome::shed, Effect::reissuable, 14'000, 7'000), std::nullopt);
+  EXPECT_EQ(tries.again(50, "m", Outcome::shed, RetrySafety::idempotent, 100'000, 7'000), Time{7'050});
+  EXPECT_EQ(tries.again(7'050, "m", Outcome::shed, RetrySafety::idempotent, 14'000, 7'000), std::nullopt);
 }
 
 TEST(Tries, WhatMayHaveRunOrBelongsToItsGroupIsNeverTriedAgain) {
   Tries tries(10, 100);
-  EXPECT_EQ(tries.again(0, "a", Outcome::abandoned, Effect::at_most_once, 100'000, 0), std::nullopt);
-  EXPECT_NE(tries.again(0, "b", Outcome::shed, Effect::at_most_once, 100'000, 0), std::nullopt);
-  EXPECT_EQ(tries.again(0, "c", Outcome::shed, Effect::numbered, 100'000, 0), std::nullopt);
-  EXPECT_EQ(tries.again(0, "d", Outcome::abandoned, Effect::numbered, 100'000, 0), std::nullopt);
+  EXPECT_EQ(tries.again(0, "a", Outcome::abandoned, RetrySafety::at_most_once, 100'000, 0), std::nullopt);
+  EXPECT_NE(tries.again(0, "b", Outcome::shed, RetrySafety::at_most_once, 100'000, 0), std::nullopt);
+  EXPECT_EQ(tries.again(0, "c", Outcome::shed, RetrySafety::keyed, 100'000, 0), std::nullopt);
+  EXPECT_EQ(tries.again(0, "d", Outcome::abandoned, RetrySafety::keyed, 100'000, 0), std::nullopt);
 }
 
 TEST(Tries, WhatIsCountedIsBoundedAndTheOldestGoFirst) {
   Tries tries(5, 2);
   for (const char* mark : {"a", "b", "c"})
-    tries.again(0, mark, Outcome::shed, Effect::reissuable, 100'000, 0);
+    tries.again(0, mark, Outcome::shed, RetrySafety::idempotent, 100'000, 0);
   EXPECT_EQ(tries.made("a"), 0);
   EXPECT_EQ(tries.made("c"), 1);
   tries.forget("c");
@@ -130,7 +130,7 @@
       while (!out.empty() && out.front().first <= now) {
         const auto [source, honoured] = out.front().second;
         out.pop_front();
-        yielding.ended(now, source, honoured ? Yielding::End::honoured : Yielding::End::given_up);
+        yielding.ended(now, source, honoured ? Yielding::End::succeeded : Yielding::End::failed);
         (honoured ? sums[source].honoured : sums[source].given_up) += 1;
       }
       for (std::size_t turn = 0; turn < wants.size(); ++turn) {
@@ -186,7 +186,7 @@
   lone.add(1, true);
   for (Time at = 0; at < 50'000; at += 10) {
     lone.took(at, 0);
-    lone.ended(at, 0, at % 20 == 0 ? Yielding::End::honoured : Yielding::End::given_up);
+    lone.ended(at, 0, at % 20 == 0 ? Yielding::End::succeeded : Yielding::End::failed);
   }
   EXPECT_EQ(lone.allowance(0), std::numeric_limits<std::size_t>::max());
 }
--- a/tests/benchmark/decide_benchmark.cpp
+++ b/tests/benchmark/routing_benchmark.cpp
@@ -16,29 +16,31 @@
 constexpr Time answer_after = 200;  // tenths of a millisecond
 constexpr int functions = 500;
 
-// Answers every shot; rings what the module asked to be woken for.
-class Answering final : public Host {
+// Answers every attempt; fires what the module asked to be woken for.
+class Answering final : public RoutingHost {
  public:
-  void shoot(EventId event, const ServerId& server, Time) override { shots.push_back({now, event, server}); }
-  void call_off(EventId, int) override {}
-  void shed(EventId, Time) override { ++given_up; }
-  void abandon(EventId) override { ++given_up; }
-  void wake(std::int64_t token, Time at) override {
+  void send_attempt(RequestId event, const EndpointId& server, Time) override {
+    shots.push_back({now, event, server});
+  }
+  void cancel_attempt(RequestId, int) override {}
+  void reject(RequestId, Time) override { ++given_up; }
+  void fail(RequestId) override { ++given_up; }
+  void set_timer(std::int64_t token, Time at) override {
     if (token == 0) housekeeping = at;  // events end long before their limit
   }
-  void probe(const ServerId&) override {}
-  void close_idle(const ServerId&) override {}
-  void order(const ServerId&, const FunctionId&, int) override {}
-  void unload(const ServerId&, const FunctionId&) override {}
-  void tell(int, const std::string&) override {}
-  void follow(bool) override {}
-  void reload() override {}
+  void probe(const EndpointId&) override {}
+  void close_idle(const EndpointId&) override {}
+  void prewarm(const EndpointId&, const FunctionId&, int) override {}
+  void evict(const EndpointId&, const FunctionId&) override {}
+  void send_gossip(int, const std::string&) override {}
+  void watch_endpoints(bool) override {}
+  void resync_endpoints() override {}
   void log(const std::string&) override {}
 
   struct Out {
     Time sent = 0;
-    EventId event = 0;
-    ServerId server;
+    RequestId event = 0;
+    EndpointId server;
   };
   Time now = 10'000, housekeeping = 0;
   std::vector<Out> shots;
@@ -46,42 +48,45 @@
 };
 
 void one_event(benchmark::State& state) {
-  Deployment deployment;
+  RoutingConfiguration deployment;
   deployment.routers = 10;
   deployment.tick = 10;
-  deployment.shot_cap = 3;
+  deployment.attempt_limit = 3;
   deployment.tells_warm = true;
   deployment.keep_alive = 120'000;
   deployment.cold_span = 160'000;
   deployment.fall_span = 15'000;
-  deployment.traffic_types = {
-      {.name = "lookup", .due = 7'500, .hard_limit = 25'000, .effect = Effect::reissuable}};
+  deployment.request_classes = {{.name = "lookup",
+                                 .latency_objective = 7'500,
+                                 .deadline_span = 25'000,
+                                 .retry_safety = RetrySafety::idempotent}};
   Answering host;
-  const auto router = make_router(deployment, 7, host);
-  std::vector<ModelServer> fleet;
+  const auto router = make_routing_policy(deployment, 7, host);
+  std::vector<Endpoint> fleet;
   for (int i = 0; i < state.range(0); ++i) fleet.push_back({.id = "box-" + std::to_string(i), .rating = 2});
-  router->roster(host.now, RosterForm::complete, fleet);
+  router->endpoints_updated(host.now, EndpointListForm::snapshot, fleet);
 
   std::vector<std::string> names;
   for (int i = 0; i < functions; ++i) names.push_back("ward-" + std::to_string(i));
   std::size_t next = 0;
-  EventId id = 0;
+  RequestId id = 0;
   const auto turn = [&] {
     host.now += pause;
-    if (host.housekeeping != 0 && host.now >= host.housekeeping) router->woken(host.now, 0);
+    if (host.housekeeping != 0 && host.now >= host.housekeeping) router->timer_fired(host.now, 0);
     while (next < host.shots.size() && host.shots[next].sent + answer_after <= host.now) {
       const Answering::Out out = host.shots[next++];
-      router->shot_ended(host.now, {.event = out.event,
-                                    .server = out.server,
-                                    .final = true,
-                                    .taken = answer_after,
-                                    .warmth = Warmth::found});
+      router->attempt_ended(host.now, {.request = out.event,
+                                       .endpoint = out.server,
+                                       .final = true,
+                                       .taken = answer_after,
+                                       .copy_state = CopyState::loaded});
     }
     if (next > 10'000) host.shots.erase(host.shots.begin(), host.shots.begin() + 10'000), next -= 10'000;
     // By Zipf's law, without a random number: the golden ratio's steps fill the unit interval evenly.
     const double even = std::fmod(static_cast<double>(++id) * 0.6180339887498949, 1.0);
     const auto which = static_cast<std::size_t>(std::pow(functions, even)) - 1;
-    router->event(host.now, {.id = id, .traffic_type = "lookup", .function = names[which], .left = 25'000});
+    router->request_received(
+        host.now, {.id = id, .request_class = "lookup", .function = names[which], .time_left = 25'000});
   };
   for (int i = 0; i < 20'000; ++i) turn();  // until it knows its fleet
   for (auto _ : state) turn();
--- a/tests/core/attempt_execution_test.cpp
+++ b/tests/core/attempt_execution_test.cpp
@@ -9,13 +9,13 @@
 class AttemptExecutionTest : public PartsFixture {
  protected:
   AttemptExecutionTest() { request.deadline = clock.now() + second; }
-  std::vector<Ending> endings() const {
-    std::vector<Ending> all;
-    for (const ShotEnd& end : heard.attempt_ends) all.push_back(end.ending);
+  std::vector<AttemptOutcome> endings() const {
+    std::vector<AttemptOutcome> all;
+    for (const AttemptEnd& end : heard.attempt_ends) all.push_back(end.outcome);
     return all;
   }
   RequestTable::Added added = requests.add();
-  EventId id = added.id;
+  RequestId id = added.id;
   Request& request = added.request;
 };
 
@@ -27,7 +27,7 @@
   EXPECT_EQ(carrier.sent[1].number, 1);
   EXPECT_EQ(carrier.sent[1].server, "b");
   EXPECT_EQ(carrier.sent[1].left, second - second / 4);
-  EXPECT_EQ(tally.shots, 2U);
+  EXPECT_EQ(tally.attempts, 2U);
   EXPECT_EQ(clock.standing(), 0U) << "no timeout is set";
 }
 
@@ -35,9 +35,9 @@
   attempts.start(id, "a", second / 10);
   clock.pass(second / 10);
   EXPECT_EQ(carrier.dropped, (std::vector{std::pair(id, 0)}));
-  EXPECT_EQ(endings(), std::vector<Ending>{Ending::no_answer});
+  EXPECT_EQ(endings(), std::vector<AttemptOutcome>{AttemptOutcome::unanswered});
   EXPECT_EQ(heard.attempt_ends[0].taken, second / 10);
-  EXPECT_EQ(heard.attempt_ends[0].server, "a");
+  EXPECT_EQ(heard.attempt_ends[0].endpoint, "a");
   attempts.cancel(id, 0);
   clock.settle();
   EXPECT_EQ(heard.attempt_ends.size(), 1U);
@@ -49,7 +49,7 @@
   EXPECT_TRUE(heard.attempt_ends.empty());
   EXPECT_EQ(request.deferred_calls, 1);
   clock.settle();
-  EXPECT_EQ(endings(), std::vector<Ending>{Ending::called_off});
+  EXPECT_EQ(endings(), std::vector<AttemptOutcome>{AttemptOutcome::cancelled});
   EXPECT_EQ(request.deferred_calls, 0);
   EXPECT_EQ(clock.standing(), 0U) << "its timeout is withdrawn";
 }
@@ -66,7 +66,7 @@
   attempts.start(concluded_id, "after the answer", 0);
   clock.settle();
   EXPECT_EQ(carrier.sent.size(), static_cast<std::size_t>(attempt_cap));
-  EXPECT_EQ(endings(), std::vector<Ending>(3, Ending::not_sent));
+  EXPECT_EQ(endings(), std::vector<AttemptOutcome>(3, AttemptOutcome::not_sent));
   EXPECT_TRUE(heard.attempt_ends[2].final);
   EXPECT_EQ(requests.find(concluded_id), nullptr) << "it is over with the report";
 }
@@ -89,7 +89,7 @@
   clock.settle();
   EXPECT_TRUE(request.attempts[0].open);
   EXPECT_FALSE(request.attempts[1].open);
-  EXPECT_EQ(endings(), std::vector<Ending>{Ending::not_sent});
+  EXPECT_EQ(endings(), std::vector<AttemptOutcome>{AttemptOutcome::not_sent});
   EXPECT_TRUE(carrier.dropped.empty());
 }
 
@@ -97,12 +97,12 @@
   attempts.start(id, "a", 0);
   attempts.start(id, "b", 0);
   attempts.close(request.attempts[0]);
-  attempts.report_end(id, 0, {.ending = Ending::error, .crowd = 4});
+  attempts.report_end(id, 0, {.outcome = AttemptOutcome::error, .in_flight = 4});
   attempts.cancel_at_deadline(id, request);
   clock.settle();
-  EXPECT_EQ(endings(), (std::vector<Ending>{Ending::error, Ending::no_answer}));
-  EXPECT_EQ(heard.attempt_ends[0].crowd, 4);
-  EXPECT_EQ(tally.endings[static_cast<std::size_t>(Ending::error)], 1U);
+  EXPECT_EQ(endings(), (std::vector<AttemptOutcome>{AttemptOutcome::error, AttemptOutcome::unanswered}));
+  EXPECT_EQ(heard.attempt_ends[0].in_flight, 4);
+  EXPECT_EQ(tally.outcomes[static_cast<std::size_t>(AttemptOutcome::error)], 1U);
 }
 
 }  // namespace
--- a/tests/core/gateway_test.cpp
+++ b/tests/core/gateway_test.cpp
@@ -10,48 +10,52 @@
 
 constexpr Time second = 10'000;
 
-struct Told final : Carrier, Peers, RosterSource, Diary, Client {
-  void shoot(const ShotCall& call) override {
-    shots.push_back({call.event, call.leg, call.server});
-    out.insert({call.event, call.leg});
+struct Told final : UpstreamTransport, PeerMessenger, EndpointListSource, EventLog, Client {
+  void send(const AttemptCall& call) override {
+    shots.push_back({call.request, call.attempt_number, call.endpoint});
+    out.insert({call.request, call.attempt_number});
     most_out = std::max(most_out, out.size());
   }
-  void drop(EventId event, int leg) override { dropped.emplace_back(event, leg), out.erase({event, leg}); }
-  bool recall(EventId event, int leg) override {
+  void cancel(RequestId event, int leg) override {
+    dropped.emplace_back(event, leg), out.erase({event, leg});
+  }
+  bool cancel_unsent(RequestId event, int leg) override {
     if (!unsent) return false;
-    drop(event, leg);
+    cancel(event, leg);
     return true;
   }
-  void recall_all(const ServerId& server) override { recalled.push_back(server); }
-  void probe(const ServerId&, Time) override {}
-  void order(const ServerId& server, const FunctionId& function, int, Time) override {
+  void cancel_all_unsent(const EndpointId& server) override { recalled.push_back(server); }
+  void probe(const EndpointId&, Time) override {}
+  void prewarm(const EndpointId& server, const FunctionId& function, int, Time) override {
     orders.emplace_back(server, function);
   }
-  void unload(const ServerId&, const FunctionId&) override {}
-  void close_idle(const ServerId&) override {}
-  void reach(const ServerId& server, const std::string& address) override { addresses[server] = address; }
-  void tell(int, const std::string& bytes) override { messages.push_back(bytes); }
-  void follow(bool) override {}
-  void reload() override {}
+  void evict(const EndpointId&, const FunctionId&) override {}
+  void close_idle(const EndpointId&) override {}
+  void set_address(const EndpointId& server, const std::string& address) override {
+    addresses[server] = address;
+  }
+  void send(int, const std::string& bytes) override { messages.push_back(bytes); }
+  void watch(bool) override {}
+  void resync() override {}
   bool wants(Level) const override { return true; }
-  void line(Level level, const char*, Fields) override { errors += level == Level::error ? 1 : 0; }
-  void honoured(EventId, events::CloudEvent) override { answers.emplace_back("honoured"); }
-  void shed(EventId, Time) override { answers.emplace_back("shed"); }
-  void abandoned(EventId) override { answers.emplace_back("abandoned"); }
+  void write(Level level, const char*, Fields) override { errors += level == Level::error ? 1 : 0; }
+  void succeeded(RequestId, events::CloudEvent) override { answers.emplace_back("honoured"); }
+  void rejected(RequestId, Time) override { answers.emplace_back("shed"); }
+  void failed(RequestId) override { answers.emplace_back("abandoned"); }
 
   struct Shot {
-    EventId event;
+    RequestId event;
     int leg;
-    ServerId server;
+    EndpointId server;
   };
   std::vector<Shot> shots;
-  std::set<std::pair<EventId, int>> out;
+  std::set<std::pair<RequestId, int>> out;
   std::size_t most_out = 0;
-  std::vector<std::pair<EventId, int>> dropped;
-  std::vector<std::pair<ServerId, FunctionId>> orders;
-  std::map<ServerId, std::string> addresses;
+  std::vector<std::pair<RequestId, int>> dropped;
+  std::vector<std::pair<EndpointId, FunctionId>> orders;
+  std::map<EndpointId, std::string> addresses;
   std::vector<std::string> messages, answers;
-  std::vector<ServerId> recalled;
+  std::vector<EndpointId> recalled;
   bool unsent = false;  // what is shot waits for its connection
   int errors = 0;
 };
@@ -61,37 +65,40 @@
   void start(int servers = 3) {
     gateway = std::make_unique<Gateway>(deployment, 7, Gateway::Ports{clock, told, told, told, told, ledger});
     source = gateway->add_source(1);
-    std::vector<RosterEntry> entries;
+    std::vector<EndpointListEntry> entries;
     for (int i = 0; i < servers; ++i)
       entries.push_back(
           {{.id = std::string(1, static_cast<char>('a' + i))}, "127.0.0.1:" + std::to_string(9000 + i)});
-    gateway->roster(RosterForm::complete, entries);
+    gateway->endpoints_updated(EndpointListForm::snapshot, entries);
   }
-  EventId event(const std::string& type = "lookup") {
-    const auto id = gateway->take(
-        source, told, {.traffic_type = type, .function = "f", .left = 2 * second, .load_time = second / 10},
+  RequestId event(const std::string& type = "lookup") {
+    const auto id = gateway->accept(
+        source, told,
+        {.request_class = type, .function = "f", .time_left = 2 * second, .load_time = second / 10},
         {.id = "one", .source = "/test", .type = type});
     return id.value_or(0);
   }
-  void end(std::size_t shot, Ending ending) {
+  void end(std::size_t shot, AttemptOutcome ending) {
     const Told::Shot of = told.shots.at(shot);
     told.out.erase({of.event, of.leg});
-    gateway->shot_ended(of.event, of.leg, {.ending = ending, .warmth = Warmth::found});
+    gateway->attempt_ended(of.event, of.leg, {.outcome = ending, .copy_state = CopyState::loaded});
     clock.settle();
   }
 
-  Deployment deployment = [] {
-    Deployment d;
+  RoutingConfiguration deployment = [] {
+    RoutingConfiguration d;
     d.tick = 100;
-    d.traffic_types = {
-        {.name = "lookup", .due = second, .hard_limit = 2 * second},
-        {.name = "booking", .due = second, .hard_limit = 2 * second, .effect = Effect::at_most_once},
-        {.name = "form",
-         .due = second,
-         .hard_limit = 2 * second,
-         .effect = Effect::numbered,
-         .memory_span = 5 * second}};
-    d.shot_cap = 4;
+    d.request_classes = {{.name = "lookup", .latency_objective = second, .deadline_span = 2 * second},
+                         {.name = "booking",
+                          .latency_objective = second,
+                          .deadline_span = 2 * second,
+                          .retry_safety = RetrySafety::at_most_once},
+                         {.name = "form",
+                          .latency_objective = second,
+                          .deadline_span = 2 * second,
+                          .retry_safety = RetrySafety::keyed,
+                          .deduplication_span = 5 * second}};
+    d.attempt_limit = 4;
     d.open_cap = 100;
     d.cancel = true;
     d.orders = true;
@@ -104,7 +111,7 @@
   }();
   HandClock clock;
   Told told;
-  Ledger* ledger = nullptr;
+  DeduplicationLog* ledger = nullptr;
   std::unique_ptr<Gateway> gateway;
   admission::Shares::Source source = 0;
 };
@@ -115,9 +122,9 @@
   clock.pass(2 * second - 1);  // the module has given up a tick before
   ASSERT_EQ(told.answers.size(), 1U);
   clock.pass(1);
-  end(0, Ending::honoured);
+  end(0, AttemptOutcome::succeeded);
   EXPECT_EQ(told.answers.size(), 1U);
-  EXPECT_EQ(gateway->open(), 0U);
+  EXPECT_EQ(gateway->open_requests(), 0U);
 }
 
 TEST_F(GatewayStory, WithoutTheModulesAnswerTheCoreGivesUpAtTheLimitItself) {
@@ -126,7 +133,7 @@
   event();
   clock.pass(2 * second);
   EXPECT_EQ(told.answers, std::vector<std::string>{"abandoned"});
-  EXPECT_EQ(gateway->tally().overdue, 1U);
+  EXPECT_EQ(gateway->tally().expired, 1U);
   EXPECT_TRUE(told.out.empty());
   clock.pass(5 * second);
   EXPECT_EQ(told.answers.size(), 1U);
@@ -137,15 +144,15 @@
   start();
   event();
   clock.jump(2 * second);
-  end(0, Ending::honoured);
+  end(0, AttemptOutcome::succeeded);
   clock.pass(second);
   EXPECT_EQ(told.answers, std::vector<std::string>{"abandoned"});
-  EXPECT_EQ(gateway->tally().honoured, 0U);
+  EXPECT_EQ(gateway->tally().succeeded, 0U);
 }
 
 TEST_F(GatewayStory, ASilentServersShotIsGivenUpBeforeTheNextLeaves) {
   start();
-  const EventId first = event();
+  const RequestId first = event();
   clock.pass(2 * second);
   ASSERT_FALSE(told.dropped.empty());
   EXPECT_EQ(told.dropped.front().first, first);
@@ -158,13 +165,13 @@
   event();
   clock.pass(2 * second);
   const std::size_t answers = told.answers.size();
-  for (std::size_t i = 0; i < told.shots.size(); ++i) end(i, Ending::honoured);
+  for (std::size_t i = 0; i < told.shots.size(); ++i) end(i, AttemptOutcome::succeeded);
   EXPECT_EQ(told.answers.size(), answers);
-  EXPECT_EQ(gateway->tally().honoured, 0U);
+  EXPECT_EQ(gateway->tally().succeeded, 0U);
 }
 
 TEST_F(GatewayStory, AnAtMostOnceEventThatMayHaveRunIsAbandonedAndNotShotAgain) {
-  for (const Ending ending : {Ending::error, Ending::connection_lost}) {
+  for (const AttemptOutcome ending : {AttemptOutcome::error, AttemptOutcome::connection_lost}) {
     told = Told();
     start();
     event("booking");
@@ -176,7 +183,8 @@
 
 TEST_F(GatewayStory, AnAtMostOnceEventThatProvablyNeverRanGoesElsewhere) {
   deployment.orders = false;
-  for (const Ending ending : {Ending::turned_away, Ending::no_connection, Ending::not_stored}) {
+  for (const AttemptOutcome ending :
+       {AttemptOutcome::overloaded, AttemptOutcome::connect_failed, AttemptOutcome::function_missing}) {
     told = Told();
     start();
     event("booking");
@@ -184,7 +192,7 @@
     ASSERT_EQ(told.shots.size(), 2U) << static_cast<int>(ending)
                                      << (told.answers.empty() ? "" : told.answers[0]);
     EXPECT_TRUE(told.answers.empty());
-    end(1, Ending::honoured);
+    end(1, AttemptOutcome::succeeded);
     EXPECT_EQ(told.answers, std::vector<std::string>{"honoured"});
   }
 }
@@ -192,29 +200,30 @@
 TEST_F(GatewayStory, AClientGoneWhileItsOrderIsPendingLeavesNothingBehind) {
   deployment.miss_answers = true;
   start();
-  const EventId id = event();
-  for (std::size_t i = 0; i < told.shots.size() && told.orders.empty(); ++i) end(i, Ending::not_stored);
+  const RequestId id = event();
+  for (std::size_t i = 0; i < told.shots.size() && told.orders.empty(); ++i)
+    end(i, AttemptOutcome::function_missing);
   ASSERT_EQ(told.orders.size(), 1U);
-  gateway->client_gone(id);
+  gateway->client_cancelled(id);
   clock.settle();
   const std::size_t shots = told.shots.size();
-  gateway->order_ended(told.orders[0].first, "f", Ending::honoured, 1);
+  gateway->prewarm_ended(told.orders[0].first, "f", AttemptOutcome::succeeded, 1);
   clock.pass(5 * second);
   EXPECT_EQ(told.shots.size(), shots);
   EXPECT_TRUE(told.answers.empty());
-  EXPECT_EQ(gateway->open(), 0U);
+  EXPECT_EQ(gateway->open_requests(), 0U);
 }
 
 TEST_F(GatewayStory, AClientThatLeavesIsAnsweredNoMoreAndItsShotCalledOff) {
   start();
-  const EventId id = event();
-  gateway->client_gone(id);
+  const RequestId id = event();
+  gateway->client_cancelled(id);
   clock.settle();
   EXPECT_EQ(told.dropped.size(), 1U);
-  end(0, Ending::honoured);
+  end(0, AttemptOutcome::succeeded);
   clock.pass(5 * second);
   EXPECT_TRUE(told.answers.empty());
-  EXPECT_EQ(gateway->tally().gone, 1U);
+  EXPECT_EQ(gateway->tally().cancelled, 1U);
 }
 
 TEST_F(GatewayStory, BeyondTheOpenCapNothingIsTakenAndRoomComesBack) {
@@ -222,9 +231,9 @@
   start();
   EXPECT_NE(event(), 0);
   EXPECT_EQ(event(), 0);
-  end(0, Ending::honoured);
+  end(0, AttemptOutcome::succeeded);
   EXPECT_NE(event(), 0);
-  EXPECT_EQ(gateway->tally().refused, 1U);
+  EXPECT_EQ(gateway->tally().not_accepted, 1U);
 }
 
 TEST_F(GatewayStory, AnAnswerTheModuleGivesAtOnceLeavesAfterTheEventIsTaken) {
@@ -238,106 +247,111 @@
 TEST_F(GatewayStory, ShotsEndOnceWhateverTheCarrierSaysTwice) {
   start();
   event();
-  end(0, Ending::connection_lost);
-  end(0, Ending::honoured);
+  end(0, AttemptOutcome::connection_lost);
+  end(0, AttemptOutcome::succeeded);
   EXPECT_TRUE(told.answers.empty());
   EXPECT_EQ(told.shots.size(), 2U);
 }
 
 TEST_F(GatewayStory, AShotWithItsOwnTimeOutEndsThenAndTheServerIsNotHeardAnyMore) {
   start();
-  const EventId id = event();
-  end(0, Ending::turned_away);
+  const RequestId id = event();
+  end(0, AttemptOutcome::overloaded);
   const std::size_t shots = told.shots.size();
-  static_cast<Host&>(*gateway).shoot(id, "c", second / 10);
+  static_cast<RoutingHost&>(*gateway).send_attempt(id, "c", second / 10);
   clock.pass(second / 10);
   EXPECT_EQ(told.dropped.back(), std::pair(id, static_cast<int>(shots)));
-  EXPECT_EQ(gateway->tally().endings[static_cast<std::size_t>(Ending::no_answer)], 1U);
+  EXPECT_EQ(gateway->tally().outcomes[static_cast<std::size_t>(AttemptOutcome::unanswered)], 1U);
 }
 
 TEST_F(GatewayStory, AShotForAnEventThatHasItsAnswerIsNeverSent) {
   start();
-  const EventId id = event();
-  static_cast<Host&>(*gateway).shed(id, 0);
+  const RequestId id = event();
+  static_cast<RoutingHost&>(*gateway).reject(id, 0);
   const std::size_t shots = told.shots.size();
-  static_cast<Host&>(*gateway).shoot(id, "c", 0);
+  static_cast<RoutingHost&>(*gateway).send_attempt(id, "c", 0);
   clock.settle();
   EXPECT_EQ(told.shots.size(), shots);
-  EXPECT_EQ(gateway->tally().endings[static_cast<std::size_t>(Ending::not_sent)], 1U);
+  EXPECT_EQ(gateway->tally().outcomes[static_cast<std::size_t>(AttemptOutcome::not_sent)], 1U);
 }
 
-struct Book final : Ledger {
-  bool ordering() override { return ++asked > 1; }
-  Taking taking(EventId, const std::string&, const events::CloudEvent&, Time) override { return says; }
-  void ended(const events::CloudEvent&, Fate fate) override { fates.push_back(fate); }
+struct Book final : DeduplicationLog {
+  bool prepare_prewarm() override { return ++asked > 1; }
+  AdmissionVerdict admit(RequestId, const std::string&, const events::CloudEvent&, Time) override {
+    return says;
+  }
+  void request_ended(const events::CloudEvent&, ExecutionCertainty fate) override { fates.push_back(fate); }
   int asked = 0;
-  Taking says = Taking::unmarked;
-  std::vector<Fate> fates;
+  AdmissionVerdict says = AdmissionVerdict::untracked;
+  std::vector<ExecutionCertainty> fates;
 };
 
 TEST_F(GatewayStory, AnEventWaitsForItsMarkAndHasThatMuchLessTime) {
   Book book;
-  book.says = Taking::wait;
+  book.says = AdmissionVerdict::pending;
   ledger = &book;
   start();
-  const EventId id = event("booking");
+  const RequestId id = event("booking");
   clock.pass(second / 2);
   EXPECT_TRUE(told.shots.empty());
-  gateway->marked(id, Taking::marked);
+  gateway->admission_decided(id, AdmissionVerdict::tracked);
   ASSERT_EQ(told.shots.size(), 1U);
-  end(0, Ending::honoured);
+  end(0, AttemptOutcome::succeeded);
   EXPECT_EQ(told.answers, std::vector<std::string>{"honoured"});
-  EXPECT_EQ(book.fates, std::vector<Fate>{Fate::honoured});
+  EXPECT_EQ(book.fates, std::vector<ExecutionCertainty>{ExecutionCertainty::executed});
   clock.pass(2 * second);
-  EXPECT_EQ(gateway->open(), 0U);
+  EXPECT_EQ(gateway->open_requests(), 0U);
 }
 
 TEST_F(GatewayStory, AMarkThatIsNotHeldOrThatAnotherHasEndsTheEventUnrun) {
   Book book;
-  book.says = Taking::wait;
+  book.says = AdmissionVerdict::pending;
   ledger = &book;
   start();
-  gateway->marked(event("booking"), Taking::not_now);
-  gateway->marked(event("booking"), Taking::known);
+  gateway->admission_decided(event("booking"), AdmissionVerdict::unavailable);
+  gateway->admission_decided(event("booking"), AdmissionVerdict::duplicate);
   clock.settle();
   EXPECT_EQ(told.answers, (std::vector<std::string>{"shed", "abandoned"}));
-  book.says = Taking::known;
+  book.says = AdmissionVerdict::duplicate;
   event("booking");
   clock.settle();
   EXPECT_EQ(told.answers.size(), 3U);
   EXPECT_EQ(told.answers.back(), "abandoned");
-  EXPECT_EQ(book.fates, (std::vector<Fate>{Fate::unrun, Fate::unrun})) << "the third was never taken here";
+  EXPECT_EQ(book.fates, (std::vector<ExecutionCertainty>{ExecutionCertainty::not_executed,
+                                                         ExecutionCertainty::not_executed}))
+      << "the third was never taken here";
   EXPECT_TRUE(told.shots.empty());
-  EXPECT_EQ(gateway->open(), 0U);
+  EXPECT_EQ(gateway->open_requests(), 0U);
 }
 
 TEST_F(GatewayStory, AMarkThatComesTooLateMovesNothing) {
   Book book;
-  book.says = Taking::wait;
+  book.says = AdmissionVerdict::pending;
   ledger = &book;
   start();
-  const EventId left = event("booking"), slow = event("booking");
-  gateway->client_gone(left);
+  const RequestId left = event("booking"), slow = event("booking");
+  gateway->client_cancelled(left);
   clock.settle();
-  gateway->marked(left, Taking::marked);
+  gateway->admission_decided(left, AdmissionVerdict::tracked);
   clock.jump(3 * second);  // stopped, and on again after the event's time
-  gateway->marked(slow, Taking::marked);
+  gateway->admission_decided(slow, AdmissionVerdict::tracked);
   clock.settle();
   EXPECT_TRUE(told.shots.empty());
   EXPECT_EQ(told.answers, std::vector<std::string>{"shed"});
-  EXPECT_EQ(book.fates, (std::vector<Fate>{Fate::unrun, Fate::unrun}));
+  EXPECT_EQ(book.fates, (std::vector<ExecutionCertainty>{ExecutionCertainty::not_executed,
+                                                         ExecutionCertainty::not_executed}));
   EXPECT_EQ(told.errors, 0);
 }
 
 TEST_F(GatewayStory, AnEventGivenUpAfterAShotMayHaveRun) {
   Book book;
-  book.says = Taking::marked;
+  book.says = AdmissionVerdict::tracked;
   ledger = &book;
   start();
   event("booking");
   clock.pass(2 * second);
   EXPECT_EQ(told.answers, std::vector<std::string>{"abandoned"});
-  EXPECT_EQ(book.fates, std::vector<Fate>{Fate::may_have_run});
+  EXPECT_EQ(book.fates, std::vector<ExecutionCertainty>{ExecutionCertainty::may_have_executed});
 }
 
 TEST_F(GatewayStory, AnOrderThatCannotBeToldToOthersFirstNeverLeaves) {
@@ -346,34 +360,34 @@
   ledger = &book;
   start();
   event();
-  end(0, Ending::not_stored);
+  end(0, AttemptOutcome::function_missing);
   EXPECT_EQ(book.asked, 1);
   EXPECT_TRUE(told.orders.empty());
-  EXPECT_EQ(gateway->tally().orders, 0U);
+  EXPECT_EQ(gateway->tally().prewarms, 0U);
   // It has ended for the module, which goes on: the next one is told and leaves.
   clock.pass(second / 5);
   ASSERT_GE(told.shots.size(), 2U);
-  end(told.shots.size() - 1, Ending::not_stored);
+  end(told.shots.size() - 1, AttemptOutcome::function_missing);
   clock.pass(second / 5);
-  EXPECT_EQ(told.orders.size(), gateway->tally().orders);
+  EXPECT_EQ(told.orders.size(), gateway->tally().prewarms);
   EXPECT_GT(told.orders.size(), 0U);
 }
 
 TEST_F(GatewayStory, ServersThatLeaveTheListAreReachedNoMore) {
   start();
-  gateway->roster(RosterForm::complete, {{{.id = "b"}, "127.0.0.1:9001"}});
+  gateway->endpoints_updated(EndpointListForm::snapshot, {{{.id = "b"}, "127.0.0.1:9001"}});
   EXPECT_EQ(told.addresses.at("a"), "");
   EXPECT_EQ(told.addresses.at("b"), "127.0.0.1:9001");
-  gateway->roster(RosterForm::changes, {{{.id = "b"}, "127.0.0.1:9777"}});
+  gateway->endpoints_updated(EndpointListForm::delta, {{{.id = "b"}, "127.0.0.1:9777"}});
   EXPECT_EQ(told.addresses.at("b"), "127.0.0.1:9777");
 }
 
 TEST_F(GatewayStory, AMessageLongerThanPeersMayHearIsNotSent) {
   deployment.peers = true;
   start();
-  static_cast<Host&>(*gateway).tell(-1, std::string(257, 'x'));
+  static_cast<RoutingHost&>(*gateway).send_gossip(-1, std::string(257, 'x'));
   EXPECT_TRUE(told.messages.empty());
-  static_cast<Host&>(*gateway).tell(-1, std::string(256, 'x'));
+  static_cast<RoutingHost&>(*gateway).send_gossip(-1, std::string(256, 'x'));
   EXPECT_EQ(told.messages.size(), 1U);
 }
 
@@ -384,43 +398,45 @@
   for (int i = 0; i < 20'000; ++i) event();
   clock.pass(10 * second);
   EXPECT_EQ(told.answers.size(), 20'000U);
-  EXPECT_EQ(gateway->open(), 0U);
+  EXPECT_EQ(gateway->open_requests(), 0U);
   EXPECT_LE(clock.standing(), before + 1);
 }
 
 TEST_F(GatewayStory, WhereShotsMayNotBeCalledOffWhatHasNotLeftIsTakenBackAllTheSame) {
   deployment.cancel = false;
   start();
-  const EventId waiting = event();
+  const RequestId waiting = event();
   told.unsent = true;
-  gateway->client_gone(waiting);
+  gateway->client_cancelled(waiting);
   clock.settle();
   EXPECT_EQ(told.dropped, (std::vector{std::pair(waiting, 0)}));
   told.unsent = false;
-  const EventId out = event();
-  gateway->client_gone(out);
+  const RequestId out = event();
+  gateway->client_cancelled(out);
   clock.settle();
   EXPECT_EQ(told.dropped.size(), 1U) << "what is out may not be called off here";
 }
 
 TEST_F(GatewayStory, TheWordLeavingTakesBackWhatHasNotLeftForThatServerAlone) {
   start();
-  gateway->roster(RosterForm::changes, {{{.id = "b", .condition = Condition::leaving}, "127.0.0.1:9001"},
-                                        {{.id = "c"}, "127.0.0.1:9002"}});
-  EXPECT_EQ(told.recalled, std::vector<ServerId>{"b"});
-  gateway->roster(RosterForm::complete, {{{.id = "c"}, "127.0.0.1:9002"}});
-  EXPECT_EQ(told.recalled, (std::vector<ServerId>{"b", "a", "b"})) << "what a whole list leaves out is gone";
+  gateway->endpoints_updated(
+      EndpointListForm::delta,
+      {{{.id = "b", .state = EndpointState::draining}, "127.0.0.1:9001"}, {{.id = "c"}, "127.0.0.1:9002"}});
+  EXPECT_EQ(told.recalled, std::vector<EndpointId>{"b"});
+  gateway->endpoints_updated(EndpointListForm::snapshot, {{{.id = "c"}, "127.0.0.1:9002"}});
+  EXPECT_EQ(told.recalled, (std::vector<EndpointId>{"b", "a", "b"}))
+      << "what a whole list leaves out is gone";
 }
 
 TEST_F(GatewayStory, ARouterThatMustEndAnswersEveryOpenEventOnce) {
   start();
   event();
   event("booking");
-  EXPECT_TRUE(gateway->owes());
-  gateway->end_all();
-  EXPECT_TRUE(gateway->owes()) << "decided and not handed over is owed still";
+  EXPECT_TRUE(gateway->any_client_waits());
+  gateway->expire_all();
+  EXPECT_TRUE(gateway->any_client_waits()) << "decided and not handed over is owed still";
   clock.settle();
-  EXPECT_FALSE(gateway->owes());
+  EXPECT_FALSE(gateway->any_client_waits());
   EXPECT_EQ(told.answers, (std::vector<std::string>{"abandoned", "abandoned"}));
   clock.pass(3 * second);
   EXPECT_EQ(told.answers.size(), 2U);
--- a/tests/core/idle_close_test.cpp
+++ b/tests/core/idle_close_test.cpp
@@ -27,16 +27,16 @@
 // the request goes nowhere; HTTP servers also say first that nothing came in time.
 enum class Close { reset, end, timeout_said };
 
-struct Nobody final : Peers, RosterSource {
-  void tell(int, const std::string&) override {}
-  void follow(bool) override {}
-  void reload() override {}
+struct Nobody final : PeerMessenger, EndpointListSource {
+  void send(int, const std::string&) override {}
+  void watch(bool) override {}
+  void resync() override {}
 };
 
 struct Answers final : Client {
-  void honoured(EventId, events::CloudEvent) override { all.emplace_back("succeeded"); }
-  void shed(EventId, Time) override { all.emplace_back("rejected"); }
-  void abandoned(EventId) override { all.emplace_back("failed"); }
+  void succeeded(RequestId, events::CloudEvent) override { all.emplace_back("succeeded"); }
+  void rejected(RequestId, Time) override { all.emplace_back("rejected"); }
+  void failed(RequestId) override { all.emplace_back("failed"); }
   std::vector<std::string> all;
 };
 
@@ -71,7 +71,7 @@
           upstream::LineBounds{
               .connections = 8, .connect_limit = connect_limit, .idle = idle, .reports = true},
           silent);
-      report = [&pool = *pool](Carried& to) { pool.report_to(to); };
+      report = [&pool = *pool](UpstreamObserver& to) { pool.report_to(to); };
       carrier = std::move(pool);
     } else {
       auto pool = std::make_unique<transport::ServerPool>(
@@ -79,7 +79,7 @@
           transport::PoolBounds{
               .connections = 8, .connect_limit = connect_limit, .idle = idle, .reply = 64 * 1024},
           silent);
-      report = [&pool = *pool](Carried& to) { pool.report_to(to); };
+      report = [&pool = *pool](UpstreamObserver& to) { pool.report_to(to); };
       carrier = std::move(pool);
     }
     for (RawServer* server : {&one, &other}) {
@@ -94,10 +94,10 @@
                                         Gateway::Ports{reactor, *carrier, nobody, nobody, silent, nullptr});
     report(*gateway);
     source = gateway->add_source(1);
-    std::vector<RosterEntry> list{{{.id = "one"}, one.address()}};
+    std::vector<EndpointListEntry> list{{{.id = "one"}, one.address()}};
     if (servers == 2) list.push_back({{.id = "other"}, other.address()});
-    gateway->roster(RosterForm::complete, list);
-    for (const RosterEntry& entry : list) carrier->probe(entry.server.id, second);
+    gateway->endpoints_updated(EndpointListForm::snapshot, list);
+    for (const EndpointListEntry& entry : list) carrier->probe(entry.endpoint.id, second);
     ASSERT_TRUE(pump.until([&] { return answered == servers; }));
     pump.pass(50);
   }
@@ -126,46 +126,50 @@
   void cross(const std::string& type) {
     std::vector<RawPeer*> idle_ones;
     for (RawServer* server : {&one, &other}) {
-      for (const auto& peer : server->peers) idle_ones.push_back(peer.get()), peer->stream->read(false);
+      for (const auto& peer : server->peers)
+        idle_ones.push_back(peer.get()), peer->stream->set_reading(false);
     }
-    const auto id = gateway->take(source, client, {.traffic_type = type, .function = "f", .left = 2 * second},
-                                  {.id = "call", .source = "/test", .type = type, .data = data});
+    const auto id =
+        gateway->accept(source, client, {.request_class = type, .function = "f", .time_left = 2 * second},
+                        {.id = "call", .source = "/test", .type = type, .data = data});
     ASSERT_TRUE(id.has_value());
-    ASSERT_EQ(gateway->tally().shots, 1U);
+    ASSERT_EQ(gateway->tally().attempts, 1U);
     for (RawPeer* peer : idle_ones) {
       if (GetParam().second == Close::timeout_said)
         peer->stream->write("HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
       if (GetParam().second == Close::end) {
-        peer->stream->finish();
+        peer->stream->shutdown_write();
       } else {
         peer->stream->close();
       }
     }
     ASSERT_TRUE(pump.until([&] { return attempts_lost() == 1; }));
-    after_loss = gateway->tally().shots;
+    after_loss = gateway->tally().attempts;
   }
   std::uint64_t attempts_lost() const {
-    const auto& endings = gateway->tally().endings;
-    return endings[static_cast<std::size_t>(Ending::connection_lost)] +
-           endings[static_cast<std::size_t>(Ending::no_answer)] +
-           endings[static_cast<std::size_t>(Ending::error)];
+    const auto& endings = gateway->tally().outcomes;
+    return endings[static_cast<std::size_t>(AttemptOutcome::connection_lost)] +
+           endings[static_cast<std::size_t>(AttemptOutcome::unanswered)] +
+           endings[static_cast<std::size_t>(AttemptOutcome::error)];
   }
   bool ended() {
-    return pump.until([&] { return !client.all.empty() && gateway->open() == 0; });
+    return pump.until([&] { return !client.all.empty() && gateway->open_requests() == 0; });
   }
 
-  Deployment deployment = [] {
-    Deployment d;
+  RoutingConfiguration deployment = [] {
+    RoutingConfiguration d;
     d.tick = 100;
-    d.traffic_types = {
-        {.name = "idempotent", .due = second, .hard_limit = 2 * second},
-        {.name = "at-most-once", .due = second, .hard_limit = 2 * second, .effect = Effect::at_most_once},
-        {.name = "keyed",
-         .due = second,
-         .hard_limit = 2 * second,
-         .effect = Effect::numbered,
-         .memory_span = 5 * second}};
-    d.shot_cap = 4;
+    d.request_classes = {{.name = "idempotent", .latency_objective = second, .deadline_span = 2 * second},
+                         {.name = "at-most-once",
+                          .latency_objective = second,
+                          .deadline_span = 2 * second,
+                          .retry_safety = RetrySafety::at_most_once},
+                         {.name = "keyed",
+                          .latency_objective = second,
+                          .deadline_span = 2 * second,
+                          .retry_safety = RetrySafety::keyed,
+                          .deduplication_span = 5 * second}};
+    d.attempt_limit = 4;
     d.open_cap = 100;
     d.tells_warm = true;
     d.keep_alive = 10 * second;
@@ -180,8 +184,8 @@
   Nobody nobody;
   Answers client;
   RawServer one{reactor}, other{reactor};
-  std::unique_ptr<Carrier> carrier;
-  std::function<void(Carried&)> report;
+  std::unique_ptr<UpstreamTransport> carrier;
+  std::function<void(UpstreamObserver&)> report;
   std::unique_ptr<Gateway> gateway;
   admission::Shares::Source source = 0;
   int answered = 0, read = 0;    // by the servers: all, and requests alone
@@ -212,7 +216,7 @@
   ASSERT_TRUE(ended());
   pump.pass(3'000);
   EXPECT_EQ(client.all, std::vector<std::string>{"failed"}) << "it may have run, so it is not rejected";
-  EXPECT_EQ(gateway->tally().shots, 1U);
+  EXPECT_EQ(gateway->tally().attempts, 1U);
   EXPECT_EQ(read, 0);
 }
 
@@ -244,7 +248,7 @@
   cross("at-most-once");
   ASSERT_TRUE(ended());
   EXPECT_EQ(client.all, std::vector<std::string>{"failed"});
-  EXPECT_EQ(gateway->tally().shots, 1U);
+  EXPECT_EQ(gateway->tally().attempts, 1U);
   EXPECT_EQ(read, 0);
 }
 
@@ -253,13 +257,13 @@
   start(1);
   pump.pass(15'000);
   one.on_bytes = nullptr;
-  ASSERT_TRUE(gateway->take(source, client,
-                            {.traffic_type = "at-most-once", .function = "f", .left = 2 * second},
-                            {.id = "call", .source = "/test", .type = "at-most-once", .data = data}));
+  ASSERT_TRUE(gateway->accept(source, client,
+                              {.request_class = "at-most-once", .function = "f", .time_left = 2 * second},
+                              {.id = "call", .source = "/test", .type = "at-most-once", .data = data}));
   pump.pass(600);
   one.peers[0]->stream->close();
   ASSERT_TRUE(ended());
-  EXPECT_EQ(gateway->tally().endings[static_cast<std::size_t>(Ending::connection_lost)], 1U);
+  EXPECT_EQ(gateway->tally().outcomes[static_cast<std::size_t>(AttemptOutcome::connection_lost)], 1U);
 }
 
 }  // namespace
--- a/tests/core/manual_clock.h
+++ b/tests/core/manual_clock.h
@@ -6,16 +6,16 @@
 #include <utility>
 #include <vector>
 
-#include "core/alarms.h"
+#include "core/timer_queue.h"
 
 namespace rushhill::core {
 
-class HandClock final : public Clockwork {
+class HandClock final : public TimerService {
  public:
   Time now() const override { return now_; }
-  Alarm at(Time when, Call call) override { return alarms_.set(when, std::move(call)); }
-  void withdraw(Alarm& alarm) override { alarms_.withdraw(alarm); }
-  void soon(Call call) override { soon_.push_back(std::move(call)); }
+  Timer at(Time when, Call call) override { return alarms_.add(when, std::move(call)); }
+  void cancel(Timer& alarm) override { alarms_.cancel(alarm); }
+  void post(Call call) override { soon_.push_back(std::move(call)); }
   void settle() {
     while (!soon_.empty()) {
       for (const Call& call : std::exchange(soon_, {})) call();
@@ -24,9 +24,9 @@
   void pass(Time span) {
     const Time end = now_ + span;
     settle();
-    while (alarms_.next() && *alarms_.next() <= end) {
-      now_ = std::max(now_, *alarms_.next());
-      alarms_.ring(now_);
+    while (alarms_.next_deadline() && *alarms_.next_deadline() <= end) {
+      now_ = std::max(now_, *alarms_.next_deadline());
+      alarms_.fire_due(now_);
       settle();
     }
     now_ = end;
@@ -36,7 +36,7 @@
 
  private:
   Time now_ = 100 * 10'000;
-  Alarms alarms_;
+  TimerQueue alarms_;
   std::vector<Call> soon_;
 };
 
--- a/tests/core/outstanding_calls_test.cpp
+++ b/tests/core/outstanding_calls_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 TEST(OutstandingCalls, TheOldestCallOfAKeyEndsFirst) {
-  OutstandingCalls<ServerId> calls;
+  OutstandingCalls<EndpointId> calls;
   calls.start("a", 100);
   calls.start("a", 130);
   calls.start("b", 150);
@@ -17,7 +17,7 @@
 }
 
 TEST(OutstandingCalls, AnEndWithoutACallTookNoTimeAndLeavesNothingBehind) {
-  OutstandingCalls<ServerId> calls;
+  OutstandingCalls<EndpointId> calls;
   EXPECT_EQ(calls.end("a", 200), 0);
   EXPECT_EQ(calls.keys(), 0U);
   calls.start("a", 200);
--- a/tests/core/parts_fixture.h
+++ b/tests/core/parts_fixture.h
@@ -16,64 +16,65 @@
 
 // What the decision module hears.
 struct Heard {
-  std::vector<Event> requests;
-  std::vector<ShotEnd> attempt_ends;
+  std::vector<RoutingRequest> requests;
+  std::vector<AttemptEnd> attempt_ends;
   std::vector<ProbeEnd> probe_ends;
-  std::vector<OrderEnd> order_ends;
-  std::vector<EventId> cancelled;
+  std::vector<PrewarmEnd> order_ends;
+  std::vector<RequestId> cancelled;
 };
 
-class RecordingRouter final : public Router {
+class RecordingRouter final : public RoutingPolicy {
  public:
   explicit RecordingRouter(Heard& heard) : heard_(heard) {}
-  void roster(Time, RosterForm, const std::vector<ModelServer>&) override {}
-  void event(Time, const Event& event) override { heard_.requests.push_back(event); }
-  void stream_began(Time, EventId, int) override {}
-  void shot_ended(Time, const ShotEnd& end) override { heard_.attempt_ends.push_back(end); }
-  void client_gone(Time, EventId event) override { heard_.cancelled.push_back(event); }
-  void woken(Time, std::int64_t) override {}
+  void endpoints_updated(Time, EndpointListForm, const std::vector<Endpoint>&) override {}
+  void request_received(Time, const RoutingRequest& event) override { heard_.requests.push_back(event); }
+  void response_started(Time, RequestId, int) override {}
+  void attempt_ended(Time, const AttemptEnd& end) override { heard_.attempt_ends.push_back(end); }
+  void client_cancelled(Time, RequestId event) override { heard_.cancelled.push_back(event); }
+  void timer_fired(Time, std::int64_t) override {}
   void probe_ended(Time, const ProbeEnd& end) override { heard_.probe_ends.push_back(end); }
-  void order_ended(Time, const OrderEnd& end) override { heard_.order_ends.push_back(end); }
-  void told(Time, int, const std::string&) override {}
-  void ration_known(Time, double) override {}
+  void prewarm_ended(Time, const PrewarmEnd& end) override { heard_.order_ends.push_back(end); }
+  void gossip_received(Time, int, const std::string&) override {}
+  void load_budget_restored(Time, double) override {}
 
  private:
   Heard& heard_;
 };
 
-struct RecordingCarrier final : Carrier {
+struct RecordingCarrier final : UpstreamTransport {
   struct Sent {
-    EventId id;
+    RequestId id;
     int number;
-    ServerId server;
+    EndpointId server;
     Time left;
   };
-  void shoot(const ShotCall& call) override {
-    sent.push_back({.id = call.event, .number = call.leg, .server = call.server, .left = call.left});
+  void send(const AttemptCall& call) override {
+    sent.push_back(
+        {.id = call.request, .number = call.attempt_number, .server = call.endpoint, .left = call.time_left});
   }
-  void drop(EventId id, int number) override { dropped.emplace_back(id, number); }
-  bool recall(EventId id, int number) override { return unsent.contains({id, number}); }
-  void recall_all(const ServerId&) override {}
-  void probe(const ServerId& server, Time) override { probes.push_back(server); }
-  void order(const ServerId& server, const FunctionId&, int copies, Time limit) override {
+  void cancel(RequestId id, int number) override { dropped.emplace_back(id, number); }
+  bool cancel_unsent(RequestId id, int number) override { return unsent.contains({id, number}); }
+  void cancel_all_unsent(const EndpointId&) override {}
+  void probe(const EndpointId& server, Time) override { probes.push_back(server); }
+  void prewarm(const EndpointId& server, const FunctionId&, int copies, Time limit) override {
     orders.emplace_back(server, copies);
     order_limit = limit;
   }
-  void unload(const ServerId& server, const FunctionId&) override { unloads.push_back(server); }
-  void close_idle(const ServerId&) override {}
-  void reach(const ServerId&, const std::string&) override {}
+  void evict(const EndpointId& server, const FunctionId&) override { unloads.push_back(server); }
+  void close_idle(const EndpointId&) override {}
+  void set_address(const EndpointId&, const std::string&) override {}
 
   std::vector<Sent> sent;
-  std::vector<std::pair<EventId, int>> dropped;
-  std::set<std::pair<EventId, int>> unsent;
-  std::vector<ServerId> probes, unloads;
-  std::vector<std::pair<ServerId, int>> orders;
+  std::vector<std::pair<RequestId, int>> dropped;
+  std::set<std::pair<RequestId, int>> unsent;
+  std::vector<EndpointId> probes, unloads;
+  std::vector<std::pair<EndpointId, int>> orders;
   Time order_limit = 0;
 };
 
-struct CountingLog final : Diary {
+struct CountingLog final : EventLog {
   bool wants(Level) const override { return true; }
-  void line(Level level, const char*, Fields) override {
+  void write(Level level, const char*, Fields) override {
     if (level == Level::error) ++errors;
   }
   int errors = 0;
@@ -88,16 +89,16 @@
   RecordingCarrier carrier;
   CountingLog log;
   Heard heard;
-  Tally tally;
+  Counters tally;
   DeferredCalls deferred{clock};
-  DecisionModule decisions{std::make_unique<RecordingRouter>(heard), clock};
+  PolicyRunner decisions{std::make_unique<RecordingRouter>(heard), clock};
   RequestTable requests{clock, 7};
   AttemptExecution attempts{{.clock = clock,
-                             .carrier = carrier,
+                             .upstream = carrier,
                              .log = log,
                              .requests = requests,
                              .deferred = deferred,
-                             .decisions = decisions,
+                             .policy = decisions,
                              .tally = tally},
                             attempt_cap};
 };
--- a/tests/core/request_table_test.cpp
+++ b/tests/core/request_table_test.cpp
@@ -17,7 +17,7 @@
 };
 
 TEST_F(RequestTableTest, IdsCountUpFromAPlaceThatTheSeedDraws) {
-  const EventId first = table->add().id;
+  const RequestId first = table->add().id;
   EXPECT_GT(first, 0);
   EXPECT_EQ(table->add().id, first + 1);
   RequestTable same(clock, 7);
@@ -73,16 +73,16 @@
 
 TEST_F(RequestTableTest, KnowsWhichRequestsAndClientsStillWait) {
   struct SilentClient final : Client {
-    void honoured(EventId, events::CloudEvent) override {}
-    void shed(EventId, Time) override {}
-    void abandoned(EventId) override {}
+    void succeeded(RequestId, events::CloudEvent) override {}
+    void rejected(RequestId, Time) override {}
+    void failed(RequestId) override {}
   } client;
   for (int i = 0; i < 20; ++i) table->add();
   const auto [id, request] = table->add();
   EXPECT_FALSE(table->any_client_waits());
   request.client = &client;
   EXPECT_TRUE(table->any_client_waits());
-  std::vector<EventId> expected;
+  std::vector<RequestId> expected;
   for (int i = 20; i >= 1; --i) expected.push_back(id - i);
   request.concluded = true;
   EXPECT_EQ(table->not_concluded(), expected);
--- a/tests/core/server_addresses_test.cpp
+++ b/tests/core/server_addresses_test.cpp
@@ -6,7 +6,7 @@
 namespace rushhill::core {
 namespace {
 
-using Map = ServerAddresses::Map;
+using Map = EndpointAddresses::Map;
 
 class ServerAddressesTest : public testing::Test {
  protected:
@@ -14,25 +14,26 @@
     addresses.set("a", "127.0.0.1:1");
     addresses.set("b", "127.0.0.1:2");
   }
-  ServerAddresses addresses;
+  EndpointAddresses addresses;
 };
 
 TEST_F(ServerAddressesTest, ChangesSpeakOnlyOfTheServersTheyName) {
-  EXPECT_EQ(addresses.listed(RosterForm::changes, {{{.id = "b"}, "127.0.0.1:3"}}),
+  EXPECT_EQ(addresses.listed(EndpointListForm::delta, {{{.id = "b"}, "127.0.0.1:3"}}),
             (Map{{"b", "127.0.0.1:3"}}));
-  EXPECT_TRUE(addresses.listed(RosterForm::failed, {}).empty());
+  EXPECT_TRUE(addresses.listed(EndpointListForm::failed, {}).empty());
 }
 
 TEST_F(ServerAddressesTest, AWholeListMakesTheServersItLeavesOutUnreachable) {
   const Map expected{{"a", ""}, {"b", "127.0.0.1:2"}};
-  EXPECT_EQ(addresses.listed(RosterForm::complete, {{{.id = "b"}, "127.0.0.1:2"}}), expected);
-  EXPECT_EQ(addresses.listed(RosterForm::remembered, {{{.id = "b"}, "127.0.0.1:2"}}), expected);
+  EXPECT_EQ(addresses.listed(EndpointListForm::snapshot, {{{.id = "b"}, "127.0.0.1:2"}}), expected);
+  EXPECT_EQ(addresses.listed(EndpointListForm::cached, {{{.id = "b"}, "127.0.0.1:2"}}), expected);
 }
 
 TEST_F(ServerAddressesTest, AServerThatHasLeftIsUnreachableWhateverAddressIsGiven) {
-  const std::vector<RosterEntry> entries{{{.id = "a", .condition = Condition::left}, "127.0.0.1:1"},
-                                         {{.id = "b", .condition = Condition::leaving}, "127.0.0.1:2"}};
-  EXPECT_EQ(addresses.listed(RosterForm::changes, entries), (Map{{"a", ""}, {"b", "127.0.0.1:2"}}));
+  const std::vector<EndpointListEntry> entries{
+      {{.id = "a", .state = EndpointState::removed}, "127.0.0.1:1"},
+      {{.id = "b", .state = EndpointState::draining}, "127.0.0.1:2"}};
+  EXPECT_EQ(addresses.listed(EndpointListForm::delta, entries), (Map{{"a", ""}, {"b", "127.0.0.1:2"}}));
 }
 
 TEST_F(ServerAddressesTest, OnlyAnAddressThatDiffersIsAChange) {
@@ -41,7 +42,7 @@
   EXPECT_TRUE(addresses.set("a", ""));
   EXPECT_FALSE(addresses.set("a", "")) << "forgotten already";
   EXPECT_FALSE(addresses.set("never seen", ""));
-  EXPECT_EQ(addresses.listed(RosterForm::complete, {}), (Map{{"b", ""}}));
+  EXPECT_EQ(addresses.listed(EndpointListForm::snapshot, {}), (Map{{"b", ""}}));
 }
 
 }  // namespace
--- a/tests/core/server_call_execution_test.cpp
+++ b/tests/core/server_call_execution_test.cpp
@@ -6,47 +6,47 @@
 namespace rushhill::core {
 namespace {
 
-struct RefusingLedger final : Ledger {
-  bool ordering() override { return false; }
-  Taking taking(EventId, const std::string&, const events::CloudEvent&, Time) override {
-    return Taking::unmarked;
+struct RefusingLedger final : DeduplicationLog {
+  bool prepare_prewarm() override { return false; }
+  AdmissionVerdict admit(RequestId, const std::string&, const events::CloudEvent&, Time) override {
+    return AdmissionVerdict::untracked;
   }
-  void ended(const events::CloudEvent&, Fate) override {}
+  void request_ended(const events::CloudEvent&, ExecutionCertainty) override {}
 };
 
 class ServerCallExecutionTest : public PartsFixture {
  protected:
-  ServerCallExecution calls(Ledger* ledger) {
+  EndpointCallExecution calls(DeduplicationLog* ledger) {
     return {{.clock = clock,
-             .carrier = carrier,
-             .ledger = ledger,
+             .upstream = carrier,
+             .deduplication = ledger,
              .deferred = deferred,
-             .decisions = decisions,
+             .policy = decisions,
              .tally = tally},
             5 * second};
   }
 };
 
 TEST_F(ServerCallExecutionTest, AProbeIsReportedWithTheTimeItTook) {
-  ServerCallExecution execution = calls(nullptr);
+  EndpointCallExecution execution = calls(nullptr);
   execution.probe("a");
   clock.pass(30);
-  execution.probe_ended("a", Ending::honoured, {});
-  EXPECT_EQ(carrier.probes, std::vector<ServerId>{"a"});
+  execution.probe_ended("a", AttemptOutcome::succeeded, {});
+  EXPECT_EQ(carrier.probes, std::vector<EndpointId>{"a"});
   EXPECT_EQ(tally.probes, 1U);
   ASSERT_EQ(heard.probe_ends.size(), 1U);
-  EXPECT_EQ(heard.probe_ends[0].server, "a");
+  EXPECT_EQ(heard.probe_ends[0].endpoint, "a");
   EXPECT_EQ(heard.probe_ends[0].taken, 30);
 }
 
 TEST_F(ServerCallExecutionTest, AnOrderLeavesWithItsLimitAndIsReportedWithTheTimeItTook) {
-  ServerCallExecution execution = calls(nullptr);
-  execution.order("a", "f", 2);
+  EndpointCallExecution execution = calls(nullptr);
+  execution.prewarm("a", "f", 2);
   clock.pass(second);
-  execution.order_ended("a", "f", Ending::honoured, 2);
-  EXPECT_EQ(carrier.orders, (std::vector{std::pair(ServerId("a"), 2)}));
+  execution.prewarm_ended("a", "f", AttemptOutcome::succeeded, 2);
+  EXPECT_EQ(carrier.orders, (std::vector{std::pair(EndpointId("a"), 2)}));
   EXPECT_EQ(carrier.order_limit, 5 * second);
-  EXPECT_EQ(tally.orders, 1U);
+  EXPECT_EQ(tally.prewarms, 1U);
   ASSERT_EQ(heard.order_ends.size(), 1U);
   EXPECT_EQ(heard.order_ends[0].taken, second);
   EXPECT_EQ(heard.order_ends[0].copies, 2);
@@ -54,21 +54,21 @@
 
 TEST_F(ServerCallExecutionTest, AnOrderThatTheLedgerRefusesEndsAsNotSentOnceTheCallHasReturned) {
   RefusingLedger ledger;
-  ServerCallExecution execution = calls(&ledger);
-  execution.order("a", "f", 2);
+  EndpointCallExecution execution = calls(&ledger);
+  execution.prewarm("a", "f", 2);
   EXPECT_TRUE(heard.order_ends.empty());
   clock.settle();
   EXPECT_TRUE(carrier.orders.empty());
-  EXPECT_EQ(tally.orders, 0U);
+  EXPECT_EQ(tally.prewarms, 0U);
   ASSERT_EQ(heard.order_ends.size(), 1U);
-  EXPECT_EQ(heard.order_ends[0].ending, Ending::not_sent);
+  EXPECT_EQ(heard.order_ends[0].outcome, AttemptOutcome::not_sent);
 }
 
 TEST_F(ServerCallExecutionTest, AnEvictionIsSentAndCounted) {
-  ServerCallExecution execution = calls(nullptr);
-  execution.unload("a", "f");
-  EXPECT_EQ(carrier.unloads, std::vector<ServerId>{"a"});
-  EXPECT_EQ(tally.unloads, 1U);
+  EndpointCallExecution execution = calls(nullptr);
+  execution.evict("a", "f");
+  EXPECT_EQ(carrier.unloads, std::vector<EndpointId>{"a"});
+  EXPECT_EQ(tally.evictions, 1U);
 }
 
 }  // namespace
--- a/tests/core/source_room_test.cpp
+++ b/tests/core/source_room_test.cpp
@@ -17,7 +17,7 @@
   EXPECT_FALSE(room.has_room(now, source));
   EXPECT_FALSE(room.within_share(source));
   EXPECT_EQ(room.open(), 2U);
-  room.concluded(now, source, SourceRoom::End::honoured);
+  room.concluded(now, source, SourceRoom::End::succeeded);
   EXPECT_TRUE(room.has_room(now, source));
   EXPECT_EQ(room.open(), 1U);
 }
--- a/tests/deployment/deployment_file_test.cpp
+++ b/tests/deployment/deployment_file_test.cpp
@@ -116,13 +116,14 @@
   const Program second = read_text("g", printed);
   EXPECT_EQ(first.in_force, second.in_force);
   EXPECT_EQ(second.module.tick, 330);
-  EXPECT_EQ(second.module.customers.at(0).share, 0.25);
-  EXPECT_EQ(second.module.traffic_types.at(0).due, 7'500);
+  EXPECT_EQ(second.module.tenants.at(0).share, 0.25);
+  EXPECT_EQ(second.module.request_classes.at(0).latency_objective, 7'500);
 }
 
 TEST(DeploymentFile, ATrafficTypeThatTellsNoEffectIsOfTheStrictestKind) {
-  EXPECT_EQ(read_text("f", "[traffic a]\ndue = 1s\nhard-limit = 2s\n").module.traffic_types.at(0).effect,
-            Effect::at_most_once);
+  EXPECT_EQ(
+      read_text("f", "[traffic a]\ndue = 1s\nhard-limit = 2s\n").module.request_classes.at(0).retry_safety,
+      RetrySafety::at_most_once);
 }
 
 }  // namespace
--- a/tests/emulator/emulation_test.cpp
+++ b/tests/emulator/emulation_test.cpp
@@ -52,7 +52,7 @@
     day.together = true;
     const Played played = play(day);
     EXPECT_TRUE(played.verdict.good()) << seed << '\n' << checker::as_text(played.verdict);
-    EXPECT_GT(played.spent.tally.orders, 50U);
+    EXPECT_GT(played.spent.tally.prewarms, 50U);
     EXPECT_EQ(played.trace, play(day).trace);
   }
 }
@@ -60,7 +60,7 @@
 TEST(EmulatedDay, ManyServersAndRoutersWithACrashABurstAndASlowStore) {
   const Played played = play(standin::grown_day(24, 8, 60, 600, 200, 3));
   EXPECT_TRUE(played.verdict.good()) << checker::as_text(played.verdict);
-  EXPECT_EQ(played.spent.tally.overdue, 0U);
+  EXPECT_EQ(played.spent.tally.expired, 0U);
   EXPECT_GT(played.verdict.due_share, 0.5);
 }
 
--- a/tests/emulator/network_test.cpp
+++ b/tests/emulator/network_test.cpp
@@ -8,34 +8,35 @@
 namespace rushhill::emulator {
 namespace {
 
-using transport::Arrival;
-using transport::Loss;
+using transport::CloseReason;
+using transport::PendingConnection;
 using transport::Stream;
 
-struct User final : transport::StreamUser {
-  void opened() override { ++opens; }
-  void drained() override { ++drains; }
-  void arrived(std::string_view bytes) override { seen += bytes; }
-  void lost(Loss why) override { ended = why, ++losses; }
+struct User final : transport::StreamHandler {
+  void on_connected() override { ++opens; }
+  void on_write_drained() override { ++drains; }
+  void on_data(std::string_view bytes) override { seen += bytes; }
+  void on_closed(CloseReason why) override { ended = why, ++losses; }
   std::shared_ptr<Stream> stream;
   std::string seen;
   int opens = 0, drains = 0, losses = 0;
-  Loss ended = Loss::ended;
+  CloseReason ended = CloseReason::closed_by_peer;
 };
 
 class Wire : public testing::Test {
  protected:
   Wire() {
-    place = network.listen(transport::numeric_address("127.0.0.1:0"), false, [this](const Arrival& arrival) {
-      if (refusing) return arrival.refuse();
-      server.stream = Stream::adopt(network, arrival, server);
-    });
+    place = network.listen(transport::numeric_address("127.0.0.1:0"), false,
+                           [this](const PendingConnection& arrival) {
+                             if (refusing) return arrival.refuse();
+                             server.stream = Stream::adopt(network, arrival, server);
+                           });
   }
   void connect() { client.stream = Stream::connect(network, place->address(), client); }
   void pass(Time span = 100) { network.run_until(network.now() + span); }
 
   Network network{2};
-  std::unique_ptr<transport::Place> place;
+  std::unique_ptr<transport::BoundSocket> place;
   User client, server;
   bool refusing = false;
 };
@@ -44,7 +45,7 @@
   connect();
   client.stream->write("one ");
   client.stream->write("two");
-  EXPECT_EQ(client.stream->handed_over(), 0U);
+  EXPECT_EQ(client.stream->handed_over_bytes(), 0U);
   const Time began = network.now();
   network.run_until(began + 3);
   EXPECT_EQ(client.opens, 0);
@@ -53,7 +54,7 @@
   EXPECT_EQ(server.seen, "");
   network.run_until(began + 6);
   EXPECT_EQ(server.seen, "one two");
-  EXPECT_EQ(client.stream->handed_over(), 7U);
+  EXPECT_EQ(client.stream->handed_over_bytes(), 7U);
   server.stream->write("back");
   pass();
   EXPECT_EQ(client.seen, "back");
@@ -65,7 +66,8 @@
   EXPECT_EQ(network.bytes(), 0U) << "they have not left";
   pass();
   EXPECT_EQ(network.bytes(), 7U);
-  const auto here = network.hear(transport::numeric_address("127.0.0.1:0"), [](const auto&, auto) {});
+  const auto here =
+      network.open_datagrams(transport::numeric_address("127.0.0.1:0"), [](const auto&, auto) {});
   here->send(transport::numeric_address("127.0.0.1:9"), "alone");
   EXPECT_EQ(network.bytes(), 12U) << "also where nobody hears it";
   EXPECT_EQ(network.datagrams(), 1U);
@@ -81,24 +83,24 @@
   other.stream = Stream::connect(network, transport::numeric_address("127.0.0.1:9"), other);
   pass();
   EXPECT_EQ(other.losses, 1);
-  EXPECT_EQ(other.ended, Loss::refused);
+  EXPECT_EQ(other.ended, CloseReason::connect_failed);
   EXPECT_EQ(other.opens, 0);
 }
 
 TEST_F(Wire, AnEndComesBehindTheBytesAndAResetBeforeThem) {
   connect();
   pass();
-  server.stream->read(false);
+  server.stream->set_reading(false);
   client.stream->write("last words");
   client.stream->close();
   pass();
-  EXPECT_EQ(server.stream->ahead(), transport::Stream::Ahead::bytes);
+  EXPECT_EQ(server.stream->peek(), transport::Stream::Peeked::bytes);
   EXPECT_EQ(server.losses, 0);
-  server.stream->read(true);
+  server.stream->set_reading(true);
   pass();
   EXPECT_EQ(server.seen, "last words");
   EXPECT_EQ(server.losses, 1);
-  EXPECT_EQ(server.ended, Loss::ended);
+  EXPECT_EQ(server.ended, CloseReason::closed_by_peer);
   User other;
   client.stream.reset();
   other.stream = Stream::connect(network, place->address(), other);
@@ -106,7 +108,7 @@
   pass();
   other.stream->reset();
   pass();
-  EXPECT_EQ(server.ended, Loss::broken);
+  EXPECT_EQ(server.ended, CloseReason::reset);
 }
 
 TEST_F(Wire, WhoWritesToAClosedEndSeesAReset) {
@@ -121,11 +123,11 @@
 TEST_F(Wire, APeerThatDoesNotReadHoldsTheWriterBack) {
   connect();
   pass();
-  server.stream->read(false);
+  server.stream->set_reading(false);
   client.stream->write(std::string(1'000'000, 'x'));
   pass();
-  EXPECT_GT(client.stream->waiting(), 700'000U);
-  server.stream->read(true);
+  EXPECT_GT(client.stream->pending_bytes(), 700'000U);
+  server.stream->set_reading(true);
   pass();
   EXPECT_EQ(server.seen.size(), 1'000'000U);
   EXPECT_EQ(client.drains, 1);
@@ -135,7 +137,7 @@
   connect();
   pass();
   client.stream->write("question");
-  client.stream->finish();
+  client.stream->shutdown_write();
   pass(1);
   server.stream->write("answer");
   pass();
@@ -145,7 +147,7 @@
 
 TEST_F(Wire, SeveralListenersOnOnePortHaveTurns) {
   int second = 0;
-  const auto other = network.listen(place->address(), true, [&](const Arrival&) { ++second; });
+  const auto other = network.listen(place->address(), true, [&](const PendingConnection&) { ++second; });
   User users[4];
   for (User& user : users) user.stream = Stream::connect(network, place->address(), user);
   pass();
@@ -159,10 +161,10 @@
   network.at(start + 36'000'000, [&] { rung.push_back(3); });
   network.at(start + 5, [&] {
     rung.push_back(1);
-    network.soon([&] { rung.push_back(2); });
+    network.post([&] { rung.push_back(2); });
   });
-  core::Alarm gone = network.at(start + 6, [&] { rung.push_back(99); });
-  network.withdraw(gone);
+  core::Timer gone = network.at(start + 6, [&] { rung.push_back(99); });
+  network.cancel(gone);
   network.run();
   EXPECT_EQ(rung, (std::vector<int>{1, 2, 3}));
   EXPECT_EQ(network.now(), start + 36'000'000);
--- a/tests/events/cloudevent_test.cpp
+++ b/tests/events/cloudevent_test.cpp
@@ -119,8 +119,8 @@
 class Reading : public testing::Test {
  protected:
   Reading() {
-    deployment.traffic_types = {{.name = "lookup", .due = 7'500, .hard_limit = 25'000}};
-    deployment.customers = {{.name = "a"}};
+    deployment.request_classes = {{.name = "lookup", .latency_objective = 7'500, .deadline_span = 25'000}};
+    deployment.tenants = {{.name = "a"}};
   }
   std::string refused(const std::string& name, const std::string& value) {
     CloudEvent event{.id = "1", .source = "/a", .type = "org.lookup"};
@@ -128,19 +128,19 @@
     event.others[name] = value;
     if (value.empty()) event.others.erase(name);
     try {
-      told = core::Intake(deployment, {{"org.lookup", "lookup"}}).read(event);
+      told = core::RequestReader(deployment, {{"org.lookup", "lookup"}}).read(event);
       return "";
     } catch (const BadEvent& bad) {
       return bad.attribute();
     }
   }
-  Deployment deployment;
-  Event told;
+  RoutingConfiguration deployment;
+  RoutingRequest told;
 };
 
 TEST_F(Reading, EachAttributeHasItsRange) {
   EXPECT_EQ(refused("subject", "any"), "");
-  EXPECT_EQ(told.left, 25'000);
+  EXPECT_EQ(told.time_left, 25'000);
   EXPECT_EQ(told.lanes, 1);
   EXPECT_EQ(refused("function", ""), "function");
   EXPECT_EQ(refused("function", std::string(257, 'f')), "function");
@@ -154,13 +154,13 @@
   EXPECT_EQ(refused("timeleftms", "0"), "timeleftms");
   EXPECT_EQ(refused("timeleftms", "2501"), "timeleftms");  // no client stretches the hard limit
   EXPECT_EQ(refused("timeleftms", "700"), "");
-  EXPECT_EQ(told.left, 7'000);
+  EXPECT_EQ(told.time_left, 7'000);
 }
 
 TEST_F(Reading, ATypeThatBelongsToNoTrafficTypeIsRefused) {
   CloudEvent event{.id = "1", .source = "/a", .type = "lookup"};
   event.others = {{"function", "f"}};
-  EXPECT_THROW(core::Intake(deployment, {{"org.lookup", "lookup"}}).read(event), BadEvent);
+  EXPECT_THROW(core::RequestReader(deployment, {{"org.lookup", "lookup"}}).read(event), BadEvent);
 }
 
 }  // namespace
--- a/tests/fake_host.h
+++ b/tests/fake_host.h
@@ -15,39 +15,41 @@
 
 constexpr Time second = 10'000;
 
-struct FakeHost final : Host {
+struct FakeHost final : RoutingHost {
   struct Sent {
-    EventId event;
-    ServerId server;
+    RequestId event;
+    EndpointId server;
   };
   struct Wake {
     std::int64_t token;
     Time at;
   };
 
-  void shoot(EventId event, const ServerId& server, Time) override { shots.push_back({event, server}); }
-  void call_off(EventId event, int leg) override { called_off.emplace_back(event, leg); }
-  void shed(EventId event, Time) override { sheds.push_back(event); }
-  void abandon(EventId event) override { abandoned.push_back(event); }
-  void wake(std::int64_t token, Time at) override { wakes.push_back({token, at}); }
-  void probe(const ServerId& server) override { probes.push_back(server); }
-  void close_idle(const ServerId&) override {}
-  void order(const ServerId& server, const FunctionId& function, int copies) override {
+  void send_attempt(RequestId event, const EndpointId& server, Time) override {
+    shots.push_back({event, server});
+  }
+  void cancel_attempt(RequestId event, int leg) override { called_off.emplace_back(event, leg); }
+  void reject(RequestId event, Time) override { sheds.push_back(event); }
+  void fail(RequestId event) override { abandoned.push_back(event); }
+  void set_timer(std::int64_t token, Time at) override { wakes.push_back({token, at}); }
+  void probe(const EndpointId& server) override { probes.push_back(server); }
+  void close_idle(const EndpointId&) override {}
+  void prewarm(const EndpointId& server, const FunctionId& function, int copies) override {
     if (copies > 0) orders.emplace_back(server, function);
   }
-  void unload(const ServerId&, const FunctionId&) override {}
-  void tell(int, const std::string& bytes) override { told.push_back(bytes); }
-  void follow(bool on) override { follows += on ? 1 : 0; }
-  void reload() override {}
+  void evict(const EndpointId&, const FunctionId&) override {}
+  void send_gossip(int, const std::string& bytes) override { told.push_back(bytes); }
+  void watch_endpoints(bool on) override { follows += on ? 1 : 0; }
+  void resync_endpoints() override {}
   void log(const std::string&) override {}
 
   std::vector<Sent> shots;
-  std::vector<std::pair<EventId, int>> called_off;
-  std::vector<EventId> sheds;
-  std::vector<EventId> abandoned;
+  std::vector<std::pair<RequestId, int>> called_off;
+  std::vector<RequestId> sheds;
+  std::vector<RequestId> abandoned;
   std::vector<Wake> wakes;
-  std::vector<std::pair<ServerId, FunctionId>> orders;
-  std::vector<ServerId> probes;
+  std::vector<std::pair<EndpointId, FunctionId>> orders;
+  std::vector<EndpointId> probes;
   std::vector<std::string> told;
   int follows = 0;
 };
@@ -57,12 +59,13 @@
   Story() {
     deployment.routers = 2;
     deployment.tick = 40;
-    deployment.traffic_types.push_back({.name = "lookup", .due = second, .hard_limit = 3 * second});
+    deployment.request_classes.push_back(
+        {.name = "lookup", .latency_objective = second, .deadline_span = 3 * second});
     deployment.fall_multiple = 2;
     deployment.fall_span = second;
     deployment.cold_share = 0.2;
     deployment.cold_span = 10 * second;
-    deployment.shot_cap = 4;
+    deployment.attempt_limit = 4;
     deployment.cancel = true;
     deployment.orders = true;
     deployment.tells_warm = true;
@@ -71,12 +74,12 @@
   }
 
   void start(int servers) {
-    router = make_router(deployment, seed, host);
-    std::vector<ModelServer> list;
+    router = make_routing_policy(deployment, seed, host);
+    std::vector<Endpoint> list;
     for (int i = 0; i < servers; ++i) list.push_back({.id = std::string(1, static_cast<char>('a' + i))});
-    router->roster(now, RosterForm::complete, list);
+    router->endpoints_updated(now, EndpointListForm::snapshot, list);
   }
-  void change(const ModelServer& server) { router->roster(now, RosterForm::changes, {server}); }
+  void change(const Endpoint& server) { router->endpoints_updated(now, EndpointListForm::delta, {server}); }
 
   // Lets time pass, ringing every bell that falls due.
   void pass(Time span) {
@@ -91,73 +94,74 @@
       const FakeHost::Wake wake = host.wakes[next];
       host.wakes.erase(host.wakes.begin() + static_cast<std::ptrdiff_t>(next));
       now = std::max(now, wake.at);
-      router->woken(now, wake.token);
+      router->timer_fired(now, wake.token);
     }
     now = end;
   }
 
-  EventId event(const FunctionId& function, Time left = 3 * second, const std::string& customer = "") {
-    router->event(now, {.id = ++last,
-                        .traffic_type = "lookup",
-                        .customer = customer,
-                        .function = function,
-                        .left = left,
-                        .lanes = 2,
-                        .load_time = second / 2});
+  RequestId event(const FunctionId& function, Time left = 3 * second, const std::string& customer = "") {
+    router->request_received(now, {.id = ++last,
+                                   .request_class = "lookup",
+                                   .tenant = customer,
+                                   .function = function,
+                                   .time_left = left,
+                                   .lanes = 2,
+                                   .load_time = second / 2});
     return last;
   }
   // Ends the newest shot of the event.
-  void end(EventId id, Ending ending, Warmth warmth = Warmth::found, Time taken = second / 10) {
+  void end(RequestId id, AttemptOutcome ending, CopyState warmth = CopyState::loaded,
+           Time taken = second / 10) {
     int leg = -1;
-    ServerId server;
+    EndpointId server;
     for (const auto& shot : host.shots) {
       if (shot.event == id) ++leg, server = shot.server;
     }
-    router->shot_ended(now, {.event = id,
-                             .leg = leg,
-                             .server = server,
-                             .ending = ending,
-                             .final = ending == Ending::honoured,
-                             .taken = taken,
-                             .warmth = warmth});
+    router->attempt_ended(now, {.request = id,
+                                .attempt_number = leg,
+                                .endpoint = server,
+                                .outcome = ending,
+                                .final = ending == AttemptOutcome::succeeded,
+                                .taken = taken,
+                                .copy_state = warmth});
   }
   // An event that is honoured after a tenth of a second.
-  ServerId honour(const FunctionId& function, const std::string& customer = "", Time taken = second / 10) {
-    const EventId id = event(function, 3 * second, customer);
-    const ServerId server = server_of(id);
+  EndpointId honour(const FunctionId& function, const std::string& customer = "", Time taken = second / 10) {
+    const RequestId id = event(function, 3 * second, customer);
+    const EndpointId server = server_of(id);
     pass(taken);
-    end(id, Ending::honoured, Warmth::found, taken);
+    end(id, AttemptOutcome::succeeded, CopyState::loaded, taken);
     return server;
   }
   // Traffic of other functions, so that none of them is hot.
   void others(int events) {
     for (int i = 0; i < events; ++i) honour("other" + std::to_string(i), "", second / 50);
   }
-  ServerId server_of(EventId id) const {
-    ServerId server;
+  EndpointId server_of(RequestId id) const {
+    EndpointId server;
     for (const auto& shot : host.shots) {
       if (shot.event == id) server = shot.server;
     }
     return server;
   }
-  int shots_of(EventId id) const {
+  int shots_of(RequestId id) const {
     int count = 0;
     for (const auto& shot : host.shots) count += shot.event == id ? 1 : 0;
     return count;
   }
-  int shots_at(const ServerId& server) const {
+  int shots_at(const EndpointId& server) const {
     int count = 0;
     for (const auto& shot : host.shots) count += shot.server == server ? 1 : 0;
     return count;
   }
   std::size_t finals() const { return host.sheds.size() + host.abandoned.size(); }
 
-  Deployment deployment;
+  RoutingConfiguration deployment;
   std::uint64_t seed = 7;
   FakeHost host;
-  std::unique_ptr<Router> router;
+  std::unique_ptr<RoutingPolicy> router;
   Time now = 100 * second;
-  EventId last = 0;
+  RequestId last = 0;
 };
 
 }  // namespace rushhill
--- a/tests/frontends/front_story.h
+++ b/tests/frontends/front_story.h
@@ -53,7 +53,7 @@
           "content-type: application/json\r\ncontent-length: " +
           std::to_string(data.size()) + "\r\n\r\n" + data);
     };
-    router.gateway().roster(RosterForm::complete, {{{.id = "s"}, server.address()}});
+    router.gateway().endpoints_updated(EndpointListForm::snapshot, {{{.id = "s"}, server.address()}});
   }
   RawPeer& connect() {
     clients.push_back(std::make_unique<RawPeer>(reactor, router.address()));
@@ -74,7 +74,7 @@
   static bool says(const std::string& seen, const std::string& part) {
     return seen.find(part) != std::string::npos;
   }
-  const core::Tally& tally() { return router.gateway().tally(); }
+  const core::Counters& tally() { return router.gateway().tally(); }
 
   transport::Loop reactor;
   Pump pump{reactor};
--- a/tests/frontends/http_front_test.cpp
+++ b/tests/frontends/http_front_test.cpp
@@ -37,7 +37,7 @@
   EXPECT_TRUE(says(seen, R"("status":400)")) << seen;
   EXPECT_TRUE(says(seen, R"("attribute":"function")")) << seen;
   EXPECT_TRUE(says(seen, R"("status":200)")) << seen;
-  EXPECT_EQ(tally().taken, 1U);
+  EXPECT_EQ(tally().accepted, 1U);
 }
 
 TEST_F(FrontStory, AnEmptyBatchIsAnsweredAtOnce) {
@@ -60,7 +60,7 @@
   EXPECT_TRUE(says(say("POST / HTTP/1.1\r\nhost: x\r\ncontent-type: "
                        "application/cloudevents+avro\r\ncontent-length: 0\r\n\r\n"),
                    "HTTP/1.1 415"));
-  EXPECT_EQ(tally().taken, 0U);
+  EXPECT_EQ(tally().accepted, 0U);
 }
 
 TEST_F(FrontStory, WhatIsTooLargeIsToldSoAndTheConnectionEnds) {
@@ -70,7 +70,7 @@
                    "HTTP/1.1 413"));
   EXPECT_TRUE(says(say(request("x", "ce-x: " + std::string(20'000, 'h') + "\r\n\r\n")), "HTTP/1.1 431"));
   EXPECT_TRUE(pump.until([&] { return clients.back()->ended; }));
-  EXPECT_EQ(tally().taken, 0U);
+  EXPECT_EQ(tally().accepted, 0U);
 }
 
 TEST_F(FrontStory, AHalfSentRequestTimesOut) {
@@ -112,7 +112,7 @@
 TEST_F(FrontStory, BeyondTheOpenCapAnEventIsTurnedAwayHarmlessly) {
   answering = false;
   for (int i = 0; i < 3; ++i) connect().stream->write(request(std::to_string(i)));
-  ASSERT_TRUE(pump.until([&] { return router.gateway().open() == 3; }));
+  ASSERT_TRUE(pump.until([&] { return router.gateway().open_requests() == 3; }));
   const std::string seen = say(request("x"));
   EXPECT_TRUE(says(seen, "HTTP/1.1 503")) << seen;
   EXPECT_TRUE(says(seen, "retry-after: 1"));
@@ -125,9 +125,9 @@
   client.stream->write(request("gone"));
   ASSERT_TRUE(pump.until([&] { return !shot.empty(); }));
   client.stream->close();
-  ASSERT_TRUE(pump.until([&] { return tally().gone == 1; }));
+  ASSERT_TRUE(pump.until([&] { return tally().cancelled == 1; }));
   EXPECT_TRUE(pump.until([&] { return server.peers.front()->ended; }));
-  EXPECT_EQ(router.gateway().open(), 0U);
+  EXPECT_EQ(router.gateway().open_requests(), 0U);
 }
 
 TEST_F(FrontStory, AnEventThatMayHaveRunIsAbandonedAndSaysSo) {
@@ -137,11 +137,11 @@
   const std::string seen = say(booking);
   EXPECT_TRUE(says(seen, "HTTP/1.1 504")) << seen;
   EXPECT_TRUE(says(seen, R"("harmless_to_repeat":false)"));
-  EXPECT_EQ(tally().shots, 1U);
+  EXPECT_EQ(tally().attempts, 1U);
 }
 
 TEST_F(FrontStory, WithNobodyToSendToAnEventIsShedAndMayBeRepeated) {
-  router.gateway().roster(RosterForm::complete, {});
+  router.gateway().endpoints_updated(EndpointListForm::snapshot, {});
   RawPeer& client = connect();
   client.stream->write(request("s"));
   ASSERT_TRUE(pump.until([&] { return count(client.seen) == 1; }));
@@ -174,8 +174,8 @@
  protected:
   FrontLeavingStory() {
     answering = false;
-    router.gateway().roster(RosterForm::complete,
-                            {{{.id = "s"}, server.address()}, {{.id = "t"}, server.address()}});
+    router.gateway().endpoints_updated(EndpointListForm::snapshot,
+                                       {{{.id = "s"}, server.address()}, {{.id = "t"}, server.address()}});
   }
   static void leave(Visitor& visitor) {
     if (GetParam() == Way::closes) visitor.leave();
@@ -193,7 +193,7 @@
       clients.clear();
       const std::size_t before = shot.size();
       for (int i = 0; i < 3; ++i) connect().stream->write(request("warm"));
-      if (!pump.until([&] { return shot.size() == before + 3 && router.gateway().open() == 0; }))
+      if (!pump.until([&] { return shot.size() == before + 3 && router.gateway().open_requests() == 0; }))
         return false;
     }
     clients.clear();
@@ -220,7 +220,7 @@
   std::this_thread::sleep_for(too_late);
   pump.pass(2'000);
   EXPECT_TRUE(shot.empty());
-  EXPECT_EQ(router.gateway().open(), 0U);
+  EXPECT_EQ(router.gateway().open_requests(), 0U);
 }
 
 TEST_P(FrontLeavingStory, ARequestBehindDoesNotHideTheLeavingFromARefusal) {
@@ -234,7 +234,7 @@
   std::this_thread::sleep_for(too_late);
   pump.pass(2'000);
   EXPECT_EQ(shot, std::vector<std::string>{"first"});
-  EXPECT_EQ(router.gateway().open(), 0U);
+  EXPECT_EQ(router.gateway().open_requests(), 0U);
 }
 
 // The leaving comes within the turn, after the loop has looked which connections can be read and before the
@@ -275,7 +275,7 @@
   refuse();
   pump.pass(2'000);
   EXPECT_EQ(shot, std::vector<std::string>{"first"});
-  EXPECT_EQ(router.gateway().open(), 0U);
+  EXPECT_EQ(router.gateway().open_requests(), 0U);
 }
 
 TEST_F(FrontStory, WhereMoreComesThanIsReadAheadTheAnswerSaysThatTheRestIsNotTaken) {
--- a/tests/frontends/http_pieces_test.cpp
+++ b/tests/frontends/http_pieces_test.cpp
@@ -27,7 +27,7 @@
   for (std::size_t cut = 1; cut < size; ++cut) {
     const std::string whole = request(std::to_string(1'000 + cut), body);
     send(client, whole.substr(0, cut));
-    ASSERT_EQ(tally().taken, cut - 1) << "nothing of a part";
+    ASSERT_EQ(tally().accepted, cut - 1) << "nothing of a part";
     send(client, whole.substr(cut));
     ASSERT_TRUE(answered(client, cut)) << cut;
     ASSERT_EQ(shot.back(), std::to_string(1'000 + cut));
--- a/tests/frontends/mqtt_front_test.cpp
+++ b/tests/frontends/mqtt_front_test.cpp
@@ -61,7 +61,7 @@
                              "\nclient = r\nretry = 10ms\nremember = 60s\n" + mqtt +
                              "[mqtt-topic wards]\nfilter = wards/+/+\nqos = 2\nfunction = ward-{1}\n" + topic;
     router = std::make_unique<router::RouterProcess>(reactor, deployment::read_text("f", text), 5, silent);
-    router->gateway().roster(RosterForm::complete, {{{.id = "s"}, server.address()}});
+    router->gateway().endpoints_updated(EndpointListForm::snapshot, {{{.id = "s"}, server.address()}});
     ASSERT_TRUE(pump.until([&] { return broker.subscribed() > 0; }));
     pump.pass(100);
   }
@@ -223,7 +223,7 @@
       common + "[mqtt]\naddress = " + broker.address().toString() +
       "\nclient = q\nretry = 10ms\n[mqtt-topic wards]\nfilter = wards/+/+\nfunction = ward-{1}\n" + group;
   auto other = std::make_unique<router::RouterProcess>(reactor, deployment::read_text("f", text), 6, silent);
-  other->gateway().roster(RosterForm::complete, {{{.id = "s"}, server.address()}});
+  other->gateway().endpoints_updated(EndpointListForm::snapshot, {{{.id = "s"}, server.address()}});
   ASSERT_TRUE(pump.until([&] { return broker.subscribed() == 2; }));
   pump.pass(100);
   for (int i = 0; i < 10; ++i) broker.publish(message("m" + std::to_string(i), "booking"));
@@ -234,8 +234,8 @@
   for (int i = 10; i < 20; ++i) broker.publish(message("m" + std::to_string(i), "booking"));
   ASSERT_TRUE(acknowledged(20)) << broker.acknowledged().size() << ' ' << broker.unacknowledged("r-wards")
                                 << ' ' << broker.unacknowledged("q-wards") << ' ' << broker.queued("q-wards")
-                                << ' ' << broker.queued("r-wards") << ' ' << router->gateway().open() << ' '
-                                << tally().received;
+                                << ' ' << broker.queued("r-wards") << ' ' << router->gateway().open_requests()
+                                << ' ' << tally().received;
   for (int i = 0; i < 20; ++i) EXPECT_EQ(shots["m" + std::to_string(i)], 1) << i;
 }
 
@@ -271,7 +271,7 @@
   const auto letters = routed("rushhill/dead-letter");
   ASSERT_EQ(letters.size(), 3U);
   EXPECT_NE(letters[0].properties.user[0].second.find("type"), std::string::npos);
-  EXPECT_EQ(router->gateway().tally().taken, 0U);
+  EXPECT_EQ(router->gateway().tally().accepted, 0U);
 }
 
 TEST_F(MqttStory, AMessageWhoseTimePassesInTheQueueIsShedAndNeverShot) {
@@ -323,7 +323,7 @@
   for (int i = 0; i < 30; ++i) broker.publish(structured("held-" + std::to_string(i)));
   ASSERT_TRUE(pump.until([&] { return held.size() == 3; }));
   pump.pass(300);
-  EXPECT_EQ(router->gateway().tally().taken, 3U);
+  EXPECT_EQ(router->gateway().tally().accepted, 3U);
   let_go();
   ASSERT_TRUE(acknowledged(30));
   for (int i = 0; i < 30; ++i) EXPECT_EQ(shots["held-" + std::to_string(i)], 1) << i;
@@ -342,7 +342,7 @@
 
 TEST_F(MqttStory, AnEventThatNobodyMayTakeIsShedAndAcknowledged) {
   start();
-  router->gateway().roster(RosterForm::complete, {});
+  router->gateway().endpoints_updated(EndpointListForm::snapshot, {});
   broker.publish(message("s"));
   ASSERT_TRUE(acknowledged(1));
   EXPECT_EQ(outcome("s"), "shed");
@@ -350,13 +350,13 @@
 
 TEST_F(MqttStory, AMessageThatNobodyWaitsForIsTriedAgainAndHonoured) {
   start("tries = 50\n");
-  router->gateway().roster(RosterForm::complete, {});
+  router->gateway().endpoints_updated(EndpointListForm::snapshot, {});
   Packet alone = message("alone");
   alone.properties.response_topic.reset();
   broker.publish(alone);
   ASSERT_TRUE(pump.until([&] { return tally().tried_again >= 2; }));
   EXPECT_TRUE(broker.acknowledged().empty());
-  router->gateway().roster(RosterForm::complete, {{{.id = "s"}, server.address()}});
+  router->gateway().endpoints_updated(EndpointListForm::snapshot, {{{.id = "s"}, server.address()}});
   ASSERT_TRUE(acknowledged(1));
   EXPECT_EQ(shots["alone"], 1);
   EXPECT_TRUE(routed("rushhill/dead-letter").empty());
@@ -364,7 +364,7 @@
 
 TEST_F(MqttStory, AfterTheToldTriesItGoesToTheDeadLettersWholeAndWithTheReason) {
   start("tries = 2\n");
-  router->gateway().roster(RosterForm::complete, {});
+  router->gateway().endpoints_updated(EndpointListForm::snapshot, {});
   Packet alone = message("alone");
   alone.properties.response_topic.reset();
   broker.publish(alone);
@@ -373,7 +373,7 @@
   const Packet letter = routed("rushhill/dead-letter").front();
   EXPECT_EQ(letter.properties.user.front().second, "shed after 2 tries");
   EXPECT_EQ(events::from_json(letter.payload).data, "data of alone");
-  EXPECT_EQ(router->gateway().tally().taken, 2U);
+  EXPECT_EQ(router->gateway().tally().accepted, 2U);
 }
 
 TEST_F(MqttStory, WindingUpEndsWhatTheBrokerHandedOverAndLeavesWithoutAWord) {
@@ -395,7 +395,7 @@
   start();
   broker.read_slowly(true);
   for (int i = 0; i < 10; ++i) broker.publish(message("m" + std::to_string(i)));
-  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().honoured == 10; }));
+  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().succeeded == 10; }));
   EXPECT_TRUE(broker.acknowledged().empty());
   broker.read_slowly(false);
   ASSERT_TRUE(acknowledged(10));
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -20,16 +20,16 @@
   const events::CloudEvent back = events::from_headers(events::to_headers(event), event.data);
   must(back.id == event.id && back.source == event.source && back.type == event.type &&
        back.others == event.others);
-  static const core::Intake intake(
+  static const core::RequestReader intake(
       [] {
-        Deployment d;
-        d.traffic_types = {{.name = "t", .due = 10, .hard_limit = 100}};
+        RoutingConfiguration d;
+        d.request_classes = {{.name = "t", .latency_objective = 10, .deadline_span = 100}};
         return d;
       }(),
       {{"t", "t"}});
   try {
-    const Event told = intake.read(event);
-    must(told.left > 0 && told.left <= 100 && told.lanes >= 1);
+    const RoutingRequest told = intake.read(event);
+    must(told.time_left > 0 && told.time_left <= 100 && told.lanes >= 1);
   } catch (const events::BadEvent&) {}
 }
 
@@ -51,7 +51,7 @@
     if (progress == transport::HttpProgress::done) {
       transport::HttpResponse response = reader.take();
       must(response.body.size() <= 4096);
-      transport::shot_result(std::move(response));
+      transport::attempt_result(std::move(response));
     }
     return 0;
   }
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -45,7 +45,7 @@
     auto progress = reader.next(answer);
     for (; progress == line_protocol::Progress::answer; progress = reader.next(answer)) {
       must(!answer.id.empty() && answer.body.size() <= 4096 && answer.crowd >= 0 && answer.crowd <= 30);
-      line_protocol::shot_result(std::move(answer));
+      line_protocol::attempt_result(std::move(answer));
     }
     if (progress == line_protocol::Progress::bad) return;
   }
--- a/tests/lab/lag_test.cpp
+++ b/tests/lab/lag_test.cpp
@@ -20,9 +20,9 @@
   EXPECT_LE(plain.most_ways, 10U) << "twice the logarithm";
 }
 
-struct Heard final : transport::StreamUser {
-  void arrived(std::string_view came) override { bytes += came; }
-  void lost(transport::Loss) override {}
+struct Heard final : transport::StreamHandler {
+  void on_data(std::string_view came) override { bytes += came; }
+  void on_closed(transport::CloseReason) override {}
   std::string bytes;
   std::shared_ptr<transport::Stream> stream;
 };
@@ -32,7 +32,7 @@
   network.lose(0.5, 2'000, 3);
   Heard caller, called;
   const transport::Listener listener(network, transport::numeric_address("127.0.0.1:0"), true,
-                                     [&](const transport::Arrival& arrival) {
+                                     [&](const transport::PendingConnection& arrival) {
                                        called.stream = transport::Stream::adopt(network, arrival, called);
                                      });
   caller.stream = transport::Stream::connect(network, listener.address(), caller);
--- a/tests/line_protocol/answers_test.cpp
+++ b/tests/line_protocol/answers_test.cpp
@@ -27,7 +27,7 @@
     ASSERT_EQ(read(good.substr(0, cut), answer, reader), Progress::more) << cut;
     ASSERT_EQ(read(good.substr(cut), answer, reader), Progress::answer) << cut;
     EXPECT_EQ(answer.id, "9b1f03aa5c7e2d41");
-    EXPECT_EQ(answer.warmth, Warmth::awaited_load);
+    EXPECT_EQ(answer.warmth, CopyState::load_awaited);
     EXPECT_EQ(answer.crowd, 3);
     EXPECT_EQ(answer.report, (LoadReport{{"inflight", 7}, {"util", 0.61}}));
     EXPECT_EQ(answer.body, "da\r\n");
@@ -76,16 +76,17 @@
 }
 
 TEST(AnswerStory, EveryWordEndsAShotAsItsProofSays) {
-  const auto ending = [](Word word, Warmth warmth = Warmth::untold) {
-    return shot_result({.word = word, .warmth = warmth})->ending;
+  const auto ending = [](Word word, CopyState warmth = CopyState::unknown) {
+    return attempt_result({.word = word, .warmth = warmth})->outcome;
   };
-  EXPECT_EQ(ending(Word::hit), Ending::honoured);
-  EXPECT_EQ(ending(Word::none), Ending::not_stored);
-  EXPECT_EQ(ending(Word::shed), Ending::turned_away);
-  EXPECT_EQ(ending(Word::fault), Ending::error);
-  EXPECT_EQ(ending(Word::late), Ending::not_sent);
-  EXPECT_EQ(shot_result({.word = Word::fault, .warmth = Warmth::load_failed})->warmth, Warmth::load_failed);
-  EXPECT_FALSE(shot_result({.word = Word::pong}));
+  EXPECT_EQ(ending(Word::hit), AttemptOutcome::succeeded);
+  EXPECT_EQ(ending(Word::none), AttemptOutcome::function_missing);
+  EXPECT_EQ(ending(Word::shed), AttemptOutcome::overloaded);
+  EXPECT_EQ(ending(Word::fault), AttemptOutcome::error);
+  EXPECT_EQ(ending(Word::late), AttemptOutcome::not_sent);
+  EXPECT_EQ(attempt_result({.word = Word::fault, .warmth = CopyState::load_failed})->copy_state,
+            CopyState::load_failed);
+  EXPECT_FALSE(attempt_result({.word = Word::pong}));
 }
 
 TEST(CommandStory, CommandsAreLinesAndABodyFollowsItsLength) {
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -89,27 +89,27 @@
   std::thread loop_;
 };
 
-class Silent final : public core::Diary {
+class Silent final : public core::EventLog {
  public:
   bool wants(core::Level) const override { return false; }
-  void line(core::Level, const char*, Fields) override {}
+  void write(core::Level, const char*, Fields) override {}
 };
 
 // One end of a connection, written by hand.
-class RawPeer final : public transport::StreamUser {
+class RawPeer final : public transport::StreamHandler {
  public:
   RawPeer(transport::Reactor& reactor, const transport::Address& to) {
     stream = transport::Stream::connect(reactor, to, *this);
   }
-  RawPeer(transport::Reactor& reactor, const transport::Arrival& arrival) {
+  RawPeer(transport::Reactor& reactor, const transport::PendingConnection& arrival) {
     stream = transport::Stream::adopt(reactor, arrival, *this);
   }
   ~RawPeer() override { stream->close(); }
-  void arrived(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     seen += bytes;
     if (on_bytes) on_bytes();
   }
-  void lost(transport::Loss) override { ended = true; }
+  void on_closed(transport::CloseReason) override { ended = true; }
 
   std::shared_ptr<transport::Stream> stream;
   std::string seen;
@@ -122,7 +122,7 @@
  public:
   explicit RawServer(transport::Reactor& reactor, const std::string& at = "127.0.0.1:0")
       : listener(reactor, transport::numeric_address(at), at != "127.0.0.1:0",  // shared with who holds it
-                 [this, &reactor](const transport::Arrival& arrival) {
+                 [this, &reactor](const transport::PendingConnection& arrival) {
                    peers.push_back(std::make_unique<RawPeer>(reactor, arrival));
                    RawPeer& peer = *peers.back();
                    peer.on_bytes = [this, &peer] {
--- a/tests/membership/board_test.cpp
+++ b/tests/membership/board_test.cpp
@@ -14,7 +14,7 @@
 
 class BoardStory : public testing::Test {
  protected:
-  BoardStory() { client.follow(true); }
+  BoardStory() { client.watch(true); }
   bool watching(std::size_t peer, const std::string& line) {
     return pump.until([&] { return board.peers.size() > peer && board.peers[peer]->seen == line; });
   }
@@ -32,8 +32,8 @@
                      4,
                      1,
                      silent,
-                     [this](RosterForm, const std::vector<core::RosterEntry>& entries) {
-                       for (const auto& entry : entries) names.push_back(entry.server.id);
+                     [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
+                       for (const auto& entry : entries) names.push_back(entry.endpoint.id);
                      }};
 };
 
@@ -43,7 +43,7 @@
     const std::size_t peer = board.peers.empty() ? 0 : board.peers.size();
     ASSERT_TRUE(watching(peer, "watch 4\n")) << cut;
     board.peers[peer]->stream->write(text.substr(0, cut));
-    board.peers[peer]->stream->finish();
+    board.peers[peer]->stream->shutdown_write();
     ASSERT_TRUE(pump.until([&] { return board.peers.size() > peer + 1; })) << cut;
     EXPECT_TRUE(names.empty());
   }
@@ -99,10 +99,10 @@
                      4,
                      1,
                      silent,
-                     [&](RosterForm, const std::vector<core::RosterEntry>& entries) {
-                       for (const auto& entry : entries) names.push_back(entry.server.id);
+                     [&](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
+                       for (const auto& entry : entries) names.push_back(entry.endpoint.id);
                      }};
-  client.follow(true);
+  client.watch(true);
   network.run_until(network.now() + 1'000);
   ASSERT_EQ(board.peers.size(), 1U);
   board.peers[0]->stream->write("4\n");
@@ -128,10 +128,10 @@
                      4,
                      1,
                      silent,
-                     [&](RosterForm, const std::vector<core::RosterEntry>& entries) {
-                       for (const auto& entry : entries) names.push_back(entry.server.id);
+                     [&](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
+                       for (const auto& entry : entries) names.push_back(entry.endpoint.id);
                      }};
-  client.follow(true);
+  client.watch(true);
   network.run_until(network.now() + 1'000);
   ASSERT_EQ(board.peers.size(), 1U);
   const std::string list = event(5, std::string(150, 's')), blanks(100 * 1024, ' ');
@@ -178,8 +178,8 @@
   const Notice notice = read_notice(json, 15'000);
   EXPECT_TRUE(notice.whole);
   ASSERT_EQ(notice.entries.size(), 1U);
-  EXPECT_EQ(notice.entries[0].server.started, 5'000);
-  EXPECT_EQ(notice.entries[0].server.condition, Condition::left);
+  EXPECT_EQ(notice.entries[0].endpoint.started, 5'000);
+  EXPECT_EQ(notice.entries[0].endpoint.state, EndpointState::removed);
 }
 
 TEST(NoticeStory, WhatIsMissingIsNamed) {
--- a/tests/membership/roster_test.cpp
+++ b/tests/membership/roster_test.cpp
@@ -30,7 +30,7 @@
   const RosterWord told = word(R"({"id":"a","address":"127.0.0.1:1","condition":"draining"},
                                   {"id":"a","address":"127.0.0.1:1","condition":"active"})");
   ASSERT_EQ(told.entries.size(), 1U);
-  EXPECT_EQ(told.entries[0].server.condition, Condition::leaving);
+  EXPECT_EQ(told.entries[0].endpoint.state, EndpointState::draining);
   EXPECT_EQ(told.remarks.size(), 1U);
 }
 
@@ -38,17 +38,17 @@
   const RosterWord told = word(R"({"id":"a","address":"127.0.0.1:2","started_ms":900,"condition":"active"},
                                   {"id":"a","address":"127.0.0.1:1","started_ms":500,"condition":"gone"})");
   ASSERT_EQ(told.entries.size(), 1U);
-  EXPECT_EQ(told.entries[0].server.condition, Condition::active);
+  EXPECT_EQ(told.entries[0].endpoint.state, EndpointState::active);
   EXPECT_EQ(told.entries[0].address, "127.0.0.1:2");
-  EXPECT_EQ(told.entries[0].server.started, 8'000);  // 9000 tenths less the offset
+  EXPECT_EQ(told.entries[0].endpoint.started, 8'000);  // 9000 tenths less the offset
 }
 
 TEST(RosterWords, AnAddressThatTwoServersClaimBelongsToTheLaterStart) {
   const RosterWord told = word(R"({"id":"a","address":"127.0.0.1:1","started_ms":500},
                                   {"id":"b","address":"127.0.0.1:1","started_ms":900})");
   ASSERT_EQ(told.entries.size(), 2U);
-  EXPECT_EQ(told.entries[0].server.condition, Condition::left);
-  EXPECT_EQ(told.entries[1].server.condition, Condition::active);
+  EXPECT_EQ(told.entries[0].endpoint.state, EndpointState::removed);
+  EXPECT_EQ(told.entries[1].endpoint.state, EndpointState::active);
 }
 
 TEST(RosterWords, WhatCannotBeReadNamesTheField) {
@@ -74,11 +74,11 @@
   remembered.hear(word(R"({"id":"b","condition":"gone"})"));
   RosterWord whole = remembered.whole();
   ASSERT_EQ(whole.entries.size(), 1U);
-  whole.form = RosterForm::complete;
+  whole.form = EndpointListForm::snapshot;
   const RosterWord back = read_word(write_word(whole, 1'000), 1'000);
-  EXPECT_EQ(back.entries[0].server.started, whole.entries[0].server.started);
-  EXPECT_EQ(back.entries[0].server.rating, 2.5);
-  EXPECT_EQ(back.entries[0].server.cell, 4);
+  EXPECT_EQ(back.entries[0].endpoint.started, whole.entries[0].endpoint.started);
+  EXPECT_EQ(back.entries[0].endpoint.rating, 2.5);
+  EXPECT_EQ(back.entries[0].endpoint.cell, 4);
   EXPECT_EQ(back.entries[0].address, "127.0.0.1:1");
 }
 
@@ -91,10 +91,10 @@
       if (answer.empty()) return;
       peer.stream->write(answer);
     };
-    client.follow(true);
+    client.watch(true);
   }
   int failures() const {
-    return static_cast<int>(std::count(heard.begin(), heard.end(), RosterForm::failed));
+    return static_cast<int>(std::count(heard.begin(), heard.end(), EndpointListForm::failed));
   }
 
   transport::Loop reactor;
@@ -104,7 +104,7 @@
   std::string answer = R"({"form":"complete","servers":[{"id":"a","address":"127.0.0.1:1"}]})"
                        "\n";
   int asked = 0;
-  std::vector<RosterForm> heard;
+  std::vector<EndpointListForm> heard;
   RosterClient client{
       reactor,
       transport::numeric_address(server.address()),
@@ -112,7 +112,7 @@
       50,
       1,
       silent,
-      [this](RosterForm form, const std::vector<core::RosterEntry>&) { heard.push_back(form); }};
+      [this](EndpointListForm form, const std::vector<core::EndpointListEntry>&) { heard.push_back(form); }};
 };
 
 TEST_F(Following, ABreakIsToldAndTheCompleteListAskedForAgain) {
@@ -120,22 +120,24 @@
   EXPECT_NE(server.peers.front()->seen.find("\"router\":4"), std::string::npos);
   server.peers.front()->stream->close();
   ASSERT_TRUE(pump.until([&] { return heard.size() == 3; }));
-  EXPECT_EQ(heard, (std::vector<RosterForm>{RosterForm::complete, RosterForm::failed, RosterForm::complete}));
+  EXPECT_EQ(heard, (std::vector<EndpointListForm>{EndpointListForm::snapshot, EndpointListForm::failed,
+                                                  EndpointListForm::snapshot}));
 }
 
 TEST_F(Following, AWordThatCannotBeReadBreaksTheConnectionAndNotTheList) {
   ASSERT_TRUE(pump.until([&] { return heard.size() == 1; }));
   server.peers.front()->stream->write("{\"form\":\n");
-  ASSERT_TRUE(pump.until([&] { return failures() == 1 && heard.back() == RosterForm::complete; }));
+  ASSERT_TRUE(pump.until([&] { return failures() == 1 && heard.back() == EndpointListForm::snapshot; }));
   EXPECT_TRUE(client.heard_any());
 }
 
 TEST_F(Following, AReloadAsksOnceAndFollowsNothing) {
   ASSERT_TRUE(pump.until([&] { return heard.size() == 1; }));
-  std::vector<RosterForm> told;
-  RosterClient other(reactor, transport::numeric_address(server.address()), 5, 50, 1, silent,
-                     [&](RosterForm form, const std::vector<core::RosterEntry>&) { told.push_back(form); });
-  other.reload();
+  std::vector<EndpointListForm> told;
+  RosterClient other(
+      reactor, transport::numeric_address(server.address()), 5, 50, 1, silent,
+      [&](EndpointListForm form, const std::vector<core::EndpointListEntry>&) { told.push_back(form); });
+  other.resync();
   ASSERT_TRUE(pump.until([&] { return told.size() == 1; }));
   EXPECT_EQ(server.peers.back()->seen, "{\"ask\":\"reload\",\"router\":5}\n");
 }
@@ -154,8 +156,8 @@
   auto source = std::make_unique<RawServer>(network);
   const std::string address = source->address();
   RosterClient client(network, transport::numeric_address(address), 0, 5'000, 1, silent,
-                      [](RosterForm, const std::vector<core::RosterEntry>&) {});
-  client.follow(true);
+                      [](EndpointListForm, const std::vector<core::EndpointListEntry>&) {});
+  client.watch(true);
   network.run_until(network.now() + 1'000);
   ASSERT_EQ(source->peers.size(), 1U);
   source.reset();
@@ -170,27 +172,30 @@
 struct Client {
   Client(transport::Reactor& reactor, const transport::Address& address, Time retry)
       : client(reactor, address, 4, retry, 1, silent,
-               [this](RosterForm form, const std::vector<core::RosterEntry>&) { heard.push_back(form); }) {
-    client.follow(true);
+               [this](EndpointListForm form, const std::vector<core::EndpointListEntry>&) {
+                 heard.push_back(form);
+               }) {
+    client.watch(true);
   }
-  bool told() const { return !heard.empty() && heard.back() == RosterForm::complete; }
+  bool told() const { return !heard.empty() && heard.back() == EndpointListForm::snapshot; }
   Silent silent;
-  std::vector<RosterForm> heard;
+  std::vector<EndpointListForm> heard;
   RosterClient client;
 };
 const std::string list = "{\"form\":\"complete\",\"servers\":[]}\n";
 
 TEST(UnreachableList, AfterAnHourItIsAskedForWithinThreeSecondsOfItsReturn) {
   emulator::Network network{2};
-  const auto place = network.hold(transport::numeric_address("127.0.0.1:0"));
+  const auto place = network.reserve(transport::numeric_address("127.0.0.1:0"));
   Client away(network, place->address(), 5'000);
   network.run_until(network.now() + 3'600 * 10'000);
   EXPECT_GT(away.heard.size(), 1'000U);
   std::vector<std::unique_ptr<RawPeer>> peers;
-  const transport::Listener back(network, place->address(), true, [&](const transport::Arrival& arrival) {
-    peers.push_back(std::make_unique<RawPeer>(network, arrival));
-    peers.back()->stream->write(list);
-  });
+  const transport::Listener back(network, place->address(), true,
+                                 [&](const transport::PendingConnection& arrival) {
+                                   peers.push_back(std::make_unique<RawPeer>(network, arrival));
+                                   peers.back()->stream->write(list);
+                                 });
   network.run_until(network.now() + 30'000 + 100);
   EXPECT_TRUE(away.told());
 }
--- a/tests/membership/silence_test.cpp
+++ b/tests/membership/silence_test.cpp
@@ -16,7 +16,7 @@
 class LateSilence : public testing::Test {
  protected:
   LateSilence() {
-    client.follow(true);
+    client.watch(true);
     pass(second / 10);
   }
   void pass(Time span) { network.run_until(network.now() + span); }
@@ -57,8 +57,8 @@
                      first_number,
                      1,
                      silent,
-                     [this](RosterForm, const std::vector<core::RosterEntry>& entries) {
-                       for (const auto& entry : entries) names.push_back(entry.server.id);
+                     [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
+                       for (const auto& entry : entries) names.push_back(entry.endpoint.id);
                      }};
 };
 
--- a/tests/membership/start_times_test.cpp
+++ b/tests/membership/start_times_test.cpp
@@ -21,10 +21,10 @@
 constexpr Time true_wall = 17'000'000'000'000;  // at that moment, without any step
 constexpr Time slow_start = 16 * second;
 
-core::RosterEntry entry(const std::string& id, Time told) {
-  core::RosterEntry made;
-  made.server.id = id;
-  made.server.started = told;
+core::EndpointListEntry entry(const std::string& id, Time told) {
+  core::EndpointListEntry made;
+  made.endpoint.id = id;
+  made.endpoint.started = told;
   return made;
 }
 Time told_at_age(Time age) { return true_wall - age; }
@@ -34,9 +34,9 @@
   // The age of each server as the list is read by a process whose wall clock is off by `step`.
   Time age_of(const std::string& id, Time step, EndpointEntries entries) {
     translator.translate_snapshot({.monotonic = now, .wall = true_wall + step}, latest_start(entries),
-                                  RosterForm::complete, entries);
-    const auto it = std::ranges::find_if(entries, [&](const auto& one) { return one.server.id == id; });
-    return now - it->server.started;
+                                  EndpointListForm::snapshot, entries);
+    const auto it = std::ranges::find_if(entries, [&](const auto& one) { return one.endpoint.id == id; });
+    return now - it->endpoint.started;
   }
 };
 
@@ -88,9 +88,9 @@
     for (const Time far_off : {Time{0}, 24 * 3'600 * second, -24 * 3'600 * second}) {
       StartTimeTranslator translator;
       EndpointEntries arrived{entry("fresh", told_at_age(second) + step + far_off), entry("always", 0)};
-      translator.translate_update(now, RosterForm::changes, arrived);
-      EXPECT_EQ(arrived[0].server.started, now);
-      EXPECT_EQ(arrived[1].server.started, 0);
+      translator.translate_update(now, EndpointListForm::delta, arrived);
+      EXPECT_EQ(arrived[0].endpoint.started, now);
+      EXPECT_EQ(arrived[1].endpoint.started, 0);
     }
   }
 }
@@ -99,30 +99,30 @@
   StartTimeTranslator translator;
   EndpointEntries first{entry("a", told_at_age(60 * second)), entry("b", told_at_age(second))};
   translator.translate_snapshot({.monotonic = now, .wall = true_wall}, latest_start(first),
-                                RosterForm::complete, first);
+                                EndpointListForm::snapshot, first);
   EndpointEntries again{entry("a", told_at_age(60 * second)), entry("b", told_at_age(0))};
-  translator.translate_update(now + second, RosterForm::complete, again);
-  EXPECT_EQ(again[0].server.started, first[0].server.started);
-  EXPECT_EQ(again[1].server.started, now + second);
+  translator.translate_update(now + second, EndpointListForm::snapshot, again);
+  EXPECT_EQ(again[0].endpoint.started, first[0].endpoint.started);
+  EXPECT_EQ(again[1].endpoint.started, now + second);
   EndpointEntries in_the_same_moment{entry("b", told_at_age(-second))};
-  translator.translate_update(now + second, RosterForm::changes, in_the_same_moment);
-  EXPECT_NE(in_the_same_moment[0].server.started, again[1].server.started) << "another incarnation";
+  translator.translate_update(now + second, EndpointListForm::delta, in_the_same_moment);
+  EXPECT_NE(in_the_same_moment[0].endpoint.started, again[1].endpoint.started) << "another incarnation";
 }
 
 TEST(StartTimes, AServerThatLeftOrWasMissingFromAWholeListIsNewWhenItReturns) {
   StartTimeTranslator translator;
   EndpointEntries both{entry("a", told_at_age(second)), entry("b", told_at_age(second))};
-  translator.translate_update(now, RosterForm::complete, both);
+  translator.translate_update(now, EndpointListForm::snapshot, both);
   EndpointEntries left{entry("a", told_at_age(second))};
-  left[0].server.condition = Condition::left;
-  translator.translate_update(now + 1, RosterForm::changes, left);
-  EXPECT_EQ(left[0].server.started, now) << "the incarnation that was known";
+  left[0].endpoint.state = EndpointState::removed;
+  translator.translate_update(now + 1, EndpointListForm::delta, left);
+  EXPECT_EQ(left[0].endpoint.started, now) << "the incarnation that was known";
   EndpointEntries missing{};
-  translator.translate_update(now + 2, RosterForm::complete, missing);
+  translator.translate_update(now + 2, EndpointListForm::snapshot, missing);
   EndpointEntries back{entry("a", told_at_age(second)), entry("b", told_at_age(second))};
-  translator.translate_update(now + 3, RosterForm::changes, back);
-  EXPECT_EQ(back[0].server.started, now + 3);
-  EXPECT_EQ(back[1].server.started, now + 3);
+  translator.translate_update(now + 3, EndpointListForm::delta, back);
+  EXPECT_EQ(back[0].endpoint.started, now + 3);
+  EXPECT_EQ(back[1].endpoint.started, now + 3);
 }
 
 // What follows runs both clients of discovery on the emulated network, whose wall clock is stepped.
@@ -143,8 +143,8 @@
   Time wall() const { return network.unix_ns() / nanoseconds_a_tenth; }
   void step(Time by) { network.step_wall_clock(by * nanoseconds_a_tenth); }
   void pass(Time span) { network.run_until(network.now() + span); }
-  void hear(const std::vector<core::RosterEntry>& entries) {
-    for (const auto& one : entries) started[one.server.id] = one.server.started;
+  void hear(const std::vector<core::EndpointListEntry>& entries) {
+    for (const auto& one : entries) started[one.endpoint.id] = one.endpoint.started;
   }
 
   emulator::Network network{2};
@@ -162,7 +162,7 @@
   void start(const std::string& hosts) {
     const Known known = client.translated(list_of_the_start(hosts));
     for (const Notice& notice : known.notices) hear(notice.entries);
-    client.follow(true);
+    client.watch(true);
     pass(second);
     ASSERT_EQ(source.peers.size(), 1U);
   }
@@ -171,10 +171,12 @@
     pass(100);
   }
 
-  BoardClient client{
-      network, transport::numeric_address(source.address()),
-      1,       1,
-      silent,  [this](RosterForm, const std::vector<core::RosterEntry>& entries) { hear(entries); }};
+  BoardClient client{network,
+                     transport::numeric_address(source.address()),
+                     1,
+                     1,
+                     silent,
+                     [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) { hear(entries); }};
 };
 
 TEST_P(SteppedBoard, AStepBeforeTheStart) {
@@ -224,7 +226,7 @@
 class SteppedRoster : public SteppedDiscovery {
  protected:
   std::string list(const std::string& form, const std::vector<std::pair<std::string, Time>>& servers) const {
-    RosterWord word{.form = form == "changes" ? RosterForm::changes : RosterForm::complete,
+    RosterWord word{.form = form == "changes" ? EndpointListForm::delta : EndpointListForm::snapshot,
                     .revision = 1,
                     .entries = {},
                     .remarks = {}};
@@ -237,14 +239,14 @@
   void follow() {
     client = std::make_unique<RosterClient>(
         network, transport::numeric_address(source.address()), 0, second, 1, silent,
-        [this](RosterForm, const std::vector<core::RosterEntry>& entries) { hear(entries); });
+        [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) { hear(entries); });
     if (!stored.empty()) {
       RosterWord recalled = read_word(stored, 0);
       client->start_times().translate_snapshot(read_clocks(network), latest_start(recalled.entries),
-                                               RosterForm::remembered, recalled.entries);
+                                               EndpointListForm::cached, recalled.entries);
       hear(recalled.entries);
     }
-    client->follow(true);
+    client->watch(true);
     pass(second);
   }
   void tell(const std::string& line) {
@@ -253,7 +255,7 @@
   }
   void restart() {
     RosterWord whole = client->remembered().whole();
-    whole.form = RosterForm::complete;
+    whole.form = EndpointListForm::snapshot;
     stored = write_word(whole, 0);
     client.reset();
     pass(second);
--- a/tests/node/deadline_test.cpp
+++ b/tests/node/deadline_test.cpp
@@ -92,7 +92,7 @@
   Visitor visitor(router->address());
   const Time sent = reactor.now();
   visitor.send(ask(1, id_of(1)));
-  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().shots == 1; }));
+  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().attempts == 1; }));
   ASSERT_TRUE(door.open());
   const Time up = reactor.now();
   ASSERT_GT(up - sent, slack_ms * 10) << "else nothing is shown";
@@ -106,7 +106,7 @@
   start({}, host("s1", door.address()));
   Visitor visitor(router->address());
   visitor.send(ask(1, id_of(1), {.allow_ms = 700}));
-  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().shots == 1; }));
+  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().attempts == 1; }));
   ASSERT_TRUE(door.open());  // after a second, in which the loop stands still
   EXPECT_TRUE(pump.until([&] { return times_in(visitor.seen(), "Status: ") == 1; }));
   pump.pass(1'000);
@@ -138,7 +138,7 @@
   Visitor visitor(router->address());
   Time sent = 0, goes_on = 0;
   reactor.every_turn([&] {
-    reactor.soon([this] { reactor.every_turn(nullptr); });  // once
+    reactor.post([this] { reactor.every_turn(nullptr); });  // once
     sent = reactor.now();
     visitor.send(ask(1, id_of(1)));
     stand_still(stall_ms);
@@ -170,7 +170,7 @@
   aside.on_bytes = [&](RawPeer&) {
     stand_still(slack_ms);  // among the clients: nothing leaves in this turn any more
     reactor.every_turn([&] {
-      reactor.soon([this] { reactor.every_turn(nullptr); });  // once
+      reactor.post([this] { reactor.every_turn(nullptr); });  // once
       stand_still(stall_ms);
       goes_on = reactor.now();
     });
@@ -223,7 +223,7 @@
 };
 
 // A loop that turns, stands still while bytes come, and is asked how long they had been there.
-class UnreadStory : public testing::Test, private transport::StreamUser {
+class UnreadStory : public testing::Test, private transport::StreamHandler {
  protected:
   enum class Comes { before, meanwhile };  // the connection
   Time age_after_standing_still(Comes comes) {
@@ -258,16 +258,17 @@
   Time begun = 0, stands_still = 0, before_last = 0, after_last = 0, goes_on = 0, read_at = 0;
 
  private:
-  void arrived(std::string_view) override {
-    age = stream->unread_for();
+  void on_data(std::string_view) override {
+    age = stream->unread_age();
     read_at = loop.now();
   }
-  void lost(transport::Loss) override {}
+  void on_closed(transport::CloseReason) override {}
 
  protected:
-  transport::Listener listener{
-      loop, transport::numeric_address("127.0.0.1:0"), false,
-      [this](const transport::Arrival& arrival) { stream = transport::Stream::adopt(loop, arrival, *this); }};
+  transport::Listener listener{loop, transport::numeric_address("127.0.0.1:0"), false,
+                               [this](const transport::PendingConnection& arrival) {
+                                 stream = transport::Stream::adopt(loop, arrival, *this);
+                               }};
   Pump pump{loop};
 };
 
--- a/tests/node/descriptors_test.cpp
+++ b/tests/node/descriptors_test.cpp
@@ -176,8 +176,8 @@
   RawServer server{reactor};
   std::unique_ptr<RawServer> board;
   // Held, so that nobody else is given the address while discovery is away.
-  const std::unique_ptr<transport::Place> board_place =
-      reactor.hold(transport::numeric_address("127.0.0.1:0"));
+  const std::unique_ptr<transport::BoundSocket> board_place =
+      reactor.reserve(transport::numeric_address("127.0.0.1:0"));
   const std::string board_address = board_place->address().toString(),
                     path = testing::TempDir() + "descriptors-" + std::to_string(getpid()) + ".json";
   std::vector<std::pair<RawPeer*, std::string>> waiting;
--- a/tests/node/final_answer_test.cpp
+++ b/tests/node/final_answer_test.cpp
@@ -99,7 +99,7 @@
   servers_say(id_of(1), overloaded);
   pump.pass(3'000);
   EXPECT_EQ(times_at_servers("invoke "), 1) << "no further attempt";
-  EXPECT_EQ(router->gateway().open(), 0U);
+  EXPECT_EQ(router->gateway().open_requests(), 0U);
 }
 
 // The loop stands still as the connection's time runs out; its first request, or the rest of one, comes
@@ -114,7 +114,7 @@
   pump.pass(silent_for);
   ASSERT_EQ(router->front().connections(), 2U);
   reactor.every_turn([&] {
-    reactor.soon([this] { reactor.every_turn(nullptr); });  // once
+    reactor.post([this] { reactor.every_turn(nullptr); });  // once
     silent_one.send(request);
     half.send(cut.substr(cut.size() / 2));
     stand_still(stall_ms);
@@ -143,7 +143,7 @@
       case 0:
         return peer.stream->reset();
       case 1:
-        return peer.stream->finish();
+        return peer.stream->shutdown_write();
       case 2:
         return peer.stream->write(std::string(20, '\xff'));
       case 3:
@@ -256,7 +256,7 @@
   visitor.send(ask(1, id_of(1)));
   ASSERT_TRUE(succeeds(visitor));
   pump.pass(second);
-  for (const auto& peer : one.peers) peer->stream->read(false);
+  for (const auto& peer : one.peers) peer->stream->set_reading(false);
   const std::size_t forgotten = one.peers.size();
   visitor.send(ask(2, id_of(2)));
   EXPECT_TRUE(pump.until([&] { return ended_in(visitor.seen()) == 2; }, deadline + late));
@@ -286,9 +286,9 @@
     visitor.send(ask(static_cast<fastcgi::Number>(i), id_of(i), {.allow_ms = 1'000}));
   EXPECT_TRUE(pump.until([&] { return ended_in(visitor.seen()) == requests; }, second + late));
   EXPECT_EQ(times_in(visitor.seen(), "Status: 200"), 0);
-  EXPECT_LE(router->gateway().tally().shots, static_cast<std::uint64_t>(requests * most_attempts));
+  EXPECT_LE(router->gateway().tally().attempts, static_cast<std::uint64_t>(requests * most_attempts));
   EXPECT_LE(attempts, requests * most_attempts);
-  EXPECT_EQ(router->gateway().open(), 0U);
+  EXPECT_EQ(router->gateway().open_requests(), 0U);
 }
 
 // New configurations one after another while requests are out and come: none is lost, the last one holds.
--- a/tests/node/idle_test.cpp
+++ b/tests/node/idle_test.cpp
@@ -30,7 +30,7 @@
   }
 
   int datagrams = 0;
-  const std::unique_ptr<transport::Place> peer = reactor.hear(
+  const std::unique_ptr<transport::BoundSocket> peer = reactor.open_datagrams(
       transport::numeric_address("127.0.0.1:0"), [this](const auto&, std::string_view) { ++datagrams; });
   const HeldAddress own_peer_address{reactor};
 };
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -67,14 +67,14 @@
   EXPECT_TRUE(at_server("invoke 9b1f03aa5c7e2d41 profile=date-lookup,thing=7f3a9c21e0b4d655,max=2"));
   EXPECT_NE(front->seen.find("Status: 200"), std::string::npos);
   EXPECT_TRUE(front->seen.ends_with(fastcgi::end_request(7, fastcgi::Ended::complete, 0)));
-  EXPECT_EQ(router.gateway().tally().honoured, 1U);
+  EXPECT_EQ(router.gateway().tally().succeeded, 1U);
 }
 
 TEST_F(NodeStory, AliveIsAnsweredAtOnce) {
   const auto front = client();
   front->stream->write(fastcgi::write_request(1, {.params = {{"SCRIPT_NAME", "/alive"}}, .keep = true}));
   ASSERT_TRUE(seen(*front, "Status: 200"));
-  EXPECT_EQ(router.gateway().tally().taken, 0U);
+  EXPECT_EQ(router.gateway().tally().accepted, 0U);
 }
 
 TEST_F(NodeStory, TakenBackByItsClientTheShotIsTakenBackToo) {
@@ -84,9 +84,9 @@
   front->stream->write(std::string("\1\2\0\7\0\0\0\0", 8));
   ASSERT_TRUE(seen(*front, fastcgi::end_request(7, fastcgi::Ended::complete, 1)));
   ASSERT_TRUE(pump.until([&] { return server.peers[0]->ended; }));
-  EXPECT_EQ(router.gateway().open(), 0U);
+  EXPECT_EQ(router.gateway().open_requests(), 0U);
   front->stream->write(fastcgi::write_request(7, ask()));
-  EXPECT_TRUE(pump.until([&] { return router.gateway().tally().taken == 2; }))
+  EXPECT_TRUE(pump.until([&] { return router.gateway().tally().accepted == 2; }))
       << "number and id are free again";
 }
 
@@ -95,7 +95,7 @@
   front->stream->write(fastcgi::write_request(7, ask()));
   ASSERT_TRUE(at_server("invoke"));
   front.reset();
-  EXPECT_TRUE(pump.until([&] { return router.gateway().open() == 0; }));
+  EXPECT_TRUE(pump.until([&] { return router.gateway().open_requests() == 0; }));
 }
 
 TEST_F(NodeStory, AnIdThatIsOpenIsNotTakenAgain) {
@@ -104,7 +104,7 @@
   ASSERT_TRUE(at_server("invoke"));
   other->stream->write(fastcgi::write_request(1, ask()));
   EXPECT_TRUE(seen(*other, "Status: 409"));
-  EXPECT_EQ(router.gateway().tally().taken, 1U);
+  EXPECT_EQ(router.gateway().tally().accepted, 1U);
 }
 
 TEST_F(NodeStory, WhatIsNoRequestGetsAnAnswerThatSaysWhy) {
@@ -134,7 +134,7 @@
     EXPECT_NE(front->seen.find(reason), std::string::npos) << value;
     EXPECT_EQ(front->seen.find("Status: 4"), 8U) << value;
   }
-  EXPECT_EQ(router.gateway().tally().taken, 0U);
+  EXPECT_EQ(router.gateway().tally().accepted, 0U);
 }
 
 // A numbered event's own number goes on to every server that it is sent to: by it the event runs once there.
@@ -156,8 +156,8 @@
     EXPECT_NE(peer->seen.find(",replay=26a4287fdb59d37c05b5da70ad251bf7 4\r\n"), std::string::npos)
         << peer->seen;
   }
-  ASSERT_TRUE(pump.until([&] { return router.gateway().open() == 0; }));
-  const auto taken = router.gateway().tally().taken;
+  ASSERT_TRUE(pump.until([&] { return router.gateway().open_requests() == 0; }));
+  const auto taken = router.gateway().tally().accepted;
   for (const char* number :
        {static_cast<const char*>(nullptr), "", "two words", "a,b", "a=b", "line\r\nabort x"}) {
     front->seen.clear();
@@ -165,7 +165,7 @@
     ASSERT_TRUE(seen(*front, fastcgi::end_request(9, fastcgi::Ended::complete, 0)));
     EXPECT_NE(front->seen.find("X-Unique"), std::string::npos);
   }
-  EXPECT_EQ(router.gateway().tally().taken, taken);
+  EXPECT_EQ(router.gateway().tally().accepted, taken);
 }
 
 // What was read before is owed its final answer; nothing after it is read, and the connection ends.
@@ -176,12 +176,12 @@
   front->stream->write(fastcgi::write_request(1, ask("aaaaaaaaaaaaaaaa")));
   pump.pass(1'000);
   EXPECT_EQ(front->seen, "");
-  EXPECT_EQ(router.gateway().open(), 1U);
+  EXPECT_EQ(router.gateway().open_requests(), 1U);
   for (const auto& peer : server.peers) peer->stream->write(ask().params[1].second + " HIT - 2\r\nok\r\n");
-  EXPECT_TRUE(pump.until([&] { return front->ended && router.gateway().open() == 0; }));
+  EXPECT_TRUE(pump.until([&] { return front->ended && router.gateway().open_requests() == 0; }));
   EXPECT_NE(front->seen.find("Status: 200"), std::string::npos);
   EXPECT_NE(front->seen.find(fastcgi::end_request(1, fastcgi::Ended::complete, 0)), std::string::npos);
-  EXPECT_EQ(router.gateway().tally().taken, 1U);
+  EXPECT_EQ(router.gateway().tally().accepted, 1U);
 }
 
 TEST_F(NodeStory, SilenceAndHalfARequestAreClosedWhileAnOrdinaryIdleConnectionStays) {
@@ -283,15 +283,16 @@
   EXPECT_LT(at_staying, 220) << "the last list stands, with both";
   doomed.reset();
   while (asked < 1'220) ask_one();
-  EXPECT_EQ(tally.honoured, static_cast<std::uint64_t>(asked));
-  const auto refused = tally.endings[static_cast<std::size_t>(Ending::no_connection)];
+  EXPECT_EQ(tally.succeeded, static_cast<std::uint64_t>(asked));
+  const auto refused = tally.outcomes[static_cast<std::size_t>(AttemptOutcome::connect_failed)];
   EXPECT_GT(refused, 0U);
   EXPECT_LT(refused, 150U) << "of some 500 that would have gone there";
   const Time back = network.now();
   std::vector<std::unique_ptr<RawPeer>> watches;
-  const transport::Listener returned(network, board_at, true, [&](const transport::Arrival& arrival) {
-    watches.push_back(std::make_unique<RawPeer>(network, arrival));
-  });
+  const transport::Listener returned(network, board_at, true,
+                                     [&](const transport::PendingConnection& arrival) {
+                                       watches.push_back(std::make_unique<RawPeer>(network, arrival));
+                                     });
   while (watches.empty() && network.now() < back + 10 * second) network.run_until(network.now() + 10);
   ASSERT_FALSE(watches.empty());
   EXPECT_LT(network.now() - back, second);
@@ -303,7 +304,7 @@
   for (int i = 0; i < 40; ++i) ask_one();
   EXPECT_EQ(at_staying, last);
   EXPECT_EQ(at_fresh, 40);
-  EXPECT_EQ(tally.honoured, static_cast<std::uint64_t>(asked));
+  EXPECT_EQ(tally.succeeded, static_cast<std::uint64_t>(asked));
 }
 
 }  // namespace
--- a/tests/node/owed_test.cpp
+++ b/tests/node/owed_test.cpp
@@ -43,7 +43,7 @@
         if (!at_servers(id)) return false;
         servers_say(id, succeeded);
       }
-      if (!pump.until([&] { return router->gateway().open() == 0; })) return false;
+      if (!pump.until([&] { return router->gateway().open_requests() == 0; })) return false;
     }
     visitor.seen();  // what it leaves unread would make its close a reset
     return one.peers.size() >= 2 && (!to_other || other.peers.size() >= 2);
@@ -75,9 +75,9 @@
   start({}, host("s1", door.address()));
   Visitor visitor(router->address());
   visitor.send(ask(1, first_id));
-  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().shots == 1; }));
+  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().attempts == 1; }));
   leave(visitor, 1);
-  ASSERT_TRUE(pump.until([&] { return router->gateway().open() == 0; }));
+  ASSERT_TRUE(pump.until([&] { return router->gateway().open_requests() == 0; }));
   door.open(2'000);  // it need not come up at all
   pump.pass(well_after);
   EXPECT_EQ(door.seen(), "");
@@ -88,7 +88,7 @@
   start({}, host("s1", door.address()));
   Visitor visitor(router->address());
   visitor.send(ask(1, first_id));
-  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().shots == 1; }));
+  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().attempts == 1; }));
   ASSERT_TRUE(door.open());
   EXPECT_TRUE(pump.until([&] { return door.seen().find(first_id) != std::string::npos; }));
 }
@@ -101,8 +101,8 @@
   leave(visitor, 1);
   pump.pass(3'000);
   EXPECT_EQ(times_at_servers(first_id), 0);
-  EXPECT_EQ(router->gateway().tally().taken, 0U);
-  EXPECT_EQ(router->gateway().open(), 0U);
+  EXPECT_EQ(router->gateway().tally().accepted, 0U);
+  EXPECT_EQ(router->gateway().open_requests(), 0U);
 }
 
 // A cold server has had its part; the third event waits for room. The room comes with an alarm that falls due
@@ -114,9 +114,9 @@
   ASSERT_TRUE(at_servers(first_id) && at_servers(second_id));
   pump.pass(5'000);
   third.send(ask(3, third_id));
-  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().taken == 3; }));
-  ASSERT_EQ(router->gateway().tally().shots, 2U) << "the third waits";
-  ASSERT_EQ(router->gateway().open(), 3U);
+  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().accepted == 3; }));
+  ASSERT_EQ(router->gateway().tally().attempts, 2U) << "the third waits";
+  ASSERT_EQ(router->gateway().open_requests(), 3U);
   leave(third, 3);
   stand_still(1'200);
   pump.pass(well_after);
@@ -130,8 +130,8 @@
   ASSERT_TRUE(at_servers(first_id) && at_servers(second_id));
   pump.pass(5'000);
   front.send(ask(3, third_id));
-  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().taken == 3; }));
-  ASSERT_EQ(router->gateway().tally().shots, 2U);
+  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().accepted == 3; }));
+  ASSERT_EQ(router->gateway().tally().attempts, 2U);
   stand_still(1'200);
   EXPECT_TRUE(at_servers(third_id));
 }
@@ -148,7 +148,7 @@
     servers_say(id, overloaded);
     leave(visitor, 1);
     pump.pass(100);
-    ASSERT_TRUE(pump.until([&] { return router->gateway().open() == 0; }));
+    ASSERT_TRUE(pump.until([&] { return router->gateway().open_requests() == 0; }));
     pump.pass(500);
     ASSERT_EQ(times_at_servers(id), 1) << round;
   }
@@ -180,7 +180,7 @@
   // In the next turn, after connections and before alarms.
   void stall_before_alarms(std::function<void()> leaving, int ms = too_late) {
     reactor.every_turn([this, leaving = std::move(leaving), ms] {
-      reactor.soon([this] { reactor.every_turn(nullptr); });  // once
+      reactor.post([this] { reactor.every_turn(nullptr); });  // once
       leaving();
       stand_still(ms);
     });
@@ -202,8 +202,8 @@
   servers_say(second_id, succeeded);
   pump.pass(5'000);
   third.send(ask(3, third_id));
-  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().taken == 3; }));
-  ASSERT_EQ(router->gateway().tally().shots, 2U) << "the third waits";
+  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().accepted == 3; }));
+  ASSERT_EQ(router->gateway().tally().attempts, 2U) << "the third waits";
   stall_before_alarms([&] { leave(third, 3); }, 1'200);
   turn_on(13'000);
   EXPECT_EQ(times_at_servers(third_id), 0);
@@ -219,7 +219,7 @@
   stall_among_clients([&] { leave(visitor, 1); });
   turn_on();
   EXPECT_EQ(times_at_servers(first_id), 1);
-  EXPECT_EQ(router->gateway().open(), 0U);
+  EXPECT_EQ(router->gateway().open_requests(), 0U);
 }
 
 // Without a stall the attempt may leave, within 0.1 s of the leaving, and is counted. Repeated until it does:
@@ -246,7 +246,7 @@
   start({}, host("s1", door.address()));
   Visitor visitor(router->address());
   visitor.send(ask(1, first_id));
-  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().shots == 1; }));
+  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().attempts == 1; }));
   ASSERT_TRUE(door.open());
   stall_among_clients([&] { leave(visitor, 1); });
   turn_on();
@@ -291,7 +291,7 @@
   stall_before_alarms([&] { leave(last, 14); });
   turn_on();
   EXPECT_EQ(times_at_servers(third_id), 0);
-  EXPECT_GT(router->gateway().tally().shots, 13U);
+  EXPECT_GT(router->gateway().tally().attempts, 13U);
 }
 
 // What stands unread before a leaving does not hide it, be it more than one read takes or half a request.
@@ -304,7 +304,7 @@
   stand_still(too_late);
   pump.pass(1'000);
   EXPECT_EQ(times_at_servers(first_id), 0);
-  EXPECT_EQ(router->gateway().open(), 0U);
+  EXPECT_EQ(router->gateway().open_requests(), 0U);
 }
 
 TEST_P(LeavingStory, MuchThatStandsUnreadBeforeALeavingDoesNotHideItFromARefusal) {
@@ -319,7 +319,7 @@
   stand_still(too_late);
   pump.pass(1'000);
   EXPECT_EQ(times_at_servers(first_id), 1);
-  EXPECT_EQ(router->gateway().open(), 0U);
+  EXPECT_EQ(router->gateway().open_requests(), 0U);
 }
 
 TEST_P(LeavingStory, HalfARequestBeforeALeavingDoesNotHideItFromARefusal) {
@@ -334,7 +334,7 @@
   stand_still(too_late);
   pump.pass(1'000);
   EXPECT_EQ(times_at_servers(first_id), 1);
-  EXPECT_EQ(router->gateway().open(), 0U);
+  EXPECT_EQ(router->gateway().open_requests(), 0U);
 }
 
 TEST_F(OwedStory, AShotThatHasNotLeftWhenTheListSaysLeavingGoesElsewhere) {
@@ -343,7 +343,7 @@
   ASSERT_TRUE(watched());
   Visitor visitor(router->address());
   visitor.send(ask(1, first_id));
-  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().shots == 1; }));
+  ASSERT_TRUE(pump.until([&] { return router->gateway().tally().attempts == 1; }));
   discovery.peers[0]->stream->write(
       notice(2, host("s1", door.address(), "leaving") + "," + host("s2", one.address())));
   EXPECT_TRUE(at_servers(first_id));
@@ -366,7 +366,7 @@
   void told_to_end() {
     router->wind_up([this] {
       ended = true;
-      reactor.soon([this] { router.reset(); });
+      reactor.post([this] { router.reset(); });
     });
     pump.pass(500);
   }
--- a/tests/node/platform_story.h
+++ b/tests/node/platform_story.h
@@ -77,11 +77,11 @@
 class HeldAddress {
  public:
   explicit HeldAddress(transport::Loop& reactor)
-      : place_(reactor.hold(transport::numeric_address("127.0.0.1:0"))) {}
+      : place_(reactor.reserve(transport::numeric_address("127.0.0.1:0"))) {}
   std::string text() const { return place_->address().toString(); }
 
  private:
-  std::unique_ptr<transport::Place> place_;
+  std::unique_ptr<transport::BoundSocket> place_;
 };
 
 // Answers each request that has come whole, and takes it from what has been seen.
--- a/tests/node/requests_test.cpp
+++ b/tests/node/requests_test.cpp
@@ -71,7 +71,7 @@
     ASSERT_GE(counts().open, router->front().open_requests()) << to_text(counts());
   }
   bool all_ended() {
-    return pump.until([&] { return counts().open == 0 && router->gateway().open() == 0; }, 60'000);
+    return pump.until([&] { return counts().open == 0 && router->gateway().open_requests() == 0; }, 60'000);
   }
   void servers_say(const std::string& id, const std::string& bytes) const {
     for (const auto& peer : server.peers) {
@@ -159,7 +159,7 @@
     ASSERT_TRUE(at_server(id_of(i)));
   }
   for (int i = 1; i <= large_answers; ++i) servers_say(id_of(i), answer_of(id_of(i), large_answer));
-  ASSERT_TRUE(pump.until([&] { return router->gateway().open() == 0; }));
+  ASSERT_TRUE(pump.until([&] { return router->gateway().open_requests() == 0; }));
   pump.pass(after_the_last_answer);
   ASSERT_GT(counts().open, 0U) << "the system has not taken them all";
   while (client.read()) pump.pass(20);
--- a/tests/node/restart_test.cpp
+++ b/tests/node/restart_test.cpp
@@ -155,8 +155,8 @@
   const HeldAddress place{reactor}, board_place{reactor};
   std::unique_ptr<RawServer> board = std::make_unique<RawServer>(reactor, board_place.text());
   // Bound as a router binds it, which then hears in its stead.
-  const std::unique_ptr<transport::Place> peer_place =
-      reactor.hear(transport::numeric_address("127.0.0.1:0"), [](const auto&, std::string_view) {});
+  const std::unique_ptr<transport::BoundSocket> peer_place =
+      reactor.open_datagrams(transport::numeric_address("127.0.0.1:0"), [](const auto&, std::string_view) {});
   const std::string listen = place.text(), peers = peer_place->address().toString();
   std::vector<std::string> paths;
   Time begun = 0;
@@ -259,12 +259,12 @@
 TEST_F(RestartStory, ThirtyTogether) {
   std::vector<std::string> at;
   std::vector<HeldAddress> held;
-  std::vector<std::unique_ptr<transport::Place>> peer_places;
+  std::vector<std::unique_ptr<transport::BoundSocket>> peer_places;
   std::vector<std::unique_ptr<Process>> programs;
   for (std::size_t i = 0; i < together; ++i) {
     at.push_back(held.emplace_back(reactor).text());
-    peer_places.push_back(
-        reactor.hear(transport::numeric_address("127.0.0.1:0"), [](const auto&, std::string_view) {}));
+    peer_places.push_back(reactor.open_datagrams(transport::numeric_address("127.0.0.1:0"),
+                                                 [](const auto&, std::string_view) {}));
   }
   for (std::size_t i = 0; i < together; ++i)
     programs.push_back(
--- a/tests/node/system_calls_test.cpp
+++ b/tests/node/system_calls_test.cpp
@@ -93,8 +93,8 @@
     for (const auto& visitor : visitors) found += times_in(visitor->seen(), status);
     return found;
   }
-  std::uint64_t endings(core::Gateway& gateway, Ending ending) const {
-    return gateway.tally().endings[static_cast<std::size_t>(ending)];
+  std::uint64_t endings(core::Gateway& gateway, AttemptOutcome ending) const {
+    return gateway.tally().outcomes[static_cast<std::size_t>(ending)];
   }
 
   transport::Loop partners;
@@ -102,7 +102,7 @@
   RawServer one{partners}, other{partners}, discovery{partners};
   HeldAddress peer_address{partners};
   std::vector<std::string> peer_words;
-  transport::Datagrams peer{
+  transport::DatagramEndpoint peer{
       partners, transport::numeric_address("127.0.0.1:0"),
       [this](const transport::Address&, std::string_view bytes) { peer_words.emplace_back(bytes); }};
   std::unique_ptr<FaultyRouter> router;
@@ -144,7 +144,7 @@
       step();
       EXPECT_EQ(answers("Status: "), 2 * clients) << at;
       EXPECT_EQ(answers("Status: 200"), 2 * clients) << at;
-      EXPECT_EQ(router->node->gateway().open(), 0U) << at;
+      EXPECT_EQ(router->node->gateway().open_requests(), 0U) << at;
       EXPECT_LE(router->system.failures(), 1U) << at;
       fired += router->system.failures();
       EXPECT_LT(router->system.calls() - calls_before, 1'000 + calls_a_step * steps) << at;
@@ -172,7 +172,7 @@
   step();
   answered += answers("Status: ");
   EXPECT_EQ(answered, asked);
-  EXPECT_EQ(router->node->gateway().open(), 0U);
+  EXPECT_EQ(router->node->gateway().open_requests(), 0U);
   EXPECT_GT(router->system.failures(), 100U);
   EXPECT_LT(router->system.calls(), 1'000 + calls_a_step * steps);
 }
@@ -194,9 +194,9 @@
     EXPECT_EQ(answers("Status: "), clients) << named(failure);
     EXPECT_LT(router->system.calls() - calls_before, 1'000 + calls_a_step * steps) << named(failure);
     core::Gateway& gateway = router->node->gateway();
-    EXPECT_GT(endings(gateway, Ending::not_sent), 0U) << named(failure);
-    EXPECT_EQ(endings(gateway, Ending::no_connection), 0U) << named(failure);
-    EXPECT_EQ(endings(gateway, Ending::connection_lost), 0U) << named(failure);
+    EXPECT_GT(endings(gateway, AttemptOutcome::not_sent), 0U) << named(failure);
+    EXPECT_EQ(endings(gateway, AttemptOutcome::connect_failed), 0U) << named(failure);
+    EXPECT_EQ(endings(gateway, AttemptOutcome::connection_lost), 0U) << named(failure);
     router->system.heal();
     ask_each(true);
     ASSERT_TRUE(until([&] { return all_answered(); })) << named(failure);
--- a/tests/replicating/replica_links_test.cpp
+++ b/tests/replicating/replica_links_test.cpp
@@ -129,15 +129,15 @@
 
 TEST(ReplicaLinksStory, WhoIsSilentIsLeftAndTheNextOneOnIsAskedInItsPlace) {
   emulator::Network network{5};
-  struct Mute final : transport::StreamUser {
-    void arrived(std::string_view) override {}
-    void lost(transport::Loss) override { ++losses; }
+  struct Mute final : transport::StreamHandler {
+    void on_data(std::string_view) override {}
+    void on_closed(transport::CloseReason) override { ++losses; }
     std::shared_ptr<transport::Stream> stream;
     int losses = 0;
   };
   std::vector<std::unique_ptr<Mute>> mutes;
   const auto stalled = network.listen(
-      transport::numeric_address(address_of(1)), false, [&](const transport::Arrival& arrival) {
+      transport::numeric_address(address_of(1)), false, [&](const transport::PendingConnection& arrival) {
         mutes.push_back(std::make_unique<Mute>());
         mutes.back()->stream = transport::Stream::adopt(network, arrival, *mutes.back());
       });
--- a/tests/router/descriptors_test.cpp
+++ b/tests/router/descriptors_test.cpp
@@ -138,7 +138,9 @@
       }
     }
   }
-  std::unique_ptr<transport::Place> hold() { return reactor.hold(transport::numeric_address("127.0.0.1:0")); }
+  std::unique_ptr<transport::BoundSocket> hold() {
+    return reactor.reserve(transport::numeric_address("127.0.0.1:0"));
+  }
   static bool heard(const RawServer& one) {
     return std::ranges::any_of(one.peers, [](const auto& p) { return !p->seen.empty(); });
   }
@@ -171,7 +173,7 @@
   Pump pump{reactor};
   std::vector<std::unique_ptr<RawServer>> servers;
   // Held, so that nobody else is given an address while its own is away: roster, broker, other router, ours.
-  const std::array<std::unique_ptr<transport::Place>, 4> places{hold(), hold(), hold(), hold()};
+  const std::array<std::unique_ptr<transport::BoundSocket>, 4> places{hold(), hold(), hold(), hold()};
   std::unique_ptr<RawServer> roster, broker, other;
   std::string path = testing::TempDir() + "serve-" + std::to_string(getpid()) + ".ini",
               list_path = testing::TempDir() + "serve-" + std::to_string(getpid()) + ".list";
--- a/tests/router/remembered_endpoint_list_test.cpp
+++ b/tests/router/remembered_endpoint_list_test.cpp
@@ -26,10 +26,10 @@
   std::string what;
   std::map<std::string, std::string> fields;
 };
-class RecordingLog final : public core::Diary {
+class RecordingLog final : public core::EventLog {
  public:
   bool wants(core::Level) const override { return true; }
-  void line(core::Level level, const char* what, Fields fields) override {
+  void write(core::Level level, const char* what, Fields fields) override {
     lines.push_back({level, what, {}});
     for (const auto& [name, value] : fields) lines.back().fields[name] = value;
   }
@@ -40,9 +40,9 @@
 };
 
 membership::RosterWord list_of(std::int64_t revision) {
-  core::RosterEntry entry{.server = {.id = "s" + std::to_string(revision), .started = 77},
-                          .address = "127.0.0.1:9"};
-  return {.form = RosterForm::complete, .revision = revision, .entries = {entry}};
+  core::EndpointListEntry entry{.endpoint = {.id = "s" + std::to_string(revision), .started = 77},
+                                .address = "127.0.0.1:9"};
+  return {.form = EndpointListForm::snapshot, .revision = revision, .entries = {entry}};
 }
 
 class RememberedList : public testing::Test {
@@ -268,7 +268,7 @@
   }
   // That it started without the list, and said which file and why.
   void expect_refused(const membership::RosterWord& list_read, const std::string& reason) {
-    EXPECT_EQ(list_read.form, RosterForm::remembered);
+    EXPECT_EQ(list_read.form, EndpointListForm::cached);
     EXPECT_TRUE(list_read.entries.empty());
     ASSERT_EQ(log.lines.size(), 1U) << reason;
     EXPECT_EQ(log.lines[0].what, "remembered endpoint list cannot be read");
@@ -282,10 +282,10 @@
   change();
   pass(1);
   const membership::RosterWord list_read = read();
-  EXPECT_EQ(list_read.form, RosterForm::remembered);
+  EXPECT_EQ(list_read.form, EndpointListForm::cached);
   ASSERT_EQ(list_read.entries.size(), 1U);
-  EXPECT_EQ(list_read.entries[0].server.id, "s1");
-  EXPECT_EQ(list_read.entries[0].server.started, 77);
+  EXPECT_EQ(list_read.entries[0].endpoint.id, "s1");
+  EXPECT_EQ(list_read.entries[0].endpoint.started, 77);
   EXPECT_TRUE(log.lines.empty());
 }
 
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -216,7 +216,7 @@
   }
   EXPECT_GT(before, 100) << "believed as last told while nobody can tell otherwise";
   const auto refused =
-      scene.router->gateway().tally().endings[static_cast<std::size_t>(Ending::no_connection)];
+      scene.router->gateway().tally().outcomes[static_cast<std::size_t>(AttemptOutcome::connect_failed)];
   EXPECT_GT(refused, 0U);
   EXPECT_LT(refused, 60U) << "of some 270 that would have gone there in nine minutes";
 }
--- a/tests/router/storage_faults_test.cpp
+++ b/tests/router/storage_faults_test.cpp
@@ -146,7 +146,7 @@
     program.signal(SIGKILL);
     program.wait();
   }
-  const auto nobody = reactor.hold(transport::numeric_address("127.0.0.1:0"));
+  const auto nobody = reactor.reserve(transport::numeric_address("127.0.0.1:0"));
   std::ofstream(deployment_path) << deployment(nobody->address().toString());
   Process program(Launch{.arguments = {"serve", deployment_path}});
   EXPECT_TRUE(served(program.address_after("ready")));
--- a/tests/cold_fleet_test.cpp
+++ b/tests/routing/cold_fleet_test.cpp
@@ -44,12 +44,13 @@
   explicit Fleet(const Play& play) : play_(play), chance_(play.seed) {
     deployment_.routers = play.routers;
     deployment_.tick = 40;
-    deployment_.traffic_types.push_back({.name = "lookup", .due = play.due, .hard_limit = 10 * play.due / 3});
+    deployment_.request_classes.push_back(
+        {.name = "lookup", .latency_objective = play.due, .deadline_span = 10 * play.due / 3});
     deployment_.fall_multiple = 2;
     deployment_.fall_span = 3 * second / 2;
     deployment_.cold_share = play.cold_share;
     deployment_.cold_span = play.cold_span;
-    deployment_.shot_cap = 5;
+    deployment_.attempt_limit = 5;
     deployment_.cancel = deployment_.probing = deployment_.peers = deployment_.orders = true;
     deployment_.tells_warm = true;
     deployment_.miss_answers = play.miss_answers;
@@ -58,7 +59,7 @@
     deployment_.keep_alive = 13 * second;
     deployment_.connect_limit = second / 4;
     for (int i = 0; i < play.servers; ++i) add(0);
-    std::vector<ModelServer> all;
+    std::vector<Endpoint> all;
     for (const auto& [id, machine] : machines_) all.push_back(machine.told);
     for (int i = 0; i < play.routers; ++i) {
       rates_.push_back(std::exp(std::normal_distribution<double>(0, 0.9)(chance_)));
@@ -103,7 +104,7 @@
     }
   };
   struct Machine {
-    ModelServer told;
+    Endpoint told;
     std::vector<Time> free;             // when each worker is
     std::deque<Time> ends;              // of what it has in hand
     std::deque<Time> got;               // within the rule's span
@@ -113,127 +114,128 @@
     int life = 0;        // one more each time it starts again
     Time cold_from = 0;  // what it was permitted is added up until then
   };
-  struct Instance final : Host {
+  struct Instance final : RoutingHost {
     Instance(Fleet& of, int who) : fleet(of), me(who) {}
-    void shoot(EventId event, const ServerId& server, Time) override {
+    void send_attempt(RequestId event, const EndpointId& server, Time) override {
       const int leg = legs[event]++;
       open.insert({event, leg});
       fleet.at(fleet.now_ + 5, [this, event, leg, server] { fleet.arrive(*this, event, leg, server); });
     }
-    void call_off(EventId event, int leg) override {
-      finish(event, leg, {}, Ending::called_off, Warmth::untold, fleet.now_);
+    void cancel_attempt(RequestId event, int leg) override {
+      finish(event, leg, {}, AttemptOutcome::cancelled, CopyState::unknown, fleet.now_);
     }
-    void shed(EventId event, Time) override { legs.erase(event), fleet.retry(*this); }
-    void abandon(EventId event) override { legs.erase(event), fleet.retry(*this); }
-    void wake(std::int64_t token, Time when) override {
+    void reject(RequestId event, Time) override { legs.erase(event), fleet.retry(*this); }
+    void fail(RequestId event) override { legs.erase(event), fleet.retry(*this); }
+    void set_timer(std::int64_t token, Time when) override {
       fleet.at(when, [this, life = life, token] {
-        if (life == this->life) router->woken(fleet.now_, token);
+        if (life == this->life) router->timer_fired(fleet.now_, token);
       });
     }
-    void probe(const ServerId& server) override {
+    void probe(const EndpointId& server) override {
       fleet.at(fleet.now_ + 10, [this, life = life, server] {
         if (life != this->life) return;
         Machine& machine = fleet.machines_.at(server);
         fleet.count(machine, knows(server, machine));
         router->probe_ended(fleet.now_,
-                            {.server = server, .taken = 10, .report = {{"util", fleet.use(server)}}});
+                            {.endpoint = server, .taken = 10, .report = {{"util", fleet.use(server)}}});
       });
     }
-    void close_idle(const ServerId&) override {}
-    void order(const ServerId& server, const FunctionId& function, int) override {
+    void close_idle(const EndpointId&) override {}
+    void prewarm(const EndpointId& server, const FunctionId& function, int) override {
       fleet.at(fleet.now_ + 5, [this, life = life, server, function] {
         Machine& machine = fleet.machines_.at(server);
         fleet.count(machine, knows(server, machine));
         machine.copies.try_emplace(function, fleet.now_ + second / 2);
         fleet.at(machine.copies.at(function), [this, life, server, function] {
           if (life != this->life) return;
-          router->order_ended(fleet.now_,
-                              {.server = server, .function = function, .taken = second / 2, .copies = 1});
+          router->prewarm_ended(fleet.now_,
+                                {.endpoint = server, .function = function, .taken = second / 2, .copies = 1});
         });
       });
     }
-    void unload(const ServerId&, const FunctionId&) override {}
-    void tell(int, const std::string& bytes) override {
+    void evict(const EndpointId&, const FunctionId&) override {}
+    void send_gossip(int, const std::string& bytes) override {
       fleet.at(fleet.now_ + 100, [this, bytes] {
         for (auto& other : fleet.instances_) {
-          if (other.get() != this) other->router->told(fleet.now_, me, bytes);
+          if (other.get() != this) other->router->gossip_received(fleet.now_, me, bytes);
         }
       });
     }
-    void follow(bool) override {}
-    void reload() override {}
+    void watch_endpoints(bool) override {}
+    void resync_endpoints() override {}
     void log(const std::string&) override {}
 
-    void finish(EventId event, int leg, const ServerId& server, Ending ending, Warmth warmth, Time sent) {
+    void finish(RequestId event, int leg, const EndpointId& server, AttemptOutcome ending, CopyState warmth,
+                Time sent) {
       fleet.at(fleet.now_, [this, event, leg, server, ending, warmth, sent] {
         if (open.erase({event, leg}) == 0) return;
-        fleet.honoured_ += ending == Ending::honoured ? 1 : 0;
-        router->shot_ended(fleet.now_, {.event = event,
-                                        .leg = leg,
-                                        .server = server,
-                                        .ending = ending,
-                                        .final = ending == Ending::honoured,
-                                        .taken = fleet.now_ - sent,
-                                        .warmth = warmth});
+        fleet.honoured_ += ending == AttemptOutcome::succeeded ? 1 : 0;
+        router->attempt_ended(fleet.now_, {.request = event,
+                                           .attempt_number = leg,
+                                           .endpoint = server,
+                                           .outcome = ending,
+                                           .final = ending == AttemptOutcome::succeeded,
+                                           .taken = fleet.now_ - sent,
+                                           .copy_state = warmth});
       });
     }
-    bool knows(const ServerId& server, const Machine& machine) const {
+    bool knows(const EndpointId& server, const Machine& machine) const {
       const auto it = known.find(server);
       return it != known.end() && it->second == machine.told.started;
     }
     Fleet& fleet;
     int me, life = 0;
-    std::map<ServerId, Time> known;  // start of each server, as told
-    std::unique_ptr<Router> router;
-    std::map<EventId, int> legs;
-    std::set<std::pair<EventId, int>> open;
-    std::map<EventId, FunctionId> functions;
-    EventId last = 0;
+    std::map<EndpointId, Time> known;  // start of each server, as told
+    std::unique_ptr<RoutingPolicy> router;
+    std::map<RequestId, int> legs;
+    std::set<std::pair<RequestId, int>> open;
+    std::map<RequestId, FunctionId> functions;
+    RequestId last = 0;
   };
 
   void at(Time when, std::function<void()> call) {
     queue_.push({when, ++number_, std::make_shared<std::function<void()>>(std::move(call))});
   }
-  ServerId add(Time started) {
-    const ServerId id = "s" + std::to_string(machines_.size() + 100);
+  EndpointId add(Time started) {
+    const EndpointId id = "s" + std::to_string(machines_.size() + 100);
     Machine& machine = machines_[id];
     machine.told = {.id = id, .started = started};
     machine.cold_from = started;
     machine.free.assign(2, 0);
     return id;
   }
-  void tell_all(const ModelServer& server) {
+  void tell_all(const Endpoint& server) {
     for (auto& instance : instances_) {
       at(now_ + std::uniform_int_distribution<Time>(100, play_.told_within)(chance_),
          [this, one = instance.get(), server] {
            one->known[server.id] = server.started;
-           one->router->roster(now_, RosterForm::changes, {server});
+           one->router->endpoints_updated(now_, EndpointListForm::delta, {server});
          });
     }
   }
   void plan_release() {
     const int count = static_cast<int>(play_.replaced * play_.servers);
-    std::vector<ServerId> old;
+    std::vector<EndpointId> old;
     for (const auto& [id, machine] : machines_) old.push_back(id);
     constexpr int steps = 3;
     for (int step = 0; step < steps; ++step) {
       const Time when = start_ + play_.release + step * play_.over / steps;
       for (int i = step * count / steps; i < (step + 1) * count / steps; ++i) {
-        const ServerId leaving = old[static_cast<std::size_t>(i)];
+        const EndpointId leaving = old[static_cast<std::size_t>(i)];
         at(when, [this] { tell_all(machines_.at(add(now_)).told); });
         at(when + second, [this, leaving] {
-          machines_.at(leaving).told.condition = Condition::leaving;
+          machines_.at(leaving).told.state = EndpointState::draining;
           tell_all(machines_.at(leaving).told);
         });
       }
     }
   }
-  void start(Instance& instance, const std::vector<ModelServer>& list) {
-    deployment_.me = instance.me;
+  void start(Instance& instance, const std::vector<Endpoint>& list) {
+    deployment_.router_number = instance.me;
     const auto seed = play_.seed * 1'000U + static_cast<std::uint32_t>(instance.me + 100'000 * instance.life);
-    instance.router = make_router(deployment_, seed, instance);
-    instance.router->roster(now_, RosterForm::complete, list);
-    for (const ModelServer& server : list) instance.known[server.id] = server.started;
+    instance.router = make_routing_policy(deployment_, seed, instance);
+    instance.router->endpoints_updated(now_, EndpointListForm::snapshot, list);
+    for (const Endpoint& server : list) instance.known[server.id] = server.started;
   }
   // Servers whose process dies and is back at once, cold; the routers hear of it one after the other.
   void plan_crashes() {
@@ -256,7 +258,7 @@
         Instance& instance = *instances_[static_cast<std::size_t>(i * 2 % play_.routers)];
         ++instance.life;
         instance.open.clear(), instance.legs.clear();
-        std::vector<ModelServer> list;
+        std::vector<Endpoint> list;
         for (const auto& [id, machine] : machines_) list.push_back(machine.told);
         start(instance, list);
       });
@@ -270,14 +272,14 @@
   void request(Instance& instance) {
     const double u = std::uniform_real_distribution<double>(0, 1)(chance_);
     const int function = static_cast<int>(std::pow(1 - u, -1 / 0.35));  // few are hot, many are rare
-    const EventId id = ++instance.last;
+    const RequestId id = ++instance.last;
     const std::string name = "f" + std::to_string(std::min(function, 400));
     instance.functions[id] = name;
-    instance.router->event(now_, {.id = id,
-                                  .traffic_type = "lookup",
-                                  .function = name,
-                                  .left = 10 * play_.due / 3,
-                                  .load_time = second / 2});
+    instance.router->request_received(now_, {.id = id,
+                                             .request_class = "lookup",
+                                             .function = name,
+                                             .time_left = 10 * play_.due / 3,
+                                             .load_time = second / 2});
   }
   void next_event(std::size_t router) {
     const double load = now_ - start_ < play_.release ? play_.load : play_.later_load;
@@ -296,19 +298,19 @@
     return std::min(1.0,
                     play_.cold_share + (1 - play_.cold_share) * age / static_cast<double>(play_.cold_span));
   }
-  void arrive(Instance& from, EventId event, int leg, const ServerId& id) {
+  void arrive(Instance& from, RequestId event, int leg, const EndpointId& id) {
     if (!from.open.contains({event, leg})) return;
     Machine& machine = machines_.at(id);
     const Time sent = now_ - 5;
     count(machine, from.knows(id, machine));
     while (!machine.ends.empty() && machine.ends.front() <= now_) machine.ends.pop_front();
-    if (machine.told.condition != Condition::active || machine.ends.size() >= 18)
-      return from.finish(event, leg, id, Ending::turned_away, Warmth::untold, sent);
+    if (machine.told.state != EndpointState::active || machine.ends.size() >= 18)
+      return from.finish(event, leg, id, AttemptOutcome::overloaded, CopyState::unknown, sent);
     if (std::uniform_real_distribution<double>(0, 1)(chance_) < play_.failing)
-      return from.finish(event, leg, id, Ending::error, Warmth::untold, sent);
+      return from.finish(event, leg, id, AttemptOutcome::error, CopyState::unknown, sent);
     const FunctionId copy = play_.miss_answers ? from.functions[event] : "any";
     if (play_.miss_answers && !machine.copies.contains(copy) && machine.told.started != 0)
-      return from.finish(event, leg, id, Ending::not_stored, Warmth::untold, sent);
+      return from.finish(event, leg, id, AttemptOutcome::function_missing, CopyState::unknown, sent);
     const double pace = play_.cores / 2 * share(machine);
     const double work = std::exponential_distribution<double>(1 / static_cast<double>(play_.work))(chance_);
     const auto worker = std::ranges::min_element(machine.free);
@@ -318,11 +320,11 @@
     note_use(machine, work / play_.cores);
     const Time done = *worker;
     machine.ends.insert(std::ranges::upper_bound(machine.ends, done), done);
-    const Warmth warmth = fresh ? Warmth::began_load : Warmth::found;
+    const CopyState warmth = fresh ? CopyState::load_started : CopyState::loaded;
     at(done, [&from, &machine, life = machine.life, event, leg, id, warmth, sent] {
       const bool lost = life != machine.life;
-      from.finish(event, leg, id, lost ? Ending::connection_lost : Ending::honoured,
-                  lost ? Warmth::untold : warmth, sent);
+      from.finish(event, leg, id, lost ? AttemptOutcome::connection_lost : AttemptOutcome::succeeded,
+                  lost ? CopyState::unknown : warmth, sent);
     });
   }
   // Work of the last second or so, of what the cores can do warm.
@@ -331,7 +333,7 @@
         machine.busy * std::exp(-static_cast<double>(now_ - machine.busy_at) / second) + work / second;
     machine.busy_at = now_;
   }
-  double use(const ServerId& id) {
+  double use(const EndpointId& id) {
     Machine& machine = machines_.at(id);
     note_use(machine, 0);
     return std::min(1.0, machine.busy);
@@ -375,12 +377,12 @@
   std::string worst_told_;
   int honoured_ = 0, taken_ = 0;
   std::mt19937_64 chance_;
-  Deployment deployment_;
+  RoutingConfiguration deployment_;
   const Time start_ = 100 * second;
   Time now_ = start_;
   std::uint64_t number_ = 0;
   std::priority_queue<Task> queue_;
-  std::map<ServerId, Machine> machines_;
+  std::map<EndpointId, Machine> machines_;
   std::vector<double> rates_;
   std::vector<std::unique_ptr<Instance>> instances_;
 };
