--- a/tests/decide_test.cpp
+++ b/tests/routing/routing_policy_test.cpp
@@ -12,7 +12,7 @@
   Story story;
   story.start(6);
   story.others(200);
-  const ServerId home = story.honour("f");
+  const EndpointId home = story.honour("f");
   for (int i = 0; i < 5; ++i) {
     story.others(20);
     EXPECT_EQ(story.honour("f"), home);
@@ -22,7 +22,7 @@
 TEST(Index, HotFunctionSpreadsBeyondItsLanes) {
   Story story;
   story.start(6);
-  std::set<ServerId> used;
+  std::set<EndpointId> used;
   for (int i = 0; i < 12; ++i) used.insert(story.server_of(story.event("f")));
   EXPECT_GE(used.size(), 3U);
 }
@@ -32,18 +32,18 @@
   story.start(20);
   story.others(300);
   story.honour("f");
-  std::set<ServerId> used;
+  std::set<EndpointId> used;
   for (int i = 0; i < 30; ++i) used.insert(story.server_of(story.event("f")));
   EXPECT_LE(used.size(), 8U);
 }
 
 // A hundred routers that each see little: all would send a hot function to its first home.
 TEST(Index, HotFunctionHasTheSameHomesAtEveryRouter) {
-  std::map<ServerId, int> used;
+  std::map<EndpointId, int> used;
   for (int me = 0; me < 100; ++me) {
     Story story;
     story.deployment.routers = 100;
-    story.deployment.me = me;
+    story.deployment.router_number = me;
     story.seed = static_cast<std::uint64_t>(me);
     story.start(20);
     story.others(100);
@@ -59,7 +59,7 @@
 TEST(Index, BusyServerIsHomeToFewerFunctions) {
   Story story;
   story.deployment.tells_warm = false;
-  story.deployment.traffic_types[0].due = 3 * second;
+  story.deployment.request_classes[0].latency_objective = 3 * second;
   story.start(10);
   const auto homes = [&](const char* prefix) {
     int count = 0;
@@ -69,14 +69,14 @@
   };
   const int before = homes("f");
   for (int i = 0; i < 100; ++i) {
-    const EventId id = story.event("g" + std::to_string(i));
+    const RequestId id = story.event("g" + std::to_string(i));
     story.pass(second);
-    const ServerId server = story.server_of(id);
-    story.router->shot_ended(story.now, {.event = id,
-                                         .server = server,
-                                         .final = true,
-                                         .taken = second,
-                                         .report = {{"util", server == "a" ? 1.0 : 0.4}}});
+    const EndpointId server = story.server_of(id);
+    story.router->attempt_ended(story.now, {.request = id,
+                                            .endpoint = server,
+                                            .final = true,
+                                            .taken = second,
+                                            .report = {{"util", server == "a" ? 1.0 : 0.4}}});
   }
   const int after = homes("h");
   EXPECT_GE(before, 8);
@@ -86,7 +86,7 @@
 TEST(Index, RoutersShareHomesWithoutAWord) {
   Story one;
   Story other;
-  other.deployment.me = 1;
+  other.deployment.router_number = 1;
   other.seed = 8;
   one.start(9);
   other.start(9);
@@ -98,9 +98,9 @@
     Story story;
     story.deployment.keep_alive = 60 * second;
     story.start(6);
-    const ServerId home = story.honour(function);
-    story.change({.id = home, .condition = Condition::leaving});
-    const ServerId other = story.honour(function);
+    const EndpointId home = story.honour(function);
+    story.change({.id = home, .state = EndpointState::draining});
+    const EndpointId other = story.honour(function);
     story.change({.id = home, .started = story.now - 20 * second});
     story.pass(25 * second);  // no longer hot: only entries count
     EXPECT_EQ(story.server_of(story.event(function)), other);
@@ -111,14 +111,14 @@
   Story story;
   story.deployment.miss_answers = true;
   story.start(6);
-  const EventId id = story.event("f");
-  const ServerId server = story.server_of(id);
-  story.end(id, Ending::not_stored, Warmth::untold);
+  const RequestId id = story.event("f");
+  const EndpointId server = story.server_of(id);
+  story.end(id, AttemptOutcome::function_missing, CopyState::unknown);
   ASSERT_EQ(story.host.orders.size(), 1U);
   EXPECT_EQ(story.host.orders[0].first, server);
   EXPECT_EQ(story.shots_of(id), 1);
   story.pass(second / 4);
-  story.router->order_ended(story.now, {.server = server, .function = "f", .copies = 1});
+  story.router->prewarm_ended(story.now, {.endpoint = server, .function = "f", .copies = 1});
   EXPECT_EQ(story.shots_of(id), 2);
   EXPECT_EQ(story.server_of(id), server);
 }
@@ -126,10 +126,10 @@
 TEST(Rule1, UnansweredEventIsFinishedOnceBeforeItsClientLeaves) {
   Story story;
   story.start(1);
-  const EventId id = story.event("f", second);
+  const RequestId id = story.event("f", second);
   story.pass(second - story.deployment.tick);
   EXPECT_EQ(story.finals(), 1U);
-  story.end(id, Ending::no_answer);
+  story.end(id, AttemptOutcome::unanswered);
   story.pass(5 * second);
   EXPECT_EQ(story.finals(), 1U);
   EXPECT_EQ(story.shots_of(id), 1);
@@ -145,12 +145,12 @@
 
 TEST(Rule2, AtMostOnceGoesAgainOnlyWhenItNeverRan) {
   Story story;
-  story.deployment.traffic_types[0].effect = Effect::at_most_once;
+  story.deployment.request_classes[0].retry_safety = RetrySafety::at_most_once;
   story.start(4);
-  const EventId refused = story.event("f");
-  story.end(refused, Ending::turned_away);
+  const RequestId refused = story.event("f");
+  story.end(refused, AttemptOutcome::overloaded);
   EXPECT_EQ(story.shots_of(refused), 2);
-  story.end(refused, Ending::error);
+  story.end(refused, AttemptOutcome::error);
   EXPECT_EQ(story.shots_of(refused), 2);
   EXPECT_TRUE(story.host.sheds.empty());
   EXPECT_EQ(story.host.abandoned.size(), 1U);
@@ -158,20 +158,20 @@
 
 TEST(Rule2, NumberedStaysInItsGroupAndSpan) {
   Story story;
-  TrafficType& type = story.deployment.traffic_types[0];
-  type.effect = Effect::numbered;
-  type.group = Group::location;
-  type.memory_span = second / 2;
+  RequestClass& type = story.deployment.request_classes[0];
+  type.retry_safety = RetrySafety::keyed;
+  type.deduplication_scope = DeduplicationScope::location;
+  type.deduplication_span = second / 2;
   story.start(0);
   for (const char* id : {"a", "b", "c", "d"})
     story.change({.id = id, .location = id[0] < 'c' ? "left" : "right"});
-  const EventId id = story.event("f");
+  const RequestId id = story.event("f");
   const bool left = story.server_of(id) < "c";
-  story.end(id, Ending::connection_lost);
+  story.end(id, AttemptOutcome::connection_lost);
   ASSERT_EQ(story.shots_of(id), 2);
   EXPECT_EQ(story.server_of(id) < "c", left);
   story.pass(second);
-  story.end(id, Ending::connection_lost);
+  story.end(id, AttemptOutcome::connection_lost);
   EXPECT_EQ(story.shots_of(id), 2);
   EXPECT_EQ(story.host.abandoned.size(), 1U);
 }
@@ -179,20 +179,20 @@
 TEST(Rule2, NoSecondCopyWhereNotPermitted) {
   Story story;
   story.start(4);
-  const EventId id = story.event("f", 6 * second);
+  const RequestId id = story.event("f", 6 * second);
   story.pass(4 * second);
   EXPECT_EQ(story.shots_of(id), 1);
   EXPECT_FALSE(story.host.called_off.empty());
-  story.end(id, Ending::called_off);
+  story.end(id, AttemptOutcome::cancelled);
   EXPECT_EQ(story.shots_of(id), 2);
 }
 
 TEST(Rule3, DrainingServerGetsNothing) {
   Story story;
   story.start(3);
-  const ServerId home = story.honour("f");
+  const EndpointId home = story.honour("f");
   const int before = story.shots_at(home);
-  story.change({.id = home, .condition = Condition::leaving});
+  story.change({.id = home, .state = EndpointState::draining});
   for (int i = 0; i < 10; ++i) story.honour("f");
   EXPECT_EQ(story.shots_at(home), before);
 }
@@ -202,7 +202,7 @@
   story.start(1);
   for (int i = 0; i < 50; ++i) story.honour("f");  // ten events a second, a tenth of a second each
   story.change({.id = "b", .started = story.now});
-  story.change({.id = "a", .condition = Condition::leaving});
+  story.change({.id = "a", .state = EndpointState::draining});
   for (int i = 0; i < 40; ++i) story.event("g", second);
   // Twice a fifth of what a warm server bore, over one second: four events, less the margin.
   EXPECT_GE(story.shots_at("b"), 3);
@@ -215,9 +215,9 @@
   story.deployment.probing = story.deployment.peers = true;
   story.start(1);
   for (int i = 0; i < 50; ++i) story.honour("f");
-  for (int i = 0; i < 50; ++i) story.router->told(story.now, 1, "a u25");
+  for (int i = 0; i < 50; ++i) story.router->gossip_received(story.now, 1, "a u25");
   story.change({.id = "b", .started = story.now});
-  story.change({.id = "a", .condition = Condition::leaving});
+  story.change({.id = "a", .state = EndpointState::draining});
   for (int i = 0; i < 40; ++i) story.event("g", second);
   EXPECT_GE(story.shots_at("b"), 6) << "twice as many: a quarter busy, half of the fleet is kept as a margin";
   EXPECT_LE(story.shots_at("b"), 8);
@@ -229,7 +229,7 @@
   for (int me = 0; me < 100; ++me) {
     Story story;
     story.deployment.routers = 100;
-    story.deployment.me = me;
+    story.deployment.router_number = me;
     story.seed = static_cast<std::uint64_t>(me);
     story.last = 1000 * me;
     story.start(4);
@@ -248,16 +248,16 @@
   story.deployment.peers = true;
   story.start(2);
   for (int i = 0; i < 50; ++i) story.honour("f");
-  story.router->told(story.now, 1, "a");
+  story.router->gossip_received(story.now, 1, "a");
   const int before = story.shots_at("a");
   for (int i = 0; i < 20; ++i) story.event("f");
   EXPECT_LE(story.shots_at("a") - before, 4);
   // Of one that has answered just now, only all of its connections in a row tell.
-  const EventId first = story.event("f"), next = story.event("f"), last = story.event("f");
+  const RequestId first = story.event("f"), next = story.event("f"), last = story.event("f");
   ASSERT_EQ(story.server_of(last), "b");
-  story.end(first, Ending::connection_lost);
-  story.end(next, Ending::connection_lost);
-  story.end(last, Ending::connection_lost);
+  story.end(first, AttemptOutcome::connection_lost);
+  story.end(next, AttemptOutcome::connection_lost);
+  story.end(last, AttemptOutcome::connection_lost);
   EXPECT_EQ(story.host.told, (std::vector<std::string>{"b c", "b c", "b"}));
 }
 
@@ -267,7 +267,7 @@
   story.start(1);
   story.honour("f");
   story.pass(2 * second);
-  story.end(story.event("f"), Ending::no_connection, Warmth::untold, 1);
+  story.end(story.event("f"), AttemptOutcome::connect_failed, CopyState::unknown, 1);
   EXPECT_EQ(story.host.told, std::vector<std::string>{"a"});
 }
 
@@ -277,7 +277,7 @@
   for (int i = 0; i < 50; ++i) story.honour("f");
   story.pass(2 * second);
   const int before = story.shots_at("a");
-  story.end(story.event("f"), Ending::connection_lost);
+  story.end(story.event("f"), AttemptOutcome::connection_lost);
   for (int i = 0; i < 20; ++i) story.event("f");
   EXPECT_LE(story.shots_at("a") - before, 1 + 4);
 }
@@ -295,13 +295,13 @@
     for (int i = 0; i < 20; ++i) story.event("f");
     return story.shots_at("a") - before;
   };
-  story.router->told(story.now, 1, "a c");
+  story.router->gossip_received(story.now, 1, "a c");
   story.pass(2 * second);
-  story.router->told(story.now, 1, "a c");
-  story.end(story.event("f"), Ending::connection_lost);
+  story.router->gossip_received(story.now, 1, "a c");
+  story.end(story.event("f"), AttemptOutcome::connection_lost);
   EXPECT_EQ(story.host.told, std::vector<std::string>{"a c"});
   EXPECT_GE(admitted(), 15) << "two within a second, one long before";
-  story.router->told(story.now, 1, "a c");
+  story.router->gossip_received(story.now, 1, "a c");
   EXPECT_LE(admitted(), 4);
 }
 
@@ -317,10 +317,10 @@
   const auto cut_off = [&] {
     int tried = 0;
     for (int i = 0; i < 12; ++i) {
-      const EventId id = story.event("f" + std::to_string(i % 6));
+      const RequestId id = story.event("f" + std::to_string(i % 6));
       if (story.server_of(id) == "a")
-        ++tried, story.end(id, Ending::no_connection, Warmth::untold, second / 4);
-      story.end(id, Ending::honoured);
+        ++tried, story.end(id, AttemptOutcome::connect_failed, CopyState::unknown, second / 4);
+      story.end(id, AttemptOutcome::succeeded);
       story.pass(second / 100);
     }
     return tried;
@@ -343,14 +343,14 @@
   story.deployment.peers = true;
   story.start(1);
   for (int i = 0; i < 50; ++i) story.honour("f");
-  const EventId out = story.event("f");
+  const RequestId out = story.event("f");
   story.pass(second / 100);
-  story.router->told(story.now, 1, "a");
+  story.router->gossip_received(story.now, 1, "a");
   for (int i = 0; i < 20; ++i) story.event("f");
   const int cold = story.shots_at("a");
   EXPECT_LE(cold, 50 + 1 + 4);
   story.pass(second / 100);
-  story.end(out, Ending::honoured);
+  story.end(out, AttemptOutcome::succeeded);
   for (int i = 0; i < 20; ++i) story.event("f");
   EXPECT_GE(story.shots_at("a"), cold + 10);
 }
@@ -363,13 +363,13 @@
   // From now on what is shot at "a" is turned away, what is shot elsewhere honoured.
   const auto events = [&](int count) {
     for (int i = 0; i < count; ++i) {
-      const EventId id = story.event("f" + std::to_string(i % 9));
+      const RequestId id = story.event("f" + std::to_string(i % 9));
       for (int shots = 0; story.server_of(id) == "a" && story.shots_of(id) > shots;) {
         shots = story.shots_of(id);
-        story.end(id, Ending::turned_away, Warmth::untold);
+        story.end(id, AttemptOutcome::overloaded, CopyState::unknown);
       }
       story.pass(second / 100);
-      if (story.server_of(id) != "a") story.end(id, Ending::honoured);
+      if (story.server_of(id) != "a") story.end(id, AttemptOutcome::succeeded);
     }
   };
   int tried = story.shots_at("a");
@@ -390,9 +390,9 @@
   for (int i = 0; i < 200; ++i) {
     story.honour("f" + std::to_string(i % 7), "", second / 20);
     if (i % 5 != 4) continue;
-    const EventId id = story.event("f1");
-    story.end(id, i % 10 == 4 ? Ending::connection_lost : Ending::no_connection);
-    story.end(id, Ending::honoured);
+    const RequestId id = story.event("f1");
+    story.end(id, i % 10 == 4 ? AttemptOutcome::connection_lost : AttemptOutcome::connect_failed);
+    story.end(id, AttemptOutcome::succeeded);
   }
   EXPECT_EQ(std::ranges::count(story.host.told, "a") + std::ranges::count(story.host.told, "b"), 0);
   EXPECT_TRUE(story.host.sheds.empty());
@@ -406,11 +406,11 @@
   story.start(6);
   const auto misses = [&] {
     for (const char* function : {"f", "g", "h", "i"})
-      story.end(story.event(function), Ending::not_stored, Warmth::untold);
+      story.end(story.event(function), AttemptOutcome::function_missing, CopyState::unknown);
   };
   misses();
   EXPECT_TRUE(story.host.orders.empty());
-  story.router->ration_known(story.now, 2);
+  story.router->load_budget_restored(story.now, 2);
   misses();
   EXPECT_EQ(story.host.orders.size(), 1U);
 }
@@ -418,16 +418,16 @@
 // Seen on three hundred routers: each one's first event of a hot function went to the one place that all
 // knew.
 TEST(Index, WhatIsSeenFirstGoesToSeveralHomesAndWhatIsSeenLateToOne) {
-  std::set<ServerId> at_first, late;
+  std::set<EndpointId> at_first, late;
   for (int me = 0; me < 60; ++me) {
     Story story;
     story.deployment.routers = 60;
-    story.deployment.me = me;
+    story.deployment.router_number = me;
     story.seed = static_cast<std::uint64_t>(me);
     story.start(0);
-    std::vector<ModelServer> list;
+    std::vector<Endpoint> list;
     for (int i = 0; i < 80; ++i) list.push_back({.id = "s" + std::to_string(i)});
-    story.router->roster(story.now, RosterForm::complete, list);
+    story.router->endpoints_updated(story.now, EndpointListForm::snapshot, list);
     at_first.insert(story.honour("hot"));
     for (int i = 0; i < 150; ++i) story.honour("f" + std::to_string(i % 50), "", second / 100);
     late.insert(story.honour("rare"));
@@ -444,7 +444,7 @@
   story.deployment.load_free = 2;
   story.start(6);
   for (const char* function : {"f", "g", "h", "i"}) {
-    story.end(story.event(function), Ending::not_stored, Warmth::untold);
+    story.end(story.event(function), AttemptOutcome::function_missing, CopyState::unknown);
   }
   EXPECT_EQ(story.host.orders.size(), 2U);
 }
@@ -453,7 +453,7 @@
   Story story;
   story.start(4);
   for (int i = 0; i < 60; ++i) story.honour("f");  // a tenth of a second each
-  const EventId hasty = story.event("f", second / 20);
+  const RequestId hasty = story.event("f", second / 20);
   EXPECT_EQ(story.shots_of(hasty), 0);
   EXPECT_EQ(story.host.sheds.size(), 1U);
   EXPECT_EQ(story.shots_of(story.event("f", second / 2)), 1);
@@ -465,9 +465,9 @@
   for (int i = 0; i < 60; ++i) story.honour("f", "", 6 * second / 10);
   EXPECT_TRUE(story.host.sheds.empty());
   for (int i = 0; i < 30; ++i) {
-    const EventId id = story.event("f");
+    const RequestId id = story.event("f");
     story.pass(second / 10);
-    if (story.shots_of(id) > 0) story.end(id, Ending::honoured, Warmth::found, 8 * second / 10);
+    if (story.shots_of(id) > 0) story.end(id, AttemptOutcome::succeeded, CopyState::loaded, 8 * second / 10);
   }
   EXPECT_GE(story.host.sheds.size(), 5U);
   EXPECT_LE(story.host.sheds.size(), 29U);
@@ -482,16 +482,16 @@
   }
   void come(int requests, const std::string& tenant, int for_each_answer) {
     for (int i = 0; i < requests; ++i) {
-      const EventId id = event("f" + std::to_string(i % 6), 3 * second, tenant);
+      const RequestId id = event("f" + std::to_string(i % 6), 3 * second, tenant);
       if (shots_of(id) > 0) queue.push_back({id, now});
       pass(second / 40 / for_each_answer);
       if (i % for_each_answer != 0 || queue.size() < 4) continue;
       const auto [first, sent] = queue.front();
       queue.erase(queue.begin());
-      end(first, Ending::honoured, Warmth::found, now - sent);
+      end(first, AttemptOutcome::succeeded, CopyState::loaded, now - sent);
     }
   }
-  std::vector<std::pair<EventId, Time>> queue;
+  std::vector<std::pair<RequestId, Time>> queue;
 };
 
 TEST(Overload, CrowdIsSeenInWhatIsOutBeforeAnAnswerIsLate) {
@@ -506,11 +506,11 @@
 // What lies beyond a share is worth little, and a queue of it delays the rest.
 TEST(Overload, WhatIsBeyondAShareGivesWayToTheRestInACrowd) {
   Crowd story;
-  story.deployment.traffic_types[0].due = 2 * second;
+  story.deployment.request_classes[0].latency_objective = 2 * second;
   story.deployment.routers = 1;
   story.deployment.over_share_worth = 0.05;
-  story.deployment.customers.push_back({.name = "loud", .share = 0.5, .quota_per_s = 1});
-  story.deployment.customers.push_back({.name = "quiet", .share = 0.5, .quota_per_s = 1000});
+  story.deployment.tenants.push_back({.name = "loud", .share = 0.5, .quota_per_s = 1});
+  story.deployment.tenants.push_back({.name = "quiet", .share = 0.5, .quota_per_s = 1000});
   story.begin();
   story.come(240, "loud", 2);
   EXPECT_LE(story.queue.size(), 20U);
@@ -536,16 +536,16 @@
   Story story;
   story.deployment.routers = 1;
   story.deployment.over_share_worth = 0.05;
-  story.deployment.customers.push_back({.name = "loud", .share = 0.5, .quota_per_s = 0.001});
+  story.deployment.tenants.push_back({.name = "loud", .share = 0.5, .quota_per_s = 0.001});
   story.start(12);
   for (int i = 0; i < 60; ++i) story.honour("f" + std::to_string(i % 6));
   int hung = 0;
   for (int i = 0; i < 2'000 && hung < 12; ++i) {
-    const EventId id = story.event("g" + std::to_string(i), 60 * second);
+    const RequestId id = story.event("g" + std::to_string(i), 60 * second);
     if (story.server_of(id) == "a") {
       ++hung;
     } else if (story.shots_of(id) > 0) {
-      story.end(id, Ending::honoured);
+      story.end(id, AttemptOutcome::succeeded);
     }
   }
   ASSERT_GE(hung, 8);
@@ -558,7 +558,7 @@
 TEST(Overload, PartOfAQuotaUnderOneEventIsNotBeyondIt) {
   Story story;
   story.deployment.routers = 200;
-  story.deployment.customers.push_back({.name = "small", .share = 1, .quota_per_s = 100});
+  story.deployment.tenants.push_back({.name = "small", .share = 1, .quota_per_s = 100});
   story.start(0);
   for (int i = 0; i < 4; ++i) {
     const std::size_t before = story.host.sheds.size();
@@ -585,27 +585,27 @@
   story.start(6);
   story.others(200);
   story.honour("f");
-  const EventId id = story.event("f");
-  const ServerId home = story.server_of(id);
-  story.end(id, Ending::error);
+  const RequestId id = story.event("f");
+  const EndpointId home = story.server_of(id);
+  story.end(id, AttemptOutcome::error);
   EXPECT_EQ(story.shots_of(id), 2);
   EXPECT_NE(story.server_of(id), home);
 }
 
 TEST(Reports, OneRouterProbesEachServerAndTellsTheOthers) {
-  std::map<ServerId, int> probed;
+  std::map<EndpointId, int> probed;
   for (int me = 0; me < 20; ++me) {
     Story story;
     story.deployment.routers = 20;
-    story.deployment.me = me;
+    story.deployment.router_number = me;
     story.deployment.probing = story.deployment.peers = true;
     story.deployment.reports = "probe";
     story.start(10);
     story.now = 3 * second * 1000 - 1;
     story.pass(second);
-    for (const ServerId& server : story.host.probes) ++probed[server];
+    for (const EndpointId& server : story.host.probes) ++probed[server];
     if (story.host.probes.empty()) continue;
-    story.router->probe_ended(story.now, {.server = "a", .report = {{"util", 0.5}}});
+    story.router->probe_ended(story.now, {.endpoint = "a", .report = {{"util", 0.5}}});
     EXPECT_EQ(story.host.told.back(), "a u50");
   }
   EXPECT_EQ(probed.size(), 10U);
@@ -614,20 +614,20 @@
 
 TEST(Health, SilentServerIsLeftByItsEventsAndAvoided) {
   Story story;
-  story.deployment.traffic_types[0].due = 6 * second;
+  story.deployment.request_classes[0].latency_objective = 6 * second;
   story.start(4);
   for (int i = 0; i < 60; ++i) story.honour("f");
-  std::vector<EventId> events;
+  std::vector<RequestId> events;
   for (int i = 0; i < 12; ++i) events.push_back(story.event("f", 8 * second));
-  const ServerId silent = story.server_of(events[0]);
+  const EndpointId silent = story.server_of(events[0]);
   story.pass(second / 10);
-  for (const EventId id : events) {
-    if (story.server_of(id) != silent) story.end(id, Ending::honoured);
+  for (const RequestId id : events) {
+    if (story.server_of(id) != silent) story.end(id, AttemptOutcome::succeeded);
   }
   for (int i = 0; i < 30; ++i) EXPECT_NE(story.honour("f"), silent);
   EXPECT_FALSE(story.host.called_off.empty());
   for (const auto& [id, leg] : story.host.called_off) {
-    story.end(id, Ending::called_off);
+    story.end(id, AttemptOutcome::cancelled);
     EXPECT_NE(story.server_of(id), silent);
   }
 }
--- a/tests/standin/links_test.cpp
+++ b/tests/standin/links_test.cpp
@@ -10,9 +10,9 @@
 
 using transport::Stream;
 
-struct End final : transport::StreamUser {
-  void arrived(std::string_view bytes) override { heard += bytes; }
-  void lost(transport::Loss) override { gone = true; }
+struct End final : transport::StreamHandler {
+  void on_data(std::string_view bytes) override { heard += bytes; }
+  void on_closed(transport::CloseReason) override { gone = true; }
   std::shared_ptr<Stream> stream{};
   std::string heard{};
   bool gone = false;
@@ -22,9 +22,9 @@
 struct LinksStory : testing::Test {
   LinksStory() {
     day.routers = 2;
-    for (auto& place : copies) place = network.hold(transport::numeric_address("127.0.0.1:0"));
+    for (auto& place : copies) place = network.reserve(transport::numeric_address("127.0.0.1:0"));
     listener = std::make_unique<transport::Listener>(
-        network, copies[1]->address(), true, [this](const transport::Arrival& arrival) {
+        network, copies[1]->address(), true, [this](const transport::PendingConnection& arrival) {
           ends.push_back(std::make_unique<End>());
           ends.back()->stream = Stream::adopt(network, arrival, *ends.back());
         });
@@ -46,7 +46,7 @@
 
   Day day;
   emulator::Network network{1};
-  std::array<std::unique_ptr<transport::Place>, 2> copies;
+  std::array<std::unique_ptr<transport::BoundSocket>, 2> copies;
   std::unique_ptr<transport::Listener> listener;
   std::unique_ptr<Links> links;
   End dialler;
--- a/tests/standin/machine_test.cpp
+++ b/tests/standin/machine_test.cpp
@@ -3,31 +3,31 @@
 
 #include <gtest/gtest.h>
 
-#include "core/alarms.h"
+#include "core/timer_queue.h"
 
 namespace rushhill::standin {
 namespace {
 
 constexpr Time second = 10'000;
 
-class HandClock final : public core::Clockwork {
+class HandClock final : public core::TimerService {
  public:
   Time now() const override { return now_; }
-  core::Alarm at(Time when, Call call) override { return alarms_.set(when, std::move(call)); }
-  void withdraw(core::Alarm& alarm) override { alarms_.withdraw(alarm); }
-  void soon(Call call) override { alarms_.set(now_, std::move(call)); }
+  core::Timer at(Time when, Call call) override { return alarms_.add(when, std::move(call)); }
+  void cancel(core::Timer& alarm) override { alarms_.cancel(alarm); }
+  void post(Call call) override { alarms_.add(now_, std::move(call)); }
   void pass(Time span) {
     const Time end = now_ + span;
-    while (alarms_.next() && *alarms_.next() <= end) {
-      now_ = std::max(now_, *alarms_.next());
-      alarms_.ring(now_);
+    while (alarms_.next_deadline() && *alarms_.next_deadline() <= end) {
+      now_ = std::max(now_, *alarms_.next_deadline());
+      alarms_.fire_due(now_);
     }
     now_ = end;
   }
 
  private:
   Time now_ = 100 * second;
-  core::Alarms alarms_;
+  core::TimerQueue alarms_;
 };
 
 class MachineStory : public testing::Test {
@@ -62,8 +62,8 @@
   take(a);
   clock.pass(second);
   ASSERT_EQ(ends.size(), 2U);
-  EXPECT_EQ(ends[0].warmth, Warmth::began_load);
-  EXPECT_EQ(ends[1].warmth, Warmth::found);
+  EXPECT_EQ(ends[0].warmth, CopyState::load_started);
+  EXPECT_EQ(ends[1].warmth, CopyState::loaded);
 }
 
 TEST_F(MachineStory, AnIdleCopyGivesWayAndABusyOneDoesNot) {
--- a/tests/transport/bare_peers_test.cpp
+++ b/tests/transport/bare_peers_test.cpp
@@ -32,16 +32,16 @@
 };
 
 TEST_F(PeersStory, EachIsKnownByItsAddressAndTheFirstOfTwoAlikeCounts) {
-  two->tell(-1, "from two");
-  zero->tell(1, "from nought");
+  two->send(-1, "from two");
+  zero->send(1, "from nought");
   pass();
   EXPECT_EQ(heard, (std::vector<Heard>{{2, "from two"}, {0, "from nought"}}));
 }
 
 TEST_F(PeersStory, StrangersOnesOwnAndWhatIsTooLongAreNotHeard) {
-  stranger->tell(1, "who is that");
-  one->tell(1, "myself");
-  zero->tell(1, std::string(257, 'x'));
+  stranger->send(1, "who is that");
+  one->send(1, "myself");
+  zero->send(1, std::string(257, 'x'));
   pass();
   EXPECT_TRUE(heard.empty());
 }
--- a/tests/transport/server_pool_test.cpp
+++ b/tests/transport/server_pool_test.cpp
@@ -14,22 +14,22 @@
     "HTTP/1.1 200 OK\r\nce-specversion: 1.0\r\nce-id: r\r\nce-source: /s\r\nce-type: t\r\n"
     "rushhill-copy: found\r\ncontent-length: 4\r\n\r\ndata";
 
-struct Ends final : core::Carried {
-  void shot_ended(EventId event, int, core::ShotResult result) override {
+struct Ends final : core::UpstreamObserver {
+  void attempt_ended(RequestId event, int, core::AttemptResult result) override {
     events.push_back(event);
     shots.push_back(std::move(result));
   }
-  void probe_ended(const ServerId&, Ending ending, const LoadReport& told) override {
+  void probe_ended(const EndpointId&, AttemptOutcome ending, const LoadReport& told) override {
     probes.push_back(ending);
     report = told;
   }
-  void order_ended(const ServerId&, const FunctionId&, Ending ending, int standing) override {
+  void prewarm_ended(const EndpointId&, const FunctionId&, AttemptOutcome ending, int standing) override {
     orders.push_back(ending);
     copies = standing;
   }
-  std::vector<EventId> events;
-  std::vector<core::ShotResult> shots;
-  std::vector<Ending> probes, orders;
+  std::vector<RequestId> events;
+  std::vector<core::AttemptResult> shots;
+  std::vector<AttemptOutcome> probes, orders;
   LoadReport report;
   int copies = 0;
 };
@@ -38,16 +38,16 @@
  protected:
   PoolStory() {
     pool.report_to(ends);
-    pool.reach("a", server.address());
+    pool.set_address("a", server.address());
   }
-  void shoot(EventId event = 1) {
+  void shoot(RequestId event = 1) {
     message.id = std::to_string(event);
-    pool.shoot({event, 0, server_id, 10'000, message});
+    pool.send({event, 0, server_id, 10'000, message});
   }
   bool ended(std::size_t count) {
     return pump.until([&] { return ends.shots.size() >= count; });
   }
-  Ending last() const { return ends.shots.back().ending; }
+  AttemptOutcome last() const { return ends.shots.back().outcome; }
 
   Loop reactor;
   Pump pump{reactor};
@@ -56,7 +56,7 @@
   Ends ends;
   ServerPool pool{
       reactor, {.connections = 4, .connect_limit = 3'000, .idle = 100'000, .reply = 64 * 1024}, silent};
-  const ServerId server_id = "a";
+  const EndpointId server_id = "a";
   events::CloudEvent message{.id = "1", .source = "/c", .type = "t", .data = "hello"};
 };
 
@@ -67,12 +67,13 @@
     server.on_bytes = [&](RawPeer& peer) {
       if (!whole(peer.seen)) return;
       peer.stream->write(answer.substr(0, cut));
-      peer.stream->finish();
+      peer.stream->shutdown_write();
     };
     const std::size_t before = ends.shots.size();
     shoot();
     ASSERT_TRUE(ended(before + 1)) << cut;
-    EXPECT_EQ(last(), cut == answer.size() ? Ending::honoured : Ending::connection_lost) << cut;
+    EXPECT_EQ(last(), cut == answer.size() ? AttemptOutcome::succeeded : AttemptOutcome::connection_lost)
+        << cut;
   }
   const std::size_t shots = ends.shots.size();
   pump.pass(500);
@@ -84,12 +85,12 @@
   server.on_bytes = [&](RawPeer& peer) {
     if (whole(peer.seen)) peer.seen.clear(), peer.stream->write(answer);
   };
-  for (EventId event = 1; event <= 3; ++event) {
+  for (RequestId event = 1; event <= 3; ++event) {
     shoot(event);
     ASSERT_TRUE(ended(static_cast<std::size_t>(event)));
-    EXPECT_EQ(last(), Ending::honoured);
+    EXPECT_EQ(last(), AttemptOutcome::succeeded);
     EXPECT_EQ(ends.shots.back().reply.data, "data");
-    EXPECT_EQ(ends.shots.back().warmth, Warmth::found);
+    EXPECT_EQ(ends.shots.back().copy_state, CopyState::loaded);
   }
   EXPECT_EQ(server.peers.size(), 1U);
 }
@@ -105,7 +106,7 @@
   ASSERT_TRUE(ended(1));
   shoot(2);
   ASSERT_TRUE(ended(2));
-  EXPECT_EQ(last(), Ending::connection_lost);
+  EXPECT_EQ(last(), AttemptOutcome::connection_lost);
 }
 
 TEST_F(PoolStory, AKeptConnectionSeenClosedIsNotUsed) {
@@ -117,7 +118,7 @@
   server.peers.front()->stream->close();
   shoot(2);  // the end stands to be read, and nobody has read it yet
   ASSERT_TRUE(ended(2));
-  EXPECT_EQ(last(), Ending::honoured);
+  EXPECT_EQ(last(), AttemptOutcome::succeeded);
   EXPECT_EQ(server.peers.size(), 2U);
 }
 
@@ -130,20 +131,20 @@
   };
   shoot();
   ASSERT_TRUE(pump.until([&] { return first != nullptr; }));
-  pool.drop(1, 0);
+  pool.cancel(1, 0);
   shoot(2);
   ASSERT_TRUE(ended(1));
-  EXPECT_EQ(ends.events, std::vector<EventId>{2});
+  EXPECT_EQ(ends.events, std::vector<RequestId>{2});
   ASSERT_TRUE(pump.until([&] { return first->ended; }));
   pump.pass(300);
   EXPECT_EQ(ends.shots.size(), 1U);
 }
 
 TEST_F(PoolStory, ARefusedConnectionProvesThatNothingRan) {
-  pool.reach("a", "127.0.0.1:1");
+  pool.set_address("a", "127.0.0.1:1");
   shoot();
   ASSERT_TRUE(ended(1));
-  EXPECT_EQ(last(), Ending::no_connection);
+  EXPECT_EQ(last(), AttemptOutcome::connect_failed);
 }
 
 TEST_F(PoolStory, AHandshakeThatNobodyAnswersEndsAfterItsLimit) {
@@ -154,18 +155,18 @@
   std::vector<std::unique_ptr<RawPeer>> fill;
   for (int i = 0; i < 3; ++i) fill.push_back(std::make_unique<RawPeer>(reactor, deaf.address()));
   pump.pass(200);
-  pool.reach("a", deaf.address().toString());
+  pool.set_address("a", deaf.address().toString());
   shoot();
   ASSERT_TRUE(ended(1));
-  EXPECT_EQ(last(), Ending::no_connection);
+  EXPECT_EQ(last(), AttemptOutcome::connect_failed);
 }
 
 TEST_F(PoolStory, BeyondTheCapAShotIsToldAtOnceAndNeverWaits) {
   server.on_bytes = [](RawPeer&) {};
-  for (EventId event = 1; event <= 5; ++event) shoot(event);
+  for (RequestId event = 1; event <= 5; ++event) shoot(event);
   ASSERT_TRUE(ended(1));
-  EXPECT_EQ(ends.events, std::vector<EventId>{5});
-  EXPECT_EQ(last(), Ending::no_connection);
+  EXPECT_EQ(ends.events, std::vector<RequestId>{5});
+  EXPECT_EQ(last(), AttemptOutcome::connect_failed);
   EXPECT_EQ(pool.connections(), 4U);
 }
 
@@ -175,33 +176,33 @@
                  {.connections = 4, .total = 2, .connect_limit = 3'000, .idle = 100'000, .reply = 64 * 1024},
                  silent);
   two.report_to(ends);
-  two.reach("a", server.address());
-  two.reach("b", other.address());
+  two.set_address("a", server.address());
+  two.set_address("b", other.address());
   server.on_bytes = [](RawPeer& peer) {
     if (whole(peer.seen)) peer.stream->write(answer);
   };
-  two.shoot({1, 0, "a", 10'000, message});
+  two.send({1, 0, "a", 10'000, message});
   ASSERT_TRUE(ended(1));
-  for (EventId event = 2; event <= 4; ++event) two.shoot({event, 0, "b", 10'000, message});
+  for (RequestId event = 2; event <= 4; ++event) two.send({event, 0, "b", 10'000, message});
   ASSERT_TRUE(ended(2));
   EXPECT_EQ(ends.events.back(), 4);
-  EXPECT_EQ(last(), Ending::not_sent) << "it says nothing of the server";
+  EXPECT_EQ(last(), AttemptOutcome::not_sent) << "it says nothing of the server";
   EXPECT_EQ(two.connections(), 2U);
   ASSERT_TRUE(pump.until([&] { return server.peers[0]->ended && other.peers.size() == 2; }));
 }
 
 TEST_F(PoolStory, RefusalsAreToldApartAndInDoubtItMayHaveRun) {
-  const std::vector<std::pair<std::string, Ending>> cases{
-      {"503 X\r\nrushhill-never-ran: full", Ending::turned_away},
-      {"503 X\r\nrushhill-never-ran: draining", Ending::turned_away},
-      {"404 X\r\nrushhill-never-ran: not-stored", Ending::not_stored},
-      {"503 X\r\nrushhill-never-ran: load-failed", Ending::not_stored},
-      {"421 X\r\nrushhill-never-ran: misdirected", Ending::no_connection},
-      {"503 X\r\nrushhill-never-ran: who knows", Ending::error},
-      {"503 X", Ending::error},
-      {"500 X", Ending::error},
-      {"302 X\r\nlocation: /", Ending::error},
-      {"200 X\r\nrushhill-never-ran: full", Ending::error}};  // no event, and a 2xx proves nothing
+  const std::vector<std::pair<std::string, AttemptOutcome>> cases{
+      {"503 X\r\nrushhill-never-ran: full", AttemptOutcome::overloaded},
+      {"503 X\r\nrushhill-never-ran: draining", AttemptOutcome::overloaded},
+      {"404 X\r\nrushhill-never-ran: not-stored", AttemptOutcome::function_missing},
+      {"503 X\r\nrushhill-never-ran: load-failed", AttemptOutcome::function_missing},
+      {"421 X\r\nrushhill-never-ran: misdirected", AttemptOutcome::connect_failed},
+      {"503 X\r\nrushhill-never-ran: who knows", AttemptOutcome::error},
+      {"503 X", AttemptOutcome::error},
+      {"500 X", AttemptOutcome::error},
+      {"302 X\r\nlocation: /", AttemptOutcome::error},
+      {"200 X\r\nrushhill-never-ran: full", AttemptOutcome::error}};  // no event, and a 2xx proves nothing
   for (const auto& [head, ending] : cases) {
     server.on_bytes = [&](RawPeer& peer) {
       if (whole(peer.seen))
@@ -225,7 +226,7 @@
     const std::size_t before = ends.shots.size();
     shoot();
     ASSERT_TRUE(ended(before + 1));
-    EXPECT_EQ(last(), Ending::error);
+    EXPECT_EQ(last(), AttemptOutcome::error);
     EXPECT_EQ(pool.connections(), 0U) << bytes.substr(0, 20);
   }
 }
@@ -236,7 +237,7 @@
   };
   shoot();
   ASSERT_TRUE(ended(1));
-  EXPECT_EQ(last(), Ending::honoured);
+  EXPECT_EQ(last(), AttemptOutcome::succeeded);
   EXPECT_EQ(pool.connections(), 0U);
 }
 
@@ -248,7 +249,7 @@
   server.on_bytes = other.on_bytes = reply;
   shoot();
   ASSERT_TRUE(ended(1));
-  pool.reach("a", other.address());
+  pool.set_address("a", other.address());
   shoot(2);
   ASSERT_TRUE(ended(2));
   EXPECT_EQ(other.peers.size(), 1U);
@@ -256,19 +257,19 @@
 }
 
 TEST_F(PoolStory, AServerOnNoListIsNotReached) {
-  pool.reach("a", "");
+  pool.set_address("a", "");
   shoot();
   ASSERT_TRUE(ended(1));
-  EXPECT_EQ(last(), Ending::no_connection);
+  EXPECT_EQ(last(), AttemptOutcome::connect_failed);
   EXPECT_TRUE(server.peers.empty());
 }
 
 TEST_F(PoolStory, ProbesAndOrdersEndOnceAlsoWhereNobodyAnswers) {
   pool.probe("a", 500);
-  pool.order("a", "ward/1", 2, 500);
+  pool.prewarm("a", "ward/1", 2, 500);
   ASSERT_TRUE(pump.until([&] { return !ends.probes.empty() && !ends.orders.empty(); }));
-  EXPECT_EQ(ends.probes, std::vector<Ending>{Ending::no_answer});
-  EXPECT_EQ(ends.orders, std::vector<Ending>{Ending::no_answer});
+  EXPECT_EQ(ends.probes, std::vector<AttemptOutcome>{AttemptOutcome::unanswered});
+  EXPECT_EQ(ends.orders, std::vector<AttemptOutcome>{AttemptOutcome::unanswered});
   bool named = false;
   for (const auto& peer : server.peers)
     named |= peer->seen.find("/v2/repository/models/ward%2F1/load") != std::string::npos;
@@ -279,7 +280,7 @@
   server.on_bytes = [&](RawPeer& peer) {
     peer.stream->write("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
   };
-  pool.unload("a", "f");
+  pool.evict("a", "f");
   ASSERT_TRUE(pump.until([&] { return !server.peers.empty() && !server.peers.front()->seen.empty(); }));
   EXPECT_TRUE(server.peers.front()->seen.starts_with("POST /v2/repository/models/f/unload "));
   // The connection is idle once the answer has come.
@@ -294,7 +295,7 @@
   server.on_bytes = [&](RawPeer& peer) {
     peer.stream->write("HTTP/1.1 200 OK\r\ncontent-length: 25\r\n\r\n[{\"name\":\"f\",\"copies\":2}]");
   };
-  pool.order("a", "f", 0, 50'000);
+  pool.prewarm("a", "f", 0, 50'000);
   ASSERT_TRUE(pump.until([&] { return !ends.orders.empty(); }));
   EXPECT_EQ(ends.copies, 2);
   EXPECT_TRUE(server.peers.front()->seen.starts_with("POST /v2/repository/index "));
@@ -304,9 +305,9 @@
   server.on_bytes = [&](RawPeer& peer) {
     peer.stream->write("HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n{\"copies\":3}");
   };
-  pool.order("a", "f", 2, 50'000);
+  pool.prewarm("a", "f", 2, 50'000);
   ASSERT_TRUE(pump.until([&] { return !ends.orders.empty(); }));
-  EXPECT_EQ(ends.orders, std::vector<Ending>{Ending::honoured});
+  EXPECT_EQ(ends.orders, std::vector<AttemptOutcome>{AttemptOutcome::succeeded});
   EXPECT_EQ(ends.copies, 3);
 }
 
--- a/tests/transport/system_calls_test.cpp
+++ b/tests/transport/system_calls_test.cpp
@@ -32,18 +32,18 @@
          (failure.error == 0 ? "short" : strerrorname_np(failure.error));
 }
 
-struct Recorder final : StreamUser {
-  void opened() override { ++times_opened; }
-  void arrived(std::string_view bytes) override { seen += bytes; }
-  void lost(Loss why) override { ways.push_back(why); }
+struct Recorder final : StreamHandler {
+  void on_connected() override { ++times_opened; }
+  void on_data(std::string_view bytes) override { seen += bytes; }
+  void on_closed(CloseReason why) override { ways.push_back(why); }
   int times_opened = 0;
   std::string seen;
-  std::vector<Loss> ways;
+  std::vector<CloseReason> ways;
 };
 
 class SystemCallStory : public testing::Test {
  protected:
-  std::vector<Loss> ways_of_connecting(const SystemCallFailure& failure) {
+  std::vector<CloseReason> ways_of_connecting(const SystemCallFailure& failure) {
     Recorder user;
     system.fail_once(failure, 1);
     const auto stream = Stream::connect(reactor, numeric_address(server.address()), user);
@@ -68,12 +68,13 @@
         FaultySystemCalls system(1);
         Loop reactor(system);
         int came = 0;
-        Listener listener(reactor, numeric_address("127.0.0.1:0"), false, [&](const Arrival&) { ++came; });
-        if (asks_for_room) listener.take_where([] { return true; });
+        Listener listener(reactor, numeric_address("127.0.0.1:0"), false,
+                          [&](const PendingConnection&) { ++came; });
+        if (asks_for_room) listener.accept_while([] { return true; });
         std::vector<std::unique_ptr<Visitor>> standing;
         for (int i = 0; i < callers; ++i) standing.push_back(std::make_unique<Visitor>(listener.address()));
         system.fail_once(failure, callers / 2);
-        listener.take_all();
+        listener.accept_all();
         EXPECT_EQ(came, callers) << named(failure);
       }
     }
@@ -84,22 +85,23 @@
   FaultySystemCalls system(7);
   Loop reactor(system);
   int came = 0;
-  Listener listener(reactor, numeric_address("127.0.0.1:0"), false, [&](const Arrival&) { ++came; });
+  Listener listener(reactor, numeric_address("127.0.0.1:0"), false,
+                    [&](const PendingConnection&) { ++came; });
   std::vector<std::unique_ptr<Visitor>> standing;
   for (int i = 0; i < callers; ++i) standing.push_back(std::make_unique<Visitor>(listener.address()));
   system.fail_at_rate(SystemCall::accept4, 0.5);
-  listener.take_all();
+  listener.accept_all();
   EXPECT_EQ(came, callers);
 }
 
 TEST(TakeAll, AFailureThatLastsEndsIt) {
   FaultySystemCalls system(1);
   Loop reactor(system);
-  Listener listener(reactor, numeric_address("127.0.0.1:0"), false, [](const Arrival&) {});
+  Listener listener(reactor, numeric_address("127.0.0.1:0"), false, [](const PendingConnection&) {});
   const Visitor standing(listener.address());
   for (const SystemCallFailure& failure : failures_of(SystemCall::accept4)) {
     system.fail_always(failure);
-    listener.take_all();
+    listener.accept_all();
   }
 }
 
@@ -123,8 +125,8 @@
     system.fail_always(failure);
     RawServer late(reactor);
     int heard = 0;
-    Datagrams datagrams(reactor, numeric_address("127.0.0.1:0"),
-                        [&](const Address&, std::string_view) { ++heard; });
+    DatagramEndpoint datagrams(reactor, numeric_address("127.0.0.1:0"),
+                               [&](const Address&, std::string_view) { ++heard; });
     Recorder user;
     const auto stream = Stream::connect(reactor, numeric_address(late.address()), user);
     const std::uint64_t before = system.calls();
@@ -148,23 +150,23 @@
   const SystemCallFailure refused{.call = SystemCall::epoll_ctl, .error = ENOMEM};
 
   system.fail_once(refused, 1);
-  peer.stream->read(false);
+  peer.stream->set_reading(false);
   visitor.send("once");
   std::uint64_t before = system.calls();
   pump.pass(looked_at_for);
   EXPECT_LT(system.calls() - before, calls_at_rest / 4);
-  peer.stream->read(true);
+  peer.stream->set_reading(true);
   ASSERT_TRUE(pump.until([&] { return peer.seen == "once"; }));
 
   system.fail_always(refused);
-  peer.stream->read(false);
+  peer.stream->set_reading(false);
   visitor.send("always");
   before = system.calls();
   pump.pass(looked_at_for);
   EXPECT_LT(system.calls() - before, 2 * calls_at_rest);
   EXPECT_EQ(peer.seen, "once");
   system.heal();
-  peer.stream->read(true);
+  peer.stream->set_reading(true);
   EXPECT_TRUE(pump.until([&] { return peer.seen == "oncealways"; }));
 }
 
@@ -187,29 +189,30 @@
 TEST_F(SystemCallStory, AFailureOfThisMachineAtConnectingIsNeverBegunAndTheOthersAreThePeers) {
   for (const SystemCall call : {SystemCall::socket, SystemCall::connect, SystemCall::connect_outcome}) {
     for (const SystemCallFailure& failure : failures_of(call)) {
-      const std::vector<Loss> ways = ways_of_connecting(failure);
+      const std::vector<CloseReason> ways = ways_of_connecting(failure);
       if (failure.error == EINTR) {
         EXPECT_TRUE(ways.empty()) << "a connection goes on being set up, " << named(failure);
       } else {
-        EXPECT_EQ(ways, std::vector{failure.accuses_peer ? Loss::refused : Loss::not_begun})
+        EXPECT_EQ(ways,
+                  std::vector{failure.accuses_peer ? CloseReason::connect_failed : CloseReason::not_started})
             << named(failure);
       }
     }
   }
   for (const SystemCallFailure& failure : failures_of(SystemCall::getsockopt))
-    EXPECT_EQ(ways_of_connecting(failure), std::vector{Loss::not_begun}) << named(failure);
+    EXPECT_EQ(ways_of_connecting(failure), std::vector{CloseReason::not_started}) << named(failure);
   for (const SystemCallFailure& failure : failures_of(SystemCall::setsockopt))
-    EXPECT_EQ(ways_of_connecting(failure), std::vector<Loss>{}) << named(failure);
+    EXPECT_EQ(ways_of_connecting(failure), std::vector<CloseReason>{}) << named(failure);
 }
 
 // Whoever hears of it tries again at once, without end.
 TEST_F(SystemCallStory, ConnectingAgainAndAgainWithoutADescriptorDoesNotSpin) {
-  struct Persistent final : StreamUser {
+  struct Persistent final : StreamHandler {
     explicit Persistent(Loop& of) : loop(of) { connect(); }
     void connect() { stream = Stream::connect(loop, numeric_address("127.0.0.1:9"), *this); }
-    void arrived(std::string_view) override {}
-    void lost(Loss) override {
-      loop.soon([this] { connect(); });
+    void on_data(std::string_view) override {}
+    void on_closed(CloseReason) override {
+      loop.post([this] { connect(); });
     }
     Loop& loop;
     std::shared_ptr<Stream> stream;
@@ -235,7 +238,7 @@
       stream->write("ask");
       server.peers.back()->stream->write("answer");
       EXPECT_TRUE(pump.until([&] { return !user.ways.empty(); })) << named(failure);
-      EXPECT_EQ(user.ways, std::vector{Loss::broken}) << named(failure);
+      EXPECT_EQ(user.ways, std::vector{CloseReason::reset}) << named(failure);
       stream->close();
     }
   }
@@ -308,22 +311,22 @@
   const Visitor visitor(numeric_address(server.address()));
   ASSERT_TRUE(pump.until([&] { return server.peers.size() == 1; }));
   Stream& stream = *server.peers.front()->stream;
-  EXPECT_EQ(stream.ahead(), Stream::Ahead::nothing);
+  EXPECT_EQ(stream.peek(), Stream::Peeked::nothing);
   system.fail_once({.call = SystemCall::recv, .error = EINTR}, 1);
-  EXPECT_EQ(stream.ahead(), Stream::Ahead::nothing);
+  EXPECT_EQ(stream.peek(), Stream::Peeked::nothing);
   visitor.send("x");
   for (const SystemCallFailure& failure : failures_of(SystemCall::recv)) {
     if (failure.breaks_connection) continue;
     system.fail_once(failure, 1);
-    EXPECT_EQ(stream.ahead(), Stream::Ahead::bytes) << named(failure);
+    EXPECT_EQ(stream.peek(), Stream::Peeked::bytes) << named(failure);
   }
 }
 
 TEST_F(SystemCallStory, ADatagramThatFailsLeavesTheRestToBeHeardInTheSameIteration) {
   int turn = 0;
   std::vector<int> heard_in;
-  Datagrams datagrams(reactor, numeric_address("127.0.0.1:0"),
-                      [&](const Address&, std::string_view) { heard_in.push_back(turn); });
+  DatagramEndpoint datagrams(reactor, numeric_address("127.0.0.1:0"),
+                             [&](const Address&, std::string_view) { heard_in.push_back(turn); });
   reactor.every_turn([&] { ++turn; });
   Poco::Net::DatagramSocket sender(numeric_address("127.0.0.1:0"));
   for (const SystemCallFailure& failure : failures_of(SystemCall::recvfrom)) {
@@ -337,8 +340,8 @@
 
 TEST_F(SystemCallStory, NoLastingFailureOfHearingSpins) {
   int heard = 0;
-  Datagrams datagrams(reactor, numeric_address("127.0.0.1:0"),
-                      [&](const Address&, std::string_view) { ++heard; });
+  DatagramEndpoint datagrams(reactor, numeric_address("127.0.0.1:0"),
+                             [&](const Address&, std::string_view) { ++heard; });
   Poco::Net::DatagramSocket sender(numeric_address("127.0.0.1:0"));
   for (const SystemCallFailure& failure : failures_of(SystemCall::recvfrom)) {
     heard = 0;
@@ -359,10 +362,10 @@
   std::uint64_t dropped = 0;
   for (const SystemCallFailure& failure : failures_of(SystemCall::sendto)) {
     system.fail_once(failure, 1);
-    links.tell(1, "box");
+    links.send(1, "box");
     EXPECT_EQ(links.dropped(), ++dropped) << named(failure);
   }
-  links.tell(1, "box");
+  links.send(1, "box");
   EXPECT_EQ(links.dropped(), dropped);
 }
 
--- a/tests/transport/transport_test.cpp
+++ b/tests/transport/transport_test.cpp
@@ -1,4 +1,4 @@
-// Alarms, datagrams between routers, and what a stream does when its peer does not read.
+// Timers, datagrams between routers, and what a stream does when its peer does not read.
 #include <Poco/Net/DatagramSocket.h>
 #include <Poco/Net/ServerSocket.h>
 #include <Poco/Net/StreamSocket.h>
@@ -13,7 +13,7 @@
 #include <cerrno>
 #include <cstddef>
 
-#include "core/alarms.h"
+#include "core/timer_queue.h"
 #include "loopback.h"
 #include "transport/loop.h"
 #include "transport/peer_links.h"
@@ -21,50 +21,50 @@
 namespace rushhill::transport {
 namespace {
 
-TEST(Alarms, RingInTheirOrderAndWithdrawnOnesNever) {
-  core::Alarms alarms;
+TEST(TimerQueue, RingInTheirOrderAndWithdrawnOnesNever) {
+  core::TimerQueue alarms;
   std::string rung;
-  alarms.set(20, [&] { rung += 'c'; });
-  alarms.set(10, [&] { rung += 'a'; });
-  core::Alarm gone = alarms.set(10, [&] { rung += 'x'; });
-  alarms.set(10, [&] {
+  alarms.add(20, [&] { rung += 'c'; });
+  alarms.add(10, [&] { rung += 'a'; });
+  core::Timer gone = alarms.add(10, [&] { rung += 'x'; });
+  alarms.add(10, [&] {
     rung += 'b';
-    alarms.set(5, [&] { rung += '!'; });  // due already
+    alarms.add(5, [&] { rung += '!'; });  // due already
   });
-  alarms.withdraw(gone);
-  alarms.withdraw(gone);
-  alarms.ring(15);
+  alarms.cancel(gone);
+  alarms.cancel(gone);
+  alarms.fire_due(15);
   EXPECT_EQ(rung, "ab!");
-  EXPECT_EQ(alarms.next(), 20);
+  EXPECT_EQ(alarms.next_deadline(), 20);
 }
 
-TEST(Alarms, AHundredThousandRingInTheirOrderWithoutTheWithdrawn) {
-  core::Alarms alarms;
-  std::vector<core::Alarm> set;
+TEST(TimerQueue, AHundredThousandRingInTheirOrderWithoutTheWithdrawn) {
+  core::TimerQueue alarms;
+  std::vector<core::Timer> set;
   Time last = 0;
   int rung = 0;
   for (int i = 0; i < 100'000; ++i) {
     const Time when = 1 + (i * 7'919) % 100'003;
-    set.push_back(alarms.set(when, [&, when] {
+    set.push_back(alarms.add(when, [&, when] {
       EXPECT_LE(last, when);
       last = when;
       ++rung;
     }));
   }
-  for (std::size_t i = 0; i < set.size(); i += 2) alarms.withdraw(set[i]);
-  for (Time now = 0; now <= 100'003; now += 100) alarms.ring(now);
-  alarms.ring(100'003);
+  for (std::size_t i = 0; i < set.size(); i += 2) alarms.cancel(set[i]);
+  for (Time now = 0; now <= 100'003; now += 100) alarms.fire_due(now);
+  alarms.fire_due(100'003);
   EXPECT_EQ(rung, 50'000);
   EXPECT_EQ(alarms.count(), 0U);
 }
 
-TEST(Alarms, AnAlarmMayWithdrawTheOneThatWouldRingNext) {
-  core::Alarms alarms;
+TEST(TimerQueue, AnAlarmMayWithdrawTheOneThatWouldRingNext) {
+  core::TimerQueue alarms;
   bool rung = false;
-  core::Alarm second;
-  alarms.set(1, [&] { alarms.withdraw(second); });
-  second = alarms.set(1, [&] { rung = true; });
-  alarms.ring(1);
+  core::Timer second;
+  alarms.add(1, [&] { alarms.cancel(second); });
+  second = alarms.add(1, [&] { rung = true; });
+  alarms.fire_due(1);
   EXPECT_FALSE(rung);
 }
 
@@ -79,13 +79,13 @@
   Pump pump(reactor);
   std::vector<std::pair<int, std::string>> heard;
   const auto note = [&](int router, const std::string& bytes) { heard.emplace_back(router, bytes); };
-  Datagrams stranger(reactor, numeric_address("127.0.0.1:0"), [](const Address&, std::string_view) {});
+  DatagramEndpoint stranger(reactor, numeric_address("127.0.0.1:0"), [](const Address&, std::string_view) {});
   Poco::Net::DatagramSocket first(numeric_address("127.0.0.1:0")), second(numeric_address("127.0.0.1:0"));
   const std::vector<std::string> addresses{first.address().toString(), second.address().toString()};
   PeerLinks one(reactor, "fd:" + std::to_string(dup(first.impl()->sockfd())), 0, addresses, note);
   PeerLinks two(reactor, "fd:" + std::to_string(dup(second.impl()->sockfd())), 1, addresses, note);
-  two.tell(-1, "box u50");
-  two.tell(0, std::string("with\nfeeds\0and zeros", 20));
+  two.send(-1, "box u50");
+  two.send(0, std::string("with\nfeeds\0and zeros", 20));
   ASSERT_TRUE(pump.until([&] { return heard.size() == 2; }));
   EXPECT_EQ(heard[0], std::pair(1, std::string("box u50")));
   EXPECT_EQ(heard[1].second, std::string("with\nfeeds\0and zeros", 20));
@@ -101,21 +101,21 @@
   Loop reactor;
   Pump pump(reactor);
   RawServer server(reactor);
-  struct User final : StreamUser {
-    void opened() override { stream->write(std::string(8'000'000, 'x')); }
-    void arrived(std::string_view) override {}
-    void drained() override { ++drains; }
-    void lost(Loss) override {}
+  struct User final : StreamHandler {
+    void on_connected() override { stream->write(std::string(8'000'000, 'x')); }
+    void on_data(std::string_view) override {}
+    void on_write_drained() override { ++drains; }
+    void on_closed(CloseReason) override {}
     std::shared_ptr<Stream> stream;
     int drains = 0;
   } user;
   user.stream = Stream::connect(reactor, numeric_address(server.address()), user);
   ASSERT_TRUE(pump.until([&] { return !server.peers.empty(); }));
-  server.peers.front()->stream->read(false);
+  server.peers.front()->stream->set_reading(false);
   pump.pass(500);
-  EXPECT_GT(user.stream->waiting(), 0U);
+  EXPECT_GT(user.stream->pending_bytes(), 0U);
   EXPECT_EQ(user.drains, 0);
-  server.peers.front()->stream->read(true);
+  server.peers.front()->stream->set_reading(true);
   ASSERT_TRUE(pump.until([&] { return user.drains == 1; }));
   ASSERT_TRUE(pump.until([&] { return server.peers.front()->seen.size() == 8'000'000; }));
   user.stream->close();
@@ -214,10 +214,10 @@
 
 int connect_without_a_descriptor() {
   Loop reactor;
-  struct User final : StreamUser {
-    void arrived(std::string_view) override {}
-    void lost(Loss why) override { ways.push_back(why); }
-    std::vector<Loss> ways;
+  struct User final : StreamHandler {
+    void on_data(std::string_view) override {}
+    void on_closed(CloseReason why) override { ways.push_back(why); }
+    std::vector<CloseReason> ways;
   } user;
   if (!no_socket_is_left()) return 1;
   const auto stream = Stream::connect(reactor, numeric_address("127.0.0.1:9"), user);
@@ -225,12 +225,13 @@
   if (!user.ways.empty()) return 2;  // never from within the call
   reactor.at(reactor.now() + looked_at_for, [&] { reactor.halt(); });
   reactor.run();
-  return user.ways == std::vector{Loss::not_begun} && stream->closed() ? as_it_should_be : 3;
+  return user.ways == std::vector{CloseReason::not_started} && stream->closed() ? as_it_should_be : 3;
 }
 int listen_without_a_descriptor() {
   Loop reactor;
   int came = 0, turns = 0;
-  Listener listener(reactor, numeric_address("127.0.0.1:0"), false, [&](const Arrival&) { ++came; });
+  Listener listener(reactor, numeric_address("127.0.0.1:0"), false,
+                    [&](const PendingConnection&) { ++came; });
   Poco::Net::StreamSocket caller(listener.address());
   if (!no_socket_is_left()) return 1;
   reactor.every_turn([&] { ++turns; });
@@ -252,8 +253,9 @@
   Loop reactor;
   Pump pump(reactor);
   int came = 0, room = 2;
-  Listener listener(reactor, numeric_address("127.0.0.1:0"), false, [&](const Arrival&) { ++came; });
-  listener.take_where([&] { return room > 0 && room-- > 0; });
+  Listener listener(reactor, numeric_address("127.0.0.1:0"), false,
+                    [&](const PendingConnection&) { ++came; });
+  listener.accept_while([&] { return room > 0 && room-- > 0; });
   std::vector<Poco::Net::StreamSocket> callers;
   for (int i = 0; i < 3; ++i) callers.emplace_back(listener.address());
   ASSERT_TRUE(pump.until([&] { return came == 2; }));
--- a/tests/upstream/line_pool_test.cpp
+++ b/tests/upstream/line_pool_test.cpp
@@ -7,26 +7,26 @@
 namespace rushhill::upstream {
 namespace {
 
-struct Ends final : core::Carried {
-  void shot_ended(EventId event, int leg, core::ShotResult result) override {
-    shots.push_back({event, leg, result.ending, result.reply.data});
+struct Ends final : core::UpstreamObserver {
+  void attempt_ended(RequestId event, int leg, core::AttemptResult result) override {
+    shots.push_back({event, leg, result.outcome, result.reply.data});
   }
-  void probe_ended(const ServerId&, Ending ending, const LoadReport& told) override {
+  void probe_ended(const EndpointId&, AttemptOutcome ending, const LoadReport& told) override {
     probes.push_back(ending);
     report = told;
   }
-  void order_ended(const ServerId&, const FunctionId&, Ending ending, int standing) override {
+  void prewarm_ended(const EndpointId&, const FunctionId&, AttemptOutcome ending, int standing) override {
     orders.push_back(ending);
     copies = standing;
   }
   struct Shot {
-    EventId event;
+    RequestId event;
     int leg;
-    Ending ending;
+    AttemptOutcome ending;
     std::string data;
   };
   std::vector<Shot> shots;
-  std::vector<Ending> probes, orders;
+  std::vector<AttemptOutcome> probes, orders;
   LoadReport report;
   int copies = 0;
 };
@@ -35,16 +35,16 @@
  protected:
   LineStory() {
     pool.report_to(ends);
-    pool.reach("a", server.address());
+    pool.set_address("a", server.address());
   }
-  void shoot(EventId event, int leg = 0) {
+  void shoot(RequestId event, int leg = 0) {
     events::CloudEvent message{.id = id(event), .type = "t", .data = "in"};
     message.others["function"] = "f";
-    const ServerId to = "a";
-    pool.shoot({event, leg, to, 10'000, message});
+    const EndpointId to = "a";
+    pool.send({event, leg, to, 10'000, message});
   }
-  static std::string id(EventId event) { return "id" + std::to_string(event); }
-  static std::string hit(EventId event, const std::string& body) {
+  static std::string id(RequestId event) { return "id" + std::to_string(event); }
+  static std::string hit(RequestId event, const std::string& body) {
     return id(event) + " HIT remark=reused " + std::to_string(body.size()) + "\r\n" + body + "\r\n";
   }
   bool ended(std::size_t count) {
@@ -74,12 +74,13 @@
       if (peer.seen.find("in\r\n") == std::string::npos) return;
       peer.seen.clear();
       peer.stream->write(whole.substr(0, cut));
-      if (cut < whole.size()) peer.stream->finish();
+      if (cut < whole.size()) peer.stream->shutdown_write();
     };
     const std::size_t before = ends.shots.size();
     shoot(1, static_cast<int>(cut));
     ASSERT_TRUE(ended(before + 1)) << cut;
-    EXPECT_EQ(ends.shots.back().ending, cut == whole.size() ? Ending::honoured : Ending::connection_lost)
+    EXPECT_EQ(ends.shots.back().ending,
+              cut == whole.size() ? AttemptOutcome::succeeded : AttemptOutcome::connection_lost)
         << cut;
   }
 }
@@ -91,7 +92,7 @@
     const std::size_t before = ends.shots.size();
     shoot(1, static_cast<int>(before));
     ASSERT_TRUE(ended(before + 1)) << bytes;
-    EXPECT_EQ(ends.shots.back().ending, Ending::error) << bytes;
+    EXPECT_EQ(ends.shots.back().ending, AttemptOutcome::error) << bytes;
     EXPECT_EQ(ends.shots.back().data, "");
     EXPECT_EQ(pool.connections(), 0U);
   }
@@ -126,7 +127,7 @@
 TEST_F(LineStory, AShotGivenUpIsTakenBackAndItsConnectionTakesNoFurtherOne) {
   shoot(1);
   ASSERT_TRUE(seen(0, "in\r\n"));
-  pool.drop(1, 0);
+  pool.cancel(1, 0);
   EXPECT_EQ(pool.connections(), 0U) << "alone on its connection: the close says so";
   shoot(2);
   ASSERT_TRUE(seen(1, "in\r\n"));
@@ -134,7 +135,7 @@
 }
 
 TEST_F(LineStory, WhereConnectionsRunShortShotsShareAndOneSpoiltAnswerCostsItsNeighbour) {
-  for (EventId event = 1; event <= 4; ++event) shoot(event);
+  for (RequestId event = 1; event <= 4; ++event) shoot(event);
   ASSERT_TRUE(pump.until([&] { return server.peers.size() == 3; }));
   EXPECT_EQ(pool.connections(), 3U);
   RawPeer* both = nullptr;
@@ -148,37 +149,38 @@
   both->stream->write("id4 HIT nonsense 0\r\n");
   ASSERT_TRUE(ended(2));
   for (const Ends::Shot& shot : ends.shots)
-    EXPECT_EQ(shot.ending, shot.event == 4 ? Ending::error : Ending::connection_lost) << shot.event;
+    EXPECT_EQ(shot.ending, shot.event == 4 ? AttemptOutcome::error : AttemptOutcome::connection_lost)
+        << shot.event;
 }
 
 TEST_F(LineStory, WhereConnectionsAreShortAndAllAreFullAShotIsNotSent) {
-  for (EventId event = 1; event <= 7; ++event) shoot(event);
+  for (RequestId event = 1; event <= 7; ++event) shoot(event);
   ASSERT_TRUE(ended(1));
   EXPECT_EQ(ends.shots[0].event, 7);
-  EXPECT_EQ(ends.shots[0].ending, Ending::not_sent) << "it says nothing of the server";
+  EXPECT_EQ(ends.shots[0].ending, AttemptOutcome::not_sent) << "it says nothing of the server";
 }
 
 TEST_F(LineStory, ARefusedConnectionProvesThatNothingRan) {
-  pool.reach("a", "127.0.0.1:1");
+  pool.set_address("a", "127.0.0.1:1");
   shoot(1);
   ASSERT_TRUE(ended(1));
-  EXPECT_EQ(ends.shots[0].ending, Ending::no_connection);
+  EXPECT_EQ(ends.shots[0].ending, AttemptOutcome::connect_failed);
 }
 
 // A reset in the very moment of connecting says nothing of the server: no byte had left.
 TEST_F(LineStory, AConnectionCutOnItsWayUpIsTriedOnceMore) {
   int arrivals = 0;
   transport::Listener cutting(reactor, transport::numeric_address("127.0.0.1:0"), false,
-                              [&](const transport::Arrival& arrival) {
+                              [&](const transport::PendingConnection& arrival) {
                                 server.peers.push_back(std::make_unique<RawPeer>(reactor, arrival));
                                 if (++arrivals % 2 == 1) server.peers.back()->stream->reset();
                               });
-  pool.reach("a", cutting.address().toString());
+  pool.set_address("a", cutting.address().toString());
   shoot(1);
   ASSERT_TRUE(pump.until([&] { return arrivals >= 1; }));
   ASSERT_TRUE(pump.until([&] { return arrivals == 2 || !ends.shots.empty(); }));
   for (const Ends::Shot& shot : ends.shots)
-    EXPECT_EQ(shot.ending, Ending::connection_lost) << "a byte had left";
+    EXPECT_EQ(shot.ending, AttemptOutcome::connection_lost) << "a byte had left";
 }
 
 TEST_F(LineStory, AConnectionThatEndedWhileIdleCostsNoShot) {
@@ -191,7 +193,7 @@
   server.peers[0]->stream->reset();
   shoot(2);
   ASSERT_TRUE(ended(2));
-  EXPECT_EQ(ends.shots[1].ending, Ending::honoured);
+  EXPECT_EQ(ends.shots[1].ending, AttemptOutcome::succeeded);
 }
 
 TEST_F(LineStory, ProbesAndOrdersEndOnceWithWhatTheyBring) {
@@ -203,34 +205,34 @@
   };
   pool.probe("a", 10'000);
   ASSERT_TRUE(pump.until([&] { return ends.probes.size() == 1; }));
-  EXPECT_EQ(ends.probes[0], Ending::honoured);
+  EXPECT_EQ(ends.probes[0], AttemptOutcome::succeeded);
   EXPECT_EQ(ends.report.at("util"), 0.25);
-  pool.order("a", "f", 2, 10'000);
+  pool.prewarm("a", "f", 2, 10'000);
   ASSERT_TRUE(pump.until([&] { return ends.orders.size() == 1; }));
-  EXPECT_EQ(ends.orders[0], Ending::honoured);
+  EXPECT_EQ(ends.orders[0], AttemptOutcome::succeeded);
   EXPECT_EQ(ends.copies, 2);
-  pool.order("a", "f", 1, 300);
+  pool.prewarm("a", "f", 1, 300);
   ASSERT_TRUE(pump.until([&] { return ends.orders.size() == 2; }));
-  EXPECT_EQ(ends.orders[1], Ending::no_answer);
+  EXPECT_EQ(ends.orders[1], AttemptOutcome::unanswered);
 }
 
 TEST_F(LineStory, AServerThatIsGoneLeavesNothingBehind) {
   shoot(1);
   ASSERT_TRUE(seen(0, "in\r\n"));
-  pool.reach("a", "");
+  pool.set_address("a", "");
   EXPECT_EQ(pool.servers(), 1U) << "its last shot is still out";
   server.peers[0]->stream->write(hit(1, "late but good"));
   ASSERT_TRUE(ended(1));
-  EXPECT_EQ(ends.shots[0].ending, Ending::honoured);
+  EXPECT_EQ(ends.shots[0].ending, AttemptOutcome::succeeded);
   ASSERT_TRUE(pump.until([&] { return pool.servers() == 0; }));
   EXPECT_EQ(pool.connections(), 0U);
 }
 
 TEST_F(LineStory, WhatIsTakenBackBeforeItsConnectionIsUpNeverLeavesAndItsNeighbourDoes) {
-  for (EventId event = 1; event <= 4; ++event) shoot(event);  // the fourth shares a connection
-  EXPECT_TRUE(pool.recall(4, 0));
-  EXPECT_TRUE(pool.recall(1, 0));
-  EXPECT_FALSE(pool.recall(1, 0));
+  for (RequestId event = 1; event <= 4; ++event) shoot(event);  // the fourth shares a connection
+  EXPECT_TRUE(pool.cancel_unsent(4, 0));
+  EXPECT_TRUE(pool.cancel_unsent(1, 0));
+  EXPECT_FALSE(pool.cancel_unsent(1, 0));
   EXPECT_EQ(pool.connections(), 2U)
       << "what nothing is asked on is no connection held at a server for nothing";
   ASSERT_TRUE(pump.until([&] {
@@ -243,17 +245,17 @@
     EXPECT_EQ(peer->seen.find("abort"), std::string::npos);
   }
   EXPECT_TRUE(ends.shots.empty());
-  EXPECT_FALSE(pool.recall(2, 0)) << "it is out";
+  EXPECT_FALSE(pool.cancel_unsent(2, 0)) << "it is out";
 }
 
 TEST_F(LineStory, WhatHasNotLeftForAServerThatLeavesEndsAsNotSent) {
   shoot(1);
-  pool.order("a", "f", 1, 10'000);
-  pool.recall_all("a");
+  pool.prewarm("a", "f", 1, 10'000);
+  pool.cancel_all_unsent("a");
   ASSERT_TRUE(ended(1));
   ASSERT_TRUE(pump.until([&] { return ends.orders.size() == 1; }));
-  EXPECT_EQ(ends.shots[0].ending, Ending::not_sent);
-  EXPECT_EQ(ends.orders[0], Ending::not_sent);
+  EXPECT_EQ(ends.shots[0].ending, AttemptOutcome::not_sent);
+  EXPECT_EQ(ends.orders[0], AttemptOutcome::not_sent);
   pump.pass(1'000);
   for (const auto& peer : server.peers) EXPECT_EQ(peer->seen, "");
   EXPECT_EQ(pool.connections(), 0U);
@@ -262,7 +264,7 @@
     return std::ranges::any_of(server.peers,
                                [](const auto& p) { return p->seen.find("id2 ") != std::string::npos; });
   }));
-  pool.recall_all("a");
+  pool.cancel_all_unsent("a");
   pump.pass(300);
   EXPECT_EQ(ends.shots.size(), 1U) << "it is out";
 }
@@ -272,12 +274,12 @@
   LinePool narrow(
       reactor, {.shots_a_connection = 2, .connections = 1, .connect_limit = 3'000, .idle = 100'000}, silent);
   narrow.report_to(ends);
-  narrow.reach("a", server.address());
-  const auto send = [&](EventId event) {
+  narrow.set_address("a", server.address());
+  const auto send = [&](RequestId event) {
     events::CloudEvent message{.id = id(event), .type = "t", .data = "in"};
     message.others["function"] = "f";
-    const ServerId to = "a";
-    narrow.shoot({event, 0, to, 10'000, message});
+    const EndpointId to = "a";
+    narrow.send({event, 0, to, 10'000, message});
   };
   send(1);
   ASSERT_TRUE(seen(0, "in\r\n"));
@@ -285,7 +287,7 @@
   server.peers[0]->stream->reset();
   send(2);
   ASSERT_TRUE(ended(1));
-  EXPECT_EQ(ends.shots[0].ending, Ending::honoured);
+  EXPECT_EQ(ends.shots[0].ending, AttemptOutcome::succeeded);
   EXPECT_EQ(ends.shots[0].data, "data");
   EXPECT_TRUE(seen(1, "id2 "));
 }
