--- a/src/admission/deliveries.h
+++ b/src/admission/deliveries.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-#include "decide.h"
+#include "routing/time.h"
 
 namespace rushhill::admission {
 
--- a/src/admission/tries.h
+++ b/src/admission/tries.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "admission/deliveries.h"
-#include "decide.h"
+#include "routing/types.h"
 
 namespace rushhill::admission {
 
--- a/src/admission/yielding.h
+++ b/src/admission/yielding.h
@@ -8,7 +8,7 @@
 #include <limits>
 #include <vector>
 
-#include "decide.h"
+#include "routing/time.h"
 
 namespace rushhill::admission {
 
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -5,15 +5,16 @@
 #include <set>
 #include <utility>
 
+#include "routing/routing_policy.h"
 #include "settings/deployment.h"
 
 namespace rushhill::benchlink {
 namespace {
 
 using Json = nlohmann::json;
-using settings::ceil_time;
+using settings::ceil_duration;
 using settings::Fields;
-using settings::floor_time;
+using settings::floor_duration;
 using settings::read_deployment;
 using settings::read_server;
 using settings::to_ns;
@@ -69,11 +70,11 @@
   }
   RoutingPolicy& router() { return *router_; }
 
-  void send_attempt(RequestId event, const EndpointId& server, Time time_out) override {
+  void send_attempt(RequestId event, const EndpointId& server, Duration timeout) override {
     Json line = action("relay");
     line["job"] = event;
     line["server"] = server;
-    if (time_out != 0) line["max-wait"] = to_ns(time_out);
+    if (timeout != Duration::zero()) line["max-wait"] = to_ns(to_ticks(timeout));
     write(line);
   }
   void cancel_attempt(RequestId event, int leg) override {
@@ -82,10 +83,10 @@
     line["leg"] = leg;
     write(line);
   }
-  void reject(RequestId event, Time come_back) override {
+  void reject(RequestId event, Duration retry_after) override {
     Json line = action("turn-away");
     line["job"] = event;
-    if (come_back != 0) line["come-back"] = to_ns(come_back);
+    if (retry_after != Duration::zero()) line["come-back"] = to_ns(to_ticks(retry_after));
     write(line);
   }
   void fail(RequestId event) override {
@@ -93,10 +94,10 @@
     line["job"] = event;
     write(line);
   }
-  void set_timer(std::int64_t token, Time at) override {
+  void set_timer(std::int64_t token, Timestamp at) override {
     Json line = action("timer");
     line["token"] = token;
-    line["alarm-time"] = to_ns(at);
+    line["alarm-time"] = to_ns(to_ticks(at));
     write(line);
   }
   void probe(const EndpointId& server) override { write_for_server("ask-load", server); }
@@ -215,8 +216,9 @@
     const std::int64_t seed = fields.whole("entropy");
     const RoutingConfiguration deployment = read_deployment(fields.object("info"));
     instances_[number] = std::make_unique<Instance>(number, reply_);
-    guarded(number,
-            [&](Instance& instance, Time) { instance.start(deployment, static_cast<std::uint64_t>(seed)); });
+    guarded(number, [&](Instance& instance, Timestamp) {
+      instance.start(deployment, static_cast<std::uint64_t>(seed));
+    });
   } else if (op == "update") {
     const auto form = fields.word<EndpointListForm>("form", form_words);
     static const std::vector<Endpoint> none;
@@ -226,8 +228,9 @@
       if (found == rosters_.end()) throw BadLine("field 'sheet' names no roster");
       servers = &found->second;
     }
-    guarded(number,
-            [&](Instance& instance, Time now) { instance.router().endpoints_updated(now, form, *servers); });
+    guarded(number, [&](Instance& instance, Timestamp now) {
+      instance.router().endpoints_updated(now, form, *servers);
+    });
   } else if (op == "request") {
     RoutingRequest event;
     event.id = fields.whole("job");
@@ -235,20 +238,21 @@
     const Json* customer = fields.find("customer");
     if (customer != nullptr && customer->is_string()) event.tenant = customer->get<std::string>();
     event.function = fields.text("app", "");
-    event.time_left = floor_time(fields.whole("budget"));
+    event.time_left = floor_duration(fields.whole("budget"));
     event.memory_mb = fields.number("ram-mb", 0);
     event.lanes = fields.number("width", 1);
     const std::int64_t opts = fields.whole("opts", 0);
-    if ((opts & 1) != 0) event.work = ceil_time(fields.whole("cost", 0));
+    if ((opts & 1) != 0) event.work = ceil_duration(fields.whole("cost", 0));
     event.repeat = (opts & 2) != 0;
     event.write = (opts & 4) != 0;
-    event.load_time = ceil_time(static_cast<std::int64_t>(fields.number("load-ms", 0) * 1e6));
-    guarded(number, [&](Instance& instance, Time now) { instance.router().request_received(now, event); });
+    event.load_time = ceil_duration(static_cast<std::int64_t>(fields.number("load-ms", 0) * 1e6));
+    guarded(number,
+            [&](Instance& instance, Timestamp now) { instance.router().request_received(now, event); });
   } else if (op == "flowing") {
     const RequestId event = fields.whole("job");
     const int leg = static_cast<int>(fields.whole("leg", 0));
     guarded(number,
-            [&](Instance& instance, Time now) { instance.router().response_started(now, event, leg); });
+            [&](Instance& instance, Timestamp now) { instance.router().response_started(now, event, leg); });
   } else if (op == "finished") {
     AttemptEnd end;
     end.request = fields.whole("job");
@@ -256,41 +260,42 @@
     end.endpoint = fields.text("server");
     end.outcome = fields.word<AttemptOutcome>("ending", ending_words);
     end.final = fields.flag("final");
-    end.taken = floor_time(fields.whole("time-taken", 0));
+    end.taken = floor_duration(fields.whole("time-taken", 0));
     const std::int64_t note = fields.whole("note", 0);
     end.copy_state = note % 8 >= 1 && note % 8 <= 4 ? static_cast<CopyState>(note % 8) : CopyState::unknown;
     end.in_flight = static_cast<int>(note / 8);
     end.report = fields.numbers("feedback");
-    guarded(number, [&](Instance& instance, Time now) { instance.router().attempt_ended(now, end); });
+    guarded(number, [&](Instance& instance, Timestamp now) { instance.router().attempt_ended(now, end); });
   } else if (op == "client-gone") {
     const RequestId event = fields.whole("job");
-    guarded(number, [&](Instance& instance, Time now) { instance.router().client_cancelled(now, event); });
+    guarded(number,
+            [&](Instance& instance, Timestamp now) { instance.router().client_cancelled(now, event); });
   } else if (op == "bell") {
     const std::int64_t token = fields.whole("token");
-    guarded(number, [&](Instance& instance, Time now) { instance.router().timer_fired(now, token); });
+    guarded(number, [&](Instance& instance, Timestamp now) { instance.router().timer_fired(now, token); });
   } else if (op == "checked") {
     const ProbeEnd end{fields.text("server"), fields.word<AttemptOutcome>("ending", ending_words),
-                       floor_time(fields.whole("time-taken", 0)), fields.numbers("feedback")};
-    guarded(number, [&](Instance& instance, Time now) { instance.router().probe_ended(now, end); });
+                       floor_duration(fields.whole("time-taken", 0)), fields.numbers("feedback")};
+    guarded(number, [&](Instance& instance, Timestamp now) { instance.router().probe_ended(now, end); });
   } else if (op == "resident") {
     const PrewarmEnd end{
         fields.text("server"), fields.text("app"), fields.word<AttemptOutcome>("ending", ending_words),
-        floor_time(fields.whole("time-taken", 0)), static_cast<int>(fields.whole("copies", 0))};
-    guarded(number, [&](Instance& instance, Time now) { instance.router().prewarm_ended(now, end); });
+        floor_duration(fields.whole("time-taken", 0)), static_cast<int>(fields.whole("copies", 0))};
+    guarded(number, [&](Instance& instance, Timestamp now) { instance.router().prewarm_ended(now, end); });
   } else {  // note-from
     const int from = static_cast<int>(fields.whole("by"));
     const std::string bytes = from_base64(fields.text("content", ""));
     guarded(number,
-            [&](Instance& instance, Time now) { instance.router().gossip_received(now, from, bytes); });
+            [&](Instance& instance, Timestamp now) { instance.router().gossip_received(now, from, bytes); });
   }
 }
 
 // What the module throws ends the day with the wire's own failure message.
-void Link::guarded(std::int64_t number, const std::function<void(Instance&, Time)>& call) {
+void Link::guarded(std::int64_t number, const std::function<void(Instance&, Timestamp)>& call) {
   const auto found = instances_.find(number);
   if (found == instances_.end()) throw BadLine("field 'i' names no running instance");
   try {
-    call(*found->second, floor_time(clock_ns_));
+    call(*found->second, Timestamp{floor_duration(clock_ns_)});
   } catch (const std::exception& error) {
     found->second->give_in(error.what());
   }
--- a/src/benchlink/wire.h
+++ b/src/benchlink/wire.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "decide.h"
+#include "routing/types.h"
 #include "settings/fields.h"
 
 namespace rushhill::benchlink {
@@ -36,7 +36,7 @@
 
   void handle(const Json& line);
   void handle_instance(const std::string& op, const Json& line);
-  void guarded(std::int64_t number, const std::function<void(Instance&, Time)>& call);
+  void guarded(std::int64_t number, const std::function<void(Instance&, Timestamp)>& call);
   void flush();
   void record_batch();
 
--- a/src/command/main.cpp
+++ b/src/command/main.cpp
@@ -27,6 +27,7 @@
 #include "standin/links.h"
 #include "standin/roster_board.h"
 #include "transport/loop.h"
+#include "transport/reactor.h"
 
 namespace rushhill::command {
 namespace {
--- a/src/command/node.cpp
+++ b/src/command/node.cpp
@@ -5,6 +5,7 @@
 #include <stdexcept>
 #include <string>
 
+#include "core/event_log.h"
 #include "log/event_log.h"
 #include "node/node.h"
 #include "node/reloader.h"
--- a/src/command/send.cpp
+++ b/src/command/send.cpp
@@ -6,6 +6,7 @@
 #include "events/cloudevent.h"
 #include "transport/http.h"
 #include "transport/loop.h"
+#include "transport/reactor.h"
 
 namespace rushhill::command {
 namespace {
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -6,6 +6,7 @@
 #include <random>
 #include <string>
 
+#include "core/event_log.h"
 #include "log/event_log.h"
 #include "router/router_process.h"
 #include "standin/faulty_file_system.h"
@@ -13,6 +14,7 @@
 #include "storage/files.h"
 #include "transport/descriptors.h"
 #include "transport/loop.h"
+#include "transport/reactor.h"
 
 namespace rushhill::command {
 namespace {
--- a/src/core/attempt_execution.cpp
+++ b/src/core/attempt_execution.cpp
@@ -2,6 +2,8 @@
 
 #include <string>
 
+#include "routing/routing_policy.h"
+
 namespace rushhill::core {
 
 void AttemptExecution::start(RequestId id, const EndpointId& server, Time timeout) {
@@ -85,11 +87,11 @@
                        .endpoint = attempt.endpoint,
                        .outcome = result.outcome,
                        .final = request.concluded,
-                       .taken = env_.clock.now() - attempt.started,
+                       .taken = to_duration(env_.clock.now() - attempt.started),
                        .copy_state = result.copy_state,
                        .in_flight = result.in_flight,
                        .report = result.report};
-  env_.policy.run([&](RoutingPolicy& router, Time now) { router.attempt_ended(now, end); });
+  env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.attempt_ended(now, end); });
   env_.requests.erase_if_over(id);
 }
 
--- a/src/core/attempt_execution.h
+++ b/src/core/attempt_execution.h
@@ -4,9 +4,11 @@
 
 #include "core/decision_module.h"
 #include "core/deferred_calls.h"
-#include "core/ports.h"
+#include "core/event_log.h"
 #include "core/request_table.h"
 #include "core/tally.h"
+#include "core/timer_service.h"
+#include "core/upstream_transport.h"
 
 namespace rushhill::core {
 
--- a/src/core/decision_module.h
+++ b/src/core/decision_module.h
@@ -6,20 +6,21 @@
 #include <utility>
 
 #include "core/timer_service.h"
-#include "decide.h"
+#include "routing/routing_policy.h"
 
 namespace rushhill::core {
 
 class PolicyRunner {
  public:
-  PolicyRunner(std::unique_ptr<RoutingPolicy> router, TimerService& clock)
-      : clock_(clock), router_(std::move(router)) {}
+  PolicyRunner(std::unique_ptr<RoutingPolicy> policy, TimerService& clock)
+      : clock_(clock), policy_(std::move(policy)) {}
 
-  // Runs `call(Router&, Time now)`. Calls must not nest: what the module asks for is reported to it later.
+  // Runs `call(RoutingPolicy&, Timestamp now)`. Calls must not nest: what the module asks for is reported to
+  // it later.
   template <typename Call>
   void run(Call call) {
     const std::int64_t began_ns = clock_.nanoseconds();
-    call(*router_, clock_.now());
+    call(*policy_, to_timestamp(clock_.now()));
     spent_ns_ += clock_.nanoseconds() - began_ns;
   }
 
@@ -28,7 +29,7 @@
 
  private:
   TimerService& clock_;
-  std::unique_ptr<RoutingPolicy> router_;
+  std::unique_ptr<RoutingPolicy> policy_;
   std::int64_t spent_ns_ = 0;
 };
 
--- /dev/null
+++ b/src/core/endpoint_list_source.h
@@ -0,0 +1,30 @@
+// Service discovery as the core uses it: where the list of endpoints comes from.
+#pragma once
+
+#include <string>
+
+#include "routing/types.h"
+
+namespace rushhill::core {
+
+class EndpointListSource {
+ public:
+  EndpointListSource() = default;
+  EndpointListSource(const EndpointListSource&) = delete;
+  EndpointListSource& operator=(const EndpointListSource&) = delete;
+  EndpointListSource(EndpointListSource&&) = delete;
+  EndpointListSource& operator=(EndpointListSource&&) = delete;
+  virtual ~EndpointListSource() = default;
+
+  // Starts or ends the watch of changes.
+  virtual void watch(bool on) = 0;
+  // Asks for a complete list.
+  virtual void resync() = 0;
+};
+
+struct EndpointListEntry {
+  Endpoint endpoint{};
+  std::string address{};  // in digits, with a port
+};
+
+}  // namespace rushhill::core
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -13,21 +13,21 @@
 Gateway::Gateway(const RoutingConfiguration& deployment, std::uint64_t seed, const Ports& ports)
     : configuration_(deployment), to_(ports), deferred_(ports.clock),
       policy_(make_routing_policy(deployment, seed, *this), ports.clock), requests_(ports.clock, seed),
-      room_(deployment.open_cap), attempts_({.clock = ports.clock,
-                                             .upstream = ports.upstream,
-                                             .log = ports.log,
-                                             .requests = requests_,
-                                             .deferred = deferred_,
-                                             .policy = policy_,
-                                             .tally = tally_},
-                                            deployment.attempt_limit),
+      room_(deployment.open_request_limit), attempts_({.clock = ports.clock,
+                                                       .upstream = ports.upstream,
+                                                       .log = ports.log,
+                                                       .requests = requests_,
+                                                       .deferred = deferred_,
+                                                       .policy = policy_,
+                                                       .tally = tally_},
+                                                      deployment.retries.attempt_limit),
       server_calls_({.clock = ports.clock,
                      .upstream = ports.upstream,
                      .deduplication = ports.deduplication,
                      .deferred = deferred_,
                      .policy = policy_,
                      .tally = tally_},
-                    deployment.order_limit),
+                    to_ticks(deployment.copies.prewarm_timeout)),
       lifecycle_({.clock = ports.clock,
                   .log = ports.log,
                   .deduplication = ports.deduplication,
@@ -37,7 +37,7 @@
                   .deferred = deferred_,
                   .policy = policy_,
                   .tally = tally_},
-                 deployment.retry_advice ? deployment.longest_retry_advice : 0) {}
+                 deployment.retries.retry_after ? to_ticks(deployment.retries.longest_retry_after) : 0) {}
 
 // What happens: from the front ends, the server list, the peers and the ledger.
 
@@ -66,7 +66,7 @@
   for (const auto& [server, address] : listed) {
     if (addresses_.set(server, address)) to_.upstream.set_address(server, address);
   }
-  policy_.run([&](RoutingPolicy& router, Time now) { router.endpoints_updated(now, form, servers); });
+  policy_.run([&](RoutingPolicy& policy, Timestamp now) { policy.endpoints_updated(now, form, servers); });
   // What was chosen before the message came and has not left yet is chosen again elsewhere.
   for (const EndpointListEntry& entry : entries) {
     if (entry.endpoint.state == EndpointState::draining) to_.upstream.cancel_all_unsent(entry.endpoint.id);
@@ -77,11 +77,12 @@
 }
 
 void Gateway::gossip_received(int router_number, const std::string& bytes) {
-  policy_.run([&](RoutingPolicy& router, Time now) { router.gossip_received(now, router_number, bytes); });
+  policy_.run(
+      [&](RoutingPolicy& policy, Timestamp now) { policy.gossip_received(now, router_number, bytes); });
 }
 
 void Gateway::load_budget_restored(double orders) {
-  policy_.run([&](RoutingPolicy& router, Time now) { router.load_budget_restored(now, orders); });
+  policy_.run([&](RoutingPolicy& policy, Timestamp now) { policy.load_budget_restored(now, orders); });
 }
 
 // Ends of what the carrier was asked for.
@@ -103,19 +104,21 @@
 
 // What the decision module asks for.
 
-void Gateway::send_attempt(RequestId event, const EndpointId& server, Time time_out) {
-  attempts_.start(event, server, time_out);
+void Gateway::send_attempt(RequestId event, const EndpointId& server, Duration timeout) {
+  attempts_.start(event, server, to_ticks(timeout));
 }
 
 void Gateway::cancel_attempt(RequestId event, int leg) { attempts_.cancel(event, leg); }
 
-void Gateway::reject(RequestId event, Time come_back) { lifecycle_.reject(event, come_back); }
+void Gateway::reject(RequestId event, Duration retry_after) {
+  lifecycle_.reject(event, to_ticks(retry_after));
+}
 
 void Gateway::fail(RequestId event) { lifecycle_.fail(event); }
 
-void Gateway::set_timer(std::int64_t token, Time at) {
-  deferred_.run_at(at, [this, token] {
-    policy_.run([token](RoutingPolicy& router, Time now) { router.timer_fired(now, token); });
+void Gateway::set_timer(std::int64_t token, Timestamp at) {
+  deferred_.run_at(to_ticks(at), [this, token] {
+    policy_.run([token](RoutingPolicy& policy, Timestamp now) { policy.timer_fired(now, token); });
   });
 }
 
@@ -132,7 +135,7 @@
 }
 
 void Gateway::send_gossip(int router, const std::string& bytes) {
-  if (!configuration_.peers || bytes.size() > peer_message_limit) return;
+  if (!configuration_.reports.gossip || bytes.size() > peer_message_limit) return;
   ++tally_.gossip_messages;
   to_.peers.send(router, bytes);
 }
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -8,9 +8,13 @@
 #include <vector>
 
 #include "core/attempt_execution.h"
+#include "core/client.h"
 #include "core/decision_module.h"
+#include "core/deduplication_log.h"
 #include "core/deferred_calls.h"
-#include "core/ports.h"
+#include "core/endpoint_list_source.h"
+#include "core/event_log.h"
+#include "core/peer_messenger.h"
 #include "core/request_lifecycle.h"
 #include "core/request_table.h"
 #include "core/server_addresses.h"
@@ -18,7 +22,8 @@
 #include "core/source_room.h"
 #include "core/tally.h"
 #include "core/timer_service.h"
-#include "decide.h"
+#include "core/upstream_transport.h"
+#include "routing/routing_policy.h"
 
 namespace rushhill::core {
 
@@ -79,11 +84,11 @@
 
  private:
   // Host
-  void send_attempt(RequestId event, const EndpointId& server, Time time_out) override;
+  void send_attempt(RequestId event, const EndpointId& server, Duration timeout) override;
   void cancel_attempt(RequestId event, int leg) override;
-  void reject(RequestId event, Time come_back) override;
+  void reject(RequestId event, Duration retry_after) override;
   void fail(RequestId event) override;
-  void set_timer(std::int64_t token, Time at) override;
+  void set_timer(std::int64_t token, Timestamp at) override;
   void probe(const EndpointId& server) override;
   void close_idle(const EndpointId& server) override;
   void prewarm(const EndpointId& server, const FunctionId& function, int copies) override;
--- a/src/core/intake.cpp
+++ b/src/core/intake.cpp
@@ -58,13 +58,13 @@
     if (!tenants_.contains(*customer)) throw BadEvent("customer", "is unknown here");
     told.tenant = *customer;
   }
-  const Time deadline_span = type->second.deadline_span;
-  told.time_left = 10 * whole(event, "timeleftms", 1, deadline_span / 10, deadline_span / 10);
-  if (event.other("timeleftms") == nullptr) told.time_left = deadline_span;
+  const Time deadline_span = to_ticks(type->second.deadline_span);
+  told.time_left = to_duration(10 * whole(event, "timeleftms", 1, deadline_span / 10, deadline_span / 10));
+  if (event.other("timeleftms") == nullptr) told.time_left = to_duration(deadline_span);
   told.memory_mb = static_cast<double>(whole(event, "memorymb", 0, most_memory_mb, 0));
   told.lanes = static_cast<double>(whole(event, "lanes", 1, most_lanes, 1));
-  told.load_time = 10 * whole(event, "loadms", 0, most_ms, 0);
-  told.work = 10 * whole(event, "workms", 0, most_ms, 0);
+  told.load_time = to_duration(10 * whole(event, "loadms", 0, most_ms, 0));
+  told.work = to_duration(10 * whole(event, "workms", 0, most_ms, 0));
   told.repeat = flag(event, "repeat");
   told.write = flag(event, "write");
   return told;
--- a/src/core/intake.h
+++ b/src/core/intake.h
@@ -4,8 +4,8 @@
 #include <map>
 #include <string>
 
-#include "decide.h"
 #include "events/cloudevent.h"
+#include "routing/configuration.h"
 
 namespace rushhill::core {
 
--- a/src/core/outstanding_calls.h
+++ b/src/core/outstanding_calls.h
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "decide.h"
+#include "routing/time.h"
 
 namespace rushhill::core {
 
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -3,6 +3,9 @@
 #include <string>
 #include <utility>
 
+#include "core/upstream_transport.h"
+#include "routing/routing_policy.h"
+
 namespace rushhill::core {
 namespace {
 
@@ -37,14 +40,14 @@
   request.client = &client;
   request.message = std::move(message);
   request.accepted = env_.clock.now();
-  request.deadline = request.accepted + told.time_left;
+  request.deadline = request.accepted + to_ticks(told.time_left);
   request.deadline_timer = env_.clock.at(request.deadline, [this, added = id] { expire(added); });
   request.source = source;
   env_.room.accepted(request.accepted, source);
   ++env_.tally.accepted;
   AdmissionVerdict verdict = AdmissionVerdict::untracked;
   if (env_.deduplication != nullptr) {
-    verdict = env_.deduplication->admit(id, told.request_class, request.message, told.time_left);
+    verdict = env_.deduplication->admit(id, told.request_class, request.message, to_ticks(told.time_left));
   }
   apply(verdict, id, request, std::move(told));
   return id;
@@ -58,7 +61,7 @@
       request.recorded = true;
       [[fallthrough]];
     case AdmissionVerdict::untracked:
-      env_.policy.run([&](RoutingPolicy& router, Time now) { router.request_received(now, told); });
+      env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.request_received(now, told); });
       break;
     case AdmissionVerdict::pending:
       request.recorded = true;
@@ -78,9 +81,9 @@
   Request* request = env_.requests.find(id);
   if (request == nullptr || !request->awaiting_record || request->concluded) return;
   RoutingRequest told = std::move(*request->awaiting_record);
-  told.time_left = request->deadline - env_.clock.now();
+  told.time_left = to_duration(request->deadline - env_.clock.now());
   // In the tick of the deadline the deadline comes first.
-  if (told.time_left <= 0) {
+  if (told.time_left <= Duration::zero()) {
     expire(id);
     return;
   }
@@ -97,7 +100,7 @@
   const bool unknown_to_module = request->awaiting_record.has_value();
   conclude(id, *request, End::cancelled, fate_without_reply(*request));
   if (unknown_to_module) return;
-  env_.policy.run([&](RoutingPolicy& router, Time now) { router.client_cancelled(now, id); });
+  env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.client_cancelled(now, id); });
 }
 
 void RequestLifecycle::reject(RequestId id, Time retry_after) {
@@ -135,7 +138,7 @@
     ++env_.tally.expired;
     env_.log.write(Level::error, "no answer by the hard limit", {{"event", request->message.id}});
     fail(id);
-    env_.policy.run([&](RoutingPolicy& router, Time now) { router.client_cancelled(now, id); });
+    env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.client_cancelled(now, id); });
   }
   env_.attempts.cancel_at_deadline(id, *request);
 }
--- a/src/core/request_lifecycle.h
+++ b/src/core/request_lifecycle.h
@@ -7,7 +7,12 @@
 #include <optional>
 
 #include "core/attempt_execution.h"
+#include "core/client.h"
+#include "core/deduplication_log.h"
+#include "core/event_log.h"
 #include "core/source_room.h"
+#include "core/timer_service.h"
+#include "core/upstream_transport.h"
 
 namespace rushhill::core {
 
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "admission/shares.h"
-#include "core/ports.h"
+#include "core/client.h"
 #include "core/timer_service.h"
 
 namespace rushhill::core {
--- a/src/core/server_addresses.h
+++ b/src/core/server_addresses.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "core/ports.h"
+#include "core/endpoint_list_source.h"
 
 namespace rushhill::core {
 
--- a/src/core/server_call_execution.cpp
+++ b/src/core/server_call_execution.cpp
@@ -1,5 +1,7 @@
 #include "core/server_call_execution.h"
 
+#include "routing/routing_policy.h"
+
 namespace rushhill::core {
 namespace {
 
@@ -16,8 +18,8 @@
 void EndpointCallExecution::probe_ended(const EndpointId& server, AttemptOutcome ending,
                                         const LoadReport& report) {
   const Time taken = probes_.end(server, env_.clock.now());
-  const ProbeEnd end{.endpoint = server, .outcome = ending, .taken = taken, .report = report};
-  env_.policy.run([&](RoutingPolicy& router, Time now) { router.probe_ended(now, end); });
+  const ProbeEnd end{.endpoint = server, .outcome = ending, .taken = to_duration(taken), .report = report};
+  env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.probe_ended(now, end); });
 }
 
 void EndpointCallExecution::prewarm(const EndpointId& server, const FunctionId& function, int copies) {
@@ -34,9 +36,12 @@
 void EndpointCallExecution::prewarm_ended(const EndpointId& server, const FunctionId& function,
                                           AttemptOutcome ending, int copies) {
   const Time taken = prewarms_.end({server, function}, env_.clock.now());
-  const PrewarmEnd end{
-      .endpoint = server, .function = function, .outcome = ending, .taken = taken, .copies = copies};
-  env_.policy.run([&](RoutingPolicy& router, Time now) { router.prewarm_ended(now, end); });
+  const PrewarmEnd end{.endpoint = server,
+                       .function = function,
+                       .outcome = ending,
+                       .taken = to_duration(taken),
+                       .copies = copies};
+  env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.prewarm_ended(now, end); });
 }
 
 void EndpointCallExecution::evict(const EndpointId& server, const FunctionId& function) {
--- a/src/core/server_call_execution.h
+++ b/src/core/server_call_execution.h
@@ -5,10 +5,12 @@
 #include <utility>
 
 #include "core/decision_module.h"
+#include "core/deduplication_log.h"
 #include "core/deferred_calls.h"
 #include "core/outstanding_calls.h"
-#include "core/ports.h"
 #include "core/tally.h"
+#include "core/timer_service.h"
+#include "core/upstream_transport.h"
 
 namespace rushhill::core {
 
--- a/src/core/source_room.h
+++ b/src/core/source_room.h
@@ -6,7 +6,7 @@
 
 #include "admission/shares.h"
 #include "admission/yielding.h"
-#include "decide.h"
+#include "routing/time.h"
 
 namespace rushhill::core {
 
--- a/src/core/tally.h
+++ b/src/core/tally.h
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "decide.h"
+#include "routing/types.h"
 
 namespace rushhill::core {
 
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -1,7 +1,8 @@
-// Timers in the order in which they fire: the structure behind a TimerService. Setting, cancelling and firing
-// one take time logarithmic in those that stand; two of one moment ring in the order they were set.
+// Timers in the order in which they fire: the structure behind a TimerService. Adding, cancelling and firing
+// one take time logarithmic in their number; two of one moment fire in the order in which they were added.
 #pragma once
 
+#include <cstddef>
 #include <map>
 #include <optional>
 #include <utility>
@@ -13,27 +14,29 @@
 class TimerQueue {
  public:
   Timer add(Time when, TimerService::Call call) {
-    const Timer alarm{when, ++last_};
-    standing_.emplace_hint(standing_.end(), alarm, std::move(call));
-    return alarm;
+    const Timer timer{when, ++last_number_};
+    timers_.emplace_hint(timers_.end(), timer, std::move(call));
+    return timer;
   }
-  void cancel(Timer& alarm) { standing_.erase(std::exchange(alarm, Timer{})); }
+  void cancel(Timer& timer) { timers_.erase(std::exchange(timer, Timer{})); }
+
+  // The moment of the first timer; nothing where there is none.
   std::optional<Time> next_deadline() const {
-    if (standing_.empty()) return std::nullopt;
-    return standing_.begin()->first.at;
+    if (timers_.empty()) return std::nullopt;
+    return timers_.begin()->first.at;
   }
-  // Rings what is due at `now`, also what is set meanwhile for a moment that has come.
+  // Fires all timers due at `now`, also those added meanwhile for a moment that has come.
   void fire_due(Time now) {
-    while (!standing_.empty() && standing_.begin()->first.at <= now) {
-      const auto call = std::move(standing_.extract(standing_.begin()).mapped());
+    while (!timers_.empty() && timers_.begin()->first.at <= now) {
+      const auto call = std::move(timers_.extract(timers_.begin()).mapped());
       call();
     }
   }
-  std::size_t count() const { return standing_.size(); }
+  std::size_t count() const { return timers_.size(); }
 
  private:
-  std::map<Timer, TimerService::Call> standing_;
-  std::uint64_t last_ = 0;
+  std::map<Timer, TimerService::Call> timers_;
+  std::uint64_t last_number_ = 0;
 };
 
 }  // namespace rushhill::core
--- a/src/core/timer_service.h
+++ b/src/core/timer_service.h
@@ -1,14 +1,14 @@
-// The clock and the alarms that the core and its neighbours are handed; an emulator hands over its own.
+// The clock and the timers that the core and its neighbours are handed; an emulator hands over its own.
 #pragma once
 
 #include <cstdint>
 #include <functional>
 
-#include "decide.h"
+#include "routing/time.h"
 
 namespace rushhill::core {
 
-// Names one alarm, so that it can be withdrawn; the default names none.
+// Names one timer, so that it can be cancelled; the default names none.
 struct Timer {
   Time at = 0;
   std::uint64_t number = 0;
@@ -22,13 +22,20 @@
   TimerService() = default;
   TimerService(const TimerService&) = delete;
   TimerService& operator=(const TimerService&) = delete;
+  TimerService(TimerService&&) = delete;
+  TimerService& operator=(TimerService&&) = delete;
   virtual ~TimerService() = default;
 
-  virtual Time now() const = 0;                           // monotonic, tenths of a millisecond, never 0
-  virtual Timer at(Time when, Call call) = 0;             // once, at or after that moment
-  virtual void cancel(Timer& alarm) = 0;                  // also where it has rung or names none
-  virtual void post(Call call) = 0;                       // when what runs now has returned
-  virtual std::int64_t nanoseconds() const { return 0; }  // for measuring spent time only; 0: not measured
+  // Monotonic, in tenths of a millisecond, never 0.
+  virtual Time now() const = 0;
+  // Runs the call once, at or after that moment.
+  virtual Timer at(Time when, Call call) = 0;
+  // Nothing happens where the timer has fired or names none.
+  virtual void cancel(Timer& timer) = 0;
+  // Runs the call when what runs now has returned.
+  virtual void post(Call call) = 0;
+  // For measuring spent time only; 0: not measured.
+  virtual std::int64_t nanoseconds() const { return 0; }
 };
 
 }  // namespace rushhill::core
--- a/src/deployment/deployment_file.cpp
+++ b/src/deployment/deployment_file.cpp
@@ -137,54 +137,64 @@
       {"router", "routers", "1",
        [](P& p, S v) { p.module.routers = static_cast<int>(whole_in(v, 1, 10000)); }},
       {"router", "location", "", [](P& p, S v) { p.module.location = v.empty() ? v : name(v); }},
-      {"router", "tick", "20ms", [](P& p, S v) { p.module.tick = time_above_0(v); }},
+      {"router", "tick", "20ms", [](P& p, S v) { p.module.tick = to_duration(time_above_0(v)); }},
       {"router", "seed", "0",
        [](P& p, S v) {
          p.seed = static_cast<std::uint64_t>(whole_in(v, 0, std::numeric_limits<std::int64_t>::max()));
        }},
-      {"rules", "answer-grace", "16ms", [](P& p, S v) { p.module.answer_grace = time(v); }},
-      {"rules", "drain-grace", "2s", [](P& p, S v) { p.module.drain_grace = time(v); }},
-      {"rules", "ask-every", "10s", [](P& p, S v) { p.module.ask_every = time_above_0(v); }},
-      {"rules", "fall-multiple", "2", [](P& p, S v) { p.module.fall_multiple = number_in(v, 1, 100); }},
-      {"rules", "fall-span", "1500ms", [](P& p, S v) { p.module.fall_span = time_above_0(v); }},
-      {"rules", "cold-share", "0.16", [](P& p, S v) { p.module.cold_share = number_in(v, 0.001, 1); }},
-      {"rules", "cold-span", "16s", [](P& p, S v) { p.module.cold_span = time_above_0(v); }},
-      {"rules", "load-window", "0", [](P& p, S v) { p.module.load_window = time(v); }},
-      {"rules", "load-free", "0", [](P& p, S v) { p.module.load_free = number_in(v, 0, 1e6); }},
-      {"rules", "loads-per-event", "0", [](P& p, S v) { p.module.loads_per_event = number_in(v, 0, 1e3); }},
+      // Keys that are only checked stand for facts that no decision needs.
+      {"rules", "answer-grace", "16ms", [](P&, S v) { time(v); }},
+      {"rules", "drain-grace", "2s", [](P& p, S v) { p.module.drain_grace = to_duration(time(v)); }},
+      {"rules", "ask-every", "10s", [](P&, S v) { time_above_0(v); }},
+      {"rules", "fall-multiple", "2",
+       [](P& p, S v) { p.module.slow_start.budget_multiple = number_in(v, 1, 100); }},
+      {"rules", "fall-span", "1500ms",
+       [](P& p, S v) { p.module.slow_start.budget_span = to_duration(time_above_0(v)); }},
+      {"rules", "cold-share", "0.16",
+       [](P& p, S v) { p.module.slow_start.initial_capacity = number_in(v, 0.001, 1); }},
+      {"rules", "cold-span", "16s",
+       [](P& p, S v) { p.module.slow_start.warm_up_span = to_duration(time_above_0(v)); }},
+      {"rules", "load-window", "0", [](P& p, S v) { p.module.load_budget.window = to_duration(time(v)); }},
+      {"rules", "load-free", "0", [](P& p, S v) { p.module.load_budget.free_loads = number_in(v, 0, 1e6); }},
+      {"rules", "loads-per-event", "0",
+       [](P& p, S v) { p.module.load_budget.loads_per_request = number_in(v, 0, 1e3); }},
       {"permissions", "shots", "5",
-       [](P& p, S v) { p.module.attempt_limit = static_cast<int>(whole_in(v, 1, 100)); }},
+       [](P& p, S v) { p.module.retries.attempt_limit = static_cast<int>(whole_in(v, 1, 100)); }},
       {"permissions", "open", "20000",
-       [](P& p, S v) { p.module.open_cap = static_cast<int>(whole_in(v, 1, 1'000'000)); }},
-      {"permissions", "call-off", "yes", [](P& p, S v) { p.module.cancel = flag(v); }},
-      {"permissions", "second-copies", "no", [](P& p, S v) { p.module.second_copies = flag(v); }},
-      {"permissions", "probing", "yes", [](P& p, S v) { p.module.probing = flag(v); }},
-      {"permissions", "peers", "no", [](P& p, S v) { p.module.peers = flag(v); }},
-      {"permissions", "retry-advice", "yes", [](P& p, S v) { p.module.retry_advice = flag(v); }},
+       [](P& p, S v) { p.module.open_request_limit = static_cast<int>(whole_in(v, 1, 1'000'000)); }},
+      {"permissions", "call-off", "yes", [](P& p, S v) { p.module.retries.cancel_attempts = flag(v); }},
+      {"permissions", "second-copies", "no", [](P& p, S v) { p.module.retries.hedging = flag(v); }},
+      {"permissions", "probing", "yes", [](P& p, S v) { p.module.reports.probes = flag(v); }},
+      {"permissions", "peers", "no", [](P& p, S v) { p.module.reports.gossip = flag(v); }},
+      {"permissions", "retry-advice", "yes", [](P& p, S v) { p.module.retries.retry_after = flag(v); }},
       {"permissions", "longest-retry-advice", "500ms",
-       [](P& p, S v) { p.module.longest_retry_advice = time(v); }},
+       [](P& p, S v) { p.module.retries.longest_retry_after = to_duration(time(v)); }},
       {"permissions", "over-share-worth", "1",
-       [](P& p, S v) { p.module.over_share_worth = number_in(v, 0, 1); }},
-      {"functions", "orders", "yes", [](P& p, S v) { p.module.orders = flag(v); }},
+       [](P& p, S v) { p.module.over_quota_value = number_in(v, 0, 1); }},
+      {"functions", "orders", "yes", [](P& p, S v) { p.module.copies.prewarm = flag(v); }},
       {"functions", "when-missing", "load",
        [](P& p, S v) {
-         p.module.miss_answers = word<bool>(v, {{"load", false}, {"miss", true}});
+         p.module.copies.missing_is_answered = word<bool>(v, {{"load", false}, {"miss", true}});
        }},
-      {"functions", "tells-warm", "yes", [](P& p, S v) { p.module.tells_warm = flag(v); }},
-      {"functions", "tells-crowd", "yes", [](P& p, S v) { p.module.tells_crowd = flag(v); }},
-      {"functions", "keep-alive", "10s", [](P& p, S v) { p.module.keep_alive = time_above_0(v); }},
-      {"functions", "order-limit", "10s", [](P& p, S v) { p.module.order_limit = time_above_0(v); }},
-      {"functions", "memory-price", "0", [](P& p, S v) { p.module.memory_price = number_in(v, 0, 1); }},
+      {"functions", "tells-warm", "yes", [](P& p, S v) { p.module.copies.state_is_reported = flag(v); }},
+      {"functions", "tells-crowd", "yes", [](P&, S v) { flag(v); }},
+      {"functions", "keep-alive", "10s",
+       [](P& p, S v) { p.module.copies.keep_alive = to_duration(time_above_0(v)); }},
+      {"functions", "order-limit", "10s",
+       [](P& p, S v) { p.module.copies.prewarm_timeout = to_duration(time_above_0(v)); }},
+      {"functions", "memory-price", "0", [](P&, S v) { number_in(v, 0, 1); }},
       {"functions", "crossing-price", "0",
-       [](P& p, S v) { p.module.prices["cross-zone"] = number_in(v, 0, 1); }},
-      {"functions", "fetch-price", "0", [](P& p, S v) { p.module.prices["origin"] = number_in(v, 0, 1); }},
+       [](P& p, S v) { p.module.prices.cross_location = number_in(v, 0, 1); }},
+      {"functions", "fetch-price", "0", [](P& p, S v) { p.module.prices.load = number_in(v, 0, 1); }},
       {"servers", "reports", "answers",
        [](P& p, S v) {
-         p.module.reports =
+         p.module.reports.load_reports =
              word<const char*>(v, {{"answers", "answers"}, {"probe", "probe"}, {"none", "none"}});
        }},
-      {"servers", "connect-limit", "250ms", [](P& p, S v) { p.module.connect_limit = time_above_0(v); }},
-      {"servers", "connection-idle", "15s", [](P& p, S v) { p.module.connection_idle = time_above_0(v); }},
+      {"servers", "connect-limit", "250ms",
+       [](P& p, S v) { p.module.connect_timeout = to_duration(time_above_0(v)); }},
+      {"servers", "connection-idle", "15s",
+       [](P& p, S v) { p.module.connection_idle_timeout = to_duration(time_above_0(v)); }},
       {"servers", "connections", "256",
        [](P& p, S v) { p.links.connections = static_cast<int>(whole_in(v, 1, 65536)); }},
       {"servers", "reply", "1MiB", [](P& p, S v) { p.links.reply = bytes(v); }},
@@ -218,7 +228,7 @@
       {"roster", "address", "", [](P& p, S v) { p.roster.address = where_or_none(v); }},
       {"roster", "remembered", "", [](P& p, S v) { p.roster.remembered = v; }},
       {"roster", "retry", "500ms", [](P& p, S v) { p.roster.retry = time_above_0(v); }},
-      {"roster", "pushed", "yes", [](P& p, S v) { p.module.roster_on_request = !flag(v); }},
+      {"roster", "pushed", "yes", [](P& p, S v) { p.module.endpoints_on_request = !flag(v); }},
       {"peers", "listen", "", [](P& p, S v) { p.peers.listen = where_or_none(v); }},
       {"replica", "listen", "",
        [](P& p, S v) {
@@ -258,8 +268,9 @@
   using S = const std::string&;
   static const std::vector<Key<TypeSection>> all{
       {"traffic", "event-type", "", [](T& t, S v) { t.event_type = v; }},
-      {"traffic", "due", nullptr, [](T& t, S v) { t.type.latency_objective = time_above_0(v); }},
-      {"traffic", "hard-limit", nullptr, [](T& t, S v) { t.type.deadline_span = time_above_0(v); }},
+      {"traffic", "due", nullptr, [](T& t, S v) { t.type.latency_objective = to_duration(time_above_0(v)); }},
+      {"traffic", "hard-limit", nullptr,
+       [](T& t, S v) { t.type.deadline_span = to_duration(time_above_0(v)); }},
       {"traffic", "importance", "1", [](T& t, S v) { t.type.priority_weight = number_in(v, 0, 1e6); }},
       {"traffic", "late-share", "0", [](T& t, S v) { t.type.late_value_share = number_in(v, 0, 1); }},
       {"traffic", "effect", "at-most-once",
@@ -274,7 +285,7 @@
                                                                    {"location", DeduplicationScope::location},
                                                                    {"cell", DeduplicationScope::cell}});
        }},
-      {"traffic", "memory-span", "0", [](T& t, S v) { t.type.deduplication_span = time(v); }},
+      {"traffic", "memory-span", "0", [](T& t, S v) { t.type.deduplication_span = to_duration(time(v)); }},
       {"traffic", "marks", "none",
        [](T& t, S v) {
          t.marks = word<replica::MarkLevel>(v, {{"none", replica::MarkLevel::none},
@@ -348,7 +359,7 @@
         program.mqtt.topics.push_back(topic);
       } else if (gap != std::string::npos && kind == "kind") {
         const std::string of = named(line, section, gap);
-        kind_memory(program, section, of, written);
+        kind_memory(program, section, written);
       } else if (section == "peers") {
         routers(program.peers.addresses, program.module.routers, written);
       } else if (section == "replica") {
@@ -361,7 +372,8 @@
               "traffic NAME, customer NAME, kind NAME, mqtt-topic NAME");
       }
     }
-    program.module.ration_told = !program.replica.listen.empty() && program.module.load_window > 0;
+    program.module.load_budget.restored_after_restart =
+        !program.replica.listen.empty() && program.module.load_budget.window > Duration::zero();
     if (faults_.empty()) together(program);
     if (!faults_.empty()) throw BadFile(std::move(faults_));
     return program;
@@ -500,7 +512,8 @@
     if (row.type.deadline_span <= 2 * program.module.tick)
       fault(at("hard-limit"), "hard-limit",
             "is not longer than two ticks: rule 1 (one final answer in time) could not be kept");
-    if (row.type.deadline_span > hour) fault(at("hard-limit"), "hard-limit", "is longer than an hour");
+    if (row.type.deadline_span > to_duration(hour))
+      fault(at("hard-limit"), "hard-limit", "is longer than an hour");
     if (row.type.retry_safety == RetrySafety::keyed && row.type.deduplication_span <= program.module.tick)
       fault(
           at("memory-span"), "memory-span",
@@ -513,19 +526,19 @@
       fault(at("marks"), "marks", "are told or held, but [replica] has no listen");
     if (row.marks != replica::MarkLevel::none && row.type.retry_safety == RetrySafety::idempotent)
       fault(at("marks"), "marks", "of a reissuable type bring nothing: it may run twice");
-    if (row.marks != replica::MarkLevel::none && program.replica.mark_life <= row.type.deadline_span)
+    if (row.marks != replica::MarkLevel::none &&
+        to_duration(program.replica.mark_life) <= row.type.deadline_span)
       fault(line_of("replica", "mark-life"), "mark-life", "is not longer than the hard limit of " + type);
     if (row.marks != replica::MarkLevel::none) program.replica.marks[type] = row.marks;
     program.module.request_classes.push_back(row.type);
   }
 
-  void kind_memory(Program& program, const std::string& section, const std::string& kind,
-                   const Section& written) {
+  // Checked only: no decision needs it.
+  void kind_memory(Program& program, const std::string& section, const Section& written) {
     double memory = 0;
     const std::vector<Key<double>> table{
         {"kind", "memory-mb", nullptr, [](double& m, const std::string& v) { m = number_in(v, 1, 1e9); }}};
     fill(section, section_lines_.at(section), table, memory, written, program);
-    program.module.kind_memory_mb[kind] = memory;
   }
 
   // router-0 = 127.0.0.1:9100 and so on.
@@ -556,17 +569,18 @@
     if (d.router_number >= d.routers)
       fault(line_of("router", "number"), "number", "is not below routers, " + std::to_string(d.routers));
     if (d.request_classes.empty()) fault(0, "[traffic NAME]", "is missing: no event could be taken");
-    if (d.peers && program.peers.listen.empty())
+    if (d.reports.gossip && program.peers.listen.empty())
       fault(line_of("permissions", "peers"), "peers", "is yes but [peers] has no listen");
-    if (d.load_window > 0 && !d.orders)
+    if (d.load_budget.window > Duration::zero() && !d.copies.prewarm)
       fault(line_of("rules", "load-window"), "load-window", "rations orders, but [functions] orders is no");
-    if (d.load_window > 0 && d.load_free < 1 && d.loads_per_event <= 0)
+    if (d.load_budget.window > Duration::zero() && d.load_budget.free_loads < 1 &&
+        d.load_budget.loads_per_request <= 0)
       fault(line_of("rules", "load-free"), "load-free",
             "below 1 with loads-per-event 0 permits no order at all: write [functions] orders = no");
-    if (d.miss_answers && !d.orders)
+    if (d.copies.missing_is_answered && !d.copies.prewarm)
       fault(line_of("functions", "when-missing"), "when-missing",
             "is miss, but without orders nothing would ever be loaded");
-    if (d.reports == "probe" && !d.probing)
+    if (d.reports.load_reports == "probe" && !d.reports.probes)
       fault(line_of("servers", "reports"), "reports", "come with probes, but [permissions] probing is no");
     if (program.replica.held_by >= std::max(d.routers, 1))
       fault(line_of("replica", "held-by"), "held-by",
@@ -584,7 +598,7 @@
     double shares = 0;
     for (const Tenant& customer : d.tenants) shares += customer.share;
     if (shares > 1.000001) fault(0, "[customer NAME] share", "of all customers is more than 1 together");
-    if (d.tick >= d.drain_grace && d.drain_grace > 0)
+    if (d.tick >= d.drain_grace && d.drain_grace > Duration::zero())
       fault(line_of("rules", "drain-grace"), "drain-grace",
             "is not longer than the tick: rule 3 (drains are kept) could not be kept");
   }
--- a/src/deployment/deployment_file.h
+++ b/src/deployment/deployment_file.h
@@ -7,10 +7,10 @@
 #include <string_view>
 #include <vector>
 
-#include "core/ports.h"
-#include "decide.h"
+#include "core/event_log.h"
 #include "mqtt/packets.h"
 #include "replica/state.h"
+#include "routing/configuration.h"
 
 namespace rushhill::deployment {
 
--- a/src/emulator/emulation.cpp
+++ b/src/emulator/emulation.cpp
@@ -4,6 +4,7 @@
 #include <stdexcept>
 
 #include "deployment/deployment_file.h"
+#include "transport/reactor.h"
 
 namespace rushhill::emulator {
 namespace {
--- a/src/emulator/emulation.h
+++ b/src/emulator/emulation.h
@@ -7,15 +7,17 @@
 #include <string>
 #include <vector>
 
-#include "core/ports.h"
+#include "core/event_log.h"
 #include "emulator/network.h"
 #include "router/router_process.h"
+#include "routing/time.h"
 #include "standin/clients.h"
 #include "standin/day.h"
 #include "standin/fleet.h"
 #include "standin/links.h"
 #include "standin/record.h"
 #include "standin/roster_board.h"
+#include "transport/bound_socket.h"
 
 namespace rushhill::emulator {
 
--- a/src/fastcgi/records.h
+++ b/src/fastcgi/records.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "decide.h"
+#include "routing/time.h"
 
 namespace rushhill::fastcgi {
 
--- a/src/frontends/fastcgi_front.cpp
+++ b/src/frontends/fastcgi_front.cpp
@@ -7,6 +7,9 @@
 #include <utility>
 #include <vector>
 
+#include "core/client.h"
+#include "routing/configuration.h"
+
 namespace rushhill::frontends {
 namespace {
 
@@ -73,7 +76,7 @@
       told.lanes = *value;
     } else if (name == "load_ms") {
       if (*value > most_load_ms) return false;
-      told.load_time = static_cast<Time>(std::ceil(*value * 10));
+      told.load_time = to_duration(static_cast<Time>(std::ceil(*value * 10)));
     }
   }
   return true;
@@ -114,7 +117,7 @@
   const auto allowed = allow == nullptr ? std::nullopt : number_of<std::int64_t>(*allow);
   if (!allowed || *allowed <= 0) return no(400, "X-Allow-Ms is not a number above 0");
   // Compared before it is multiplied: it may be any number.
-  if (*allowed > (known->deadline_span + rounding) / 10)
+  if (*allowed > (to_ticks(known->deadline_span) + rounding) / 10)
     return no(400, "X-Allow-Ms is beyond the class's deadline");
   const std::string* team = request.param("HTTP_X_TEAM");
   const bool named = team != nullptr &&
@@ -134,7 +137,7 @@
   asked.told.request_class = type;
   if (named) asked.told.tenant = *team;
   asked.told.function = *item;
-  asked.told.time_left = std::max<Time>(*allowed * 10 - way_back, 1);
+  asked.told.time_left = to_duration(std::max<Time>(*allowed * 10 - way_back, 1));
   asked.message.id = *id;
   asked.message.type = type;
   asked.message.others["function"] = *item;
@@ -258,8 +261,9 @@
       return reply(number, keep, response(200, "OK", "", to_prometheus(front_.counts_), metrics_type));
     }
     Asked asked = read_request(front_.gateway_.configuration(), std::move(request));
-    asked.told.time_left = front_.time_left(asked.told.time_left, stream_->unread_age());
-    if (asked.status == 0 && front_.answer_by_ != 0 && asked.told.time_left <= 0) {
+    asked.told.time_left =
+        to_duration(front_.time_left(to_ticks(asked.told.time_left), stream_->unread_age()));
+    if (asked.status == 0 && front_.answer_by_ != 0 && asked.told.time_left <= Duration::zero()) {
       reader_.ended(number);
       return reply_overloaded(number, keep);
     }
--- a/src/frontends/fastcgi_front.h
+++ b/src/frontends/fastcgi_front.h
@@ -7,12 +7,14 @@
 #include <set>
 #include <string>
 
+#include "core/event_log.h"
 #include "core/gateway.h"
 #include "fastcgi/records.h"
 #include "frontends/eviction.h"
 #include "frontends/request_accounting.h"
+#include "routing/configuration.h"
+#include "transport/listener.h"
 #include "transport/numbered.h"
-#include "transport/reactor.h"
 
 namespace rushhill::frontends {
 
--- a/src/frontends/http_front.cpp
+++ b/src/frontends/http_front.cpp
@@ -7,6 +7,8 @@
 #include <utility>
 #include <vector>
 
+#include "core/client.h"
+
 namespace rushhill::frontends {
 namespace {
 
--- a/src/frontends/http_front.h
+++ b/src/frontends/http_front.h
@@ -7,13 +7,14 @@
 #include <memory>
 #include <string>
 
+#include "core/event_log.h"
 #include "core/gateway.h"
 #include "core/intake.h"
 #include "frontends/eviction.h"
 #include "frontends/request_accounting.h"
 #include "transport/http.h"
+#include "transport/listener.h"
 #include "transport/numbered.h"
-#include "transport/reactor.h"
 
 namespace rushhill::frontends {
 
--- a/src/frontends/mqtt_front.cpp
+++ b/src/frontends/mqtt_front.cpp
@@ -12,6 +12,7 @@
 
 #include "admission/deliveries.h"
 #include "admission/tries.h"
+#include "core/client.h"
 
 namespace rushhill::frontends {
 namespace {
@@ -279,7 +280,7 @@
       dead(packet.payload, packet.topic, bad.what());
       return settle(held, mqtt::payload_format_invalid);
     }
-    message.limit = reactor_.now() + message.told.time_left;
+    message.limit = reactor_.now() + to_ticks(message.told.time_left);
     if (const auto expiry = packet.properties.message_expiry)
       message.limit = std::min(message.limit, reactor_.now() + Time{10'000} * *expiry);
     message.mark = message.event.source + " " + message.event.id;
@@ -339,7 +340,7 @@
   }
 
   void take(const Held& message) {
-    message->told.time_left = message->limit - reactor_.now();
+    message->told.time_left = to_duration(message->limit - reactor_.now());
     const auto harmless = [&](Packet& reply) { problem(reply, "shed", true, 0); };
     if (message->told.time_left <= front_.gateway_.configuration().tick) {
       ++front_.tally_.expired;
--- a/src/frontends/mqtt_front.h
+++ b/src/frontends/mqtt_front.h
@@ -7,6 +7,7 @@
 #include <string>
 #include <vector>
 
+#include "core/event_log.h"
 #include "core/gateway.h"
 #include "core/intake.h"
 #include "deployment/deployment_file.h"
--- a/src/lab/badday.cpp
+++ b/src/lab/badday.cpp
@@ -22,6 +22,7 @@
 #include "standin/day.h"
 #include "standin/parts.h"
 #include "standin/record.h"
+#include "transport/reactor.h"
 
 namespace rushhill::lab {
 namespace {
--- a/src/lab/lag.cpp
+++ b/src/lab/lag.cpp
@@ -7,8 +7,10 @@
 #include <random>
 #include <string>
 
+#include "core/event_log.h"
 #include "emulator/network.h"
 #include "replicating/replica_links.h"
+#include "transport/reactor.h"
 
 namespace rushhill::lab {
 namespace {
--- a/src/lab/lag.h
+++ b/src/lab/lag.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "decide.h"
+#include "routing/time.h"
 
 namespace rushhill::lab {
 
--- a/src/lab/mqtt_pump.h
+++ b/src/lab/mqtt_pump.h
@@ -12,7 +12,7 @@
 
 #include "lab/pump.h"
 #include "mqtt/packets.h"
-#include "transport/reactor.h"
+#include "transport/listener.h"
 
 namespace rushhill::lab {
 
--- a/src/lab/pump.h
+++ b/src/lab/pump.h
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "transport/reactor.h"
+#include "transport/listener.h"
 
 namespace rushhill::lab {
 
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -17,6 +17,7 @@
 #include <stdexcept>
 #include <vector>
 
+#include "routing/time.h"
 #include "scale/costs.h"
 #include "scale/fit.h"
 #include "scale/size.h"
--- a/src/line_protocol/answers.h
+++ b/src/line_protocol/answers.h
@@ -6,8 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/ports.h"
-#include "decide.h"
+#include "core/upstream_transport.h"
 
 namespace rushhill::line_protocol {
 
--- a/src/log/event_log.h
+++ b/src/log/event_log.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "core/ports.h"
+#include "core/event_log.h"
 
 namespace spdlog {
 class logger;
--- a/src/membership/board_client.h
+++ b/src/membership/board_client.h
@@ -7,7 +7,8 @@
 #include <random>
 #include <string>
 
-#include "core/ports.h"
+#include "core/endpoint_list_source.h"
+#include "core/event_log.h"
 #include "membership/board_words.h"
 #include "membership/start_times.h"
 #include "transport/reactor.h"
--- a/src/membership/board_words.cpp
+++ b/src/membership/board_words.cpp
@@ -19,7 +19,7 @@
   entry.endpoint.cell = static_cast<int>(fields.whole("block", 0));
   entry.endpoint.rating = fields.number("share", 1);
   const std::int64_t born = fields.whole("born_ms", 0);
-  entry.endpoint.started = born == 0 ? 0 : born * 10 - wall_offset;
+  entry.endpoint.started = to_timestamp(born == 0 ? 0 : born * 10 - wall_offset);
   return entry;
 }
 
--- a/src/membership/board_words.h
+++ b/src/membership/board_words.h
@@ -6,8 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/ports.h"
-#include "decide.h"
+#include "core/endpoint_list_source.h"
 #include "settings/fields.h"
 
 namespace rushhill::membership {
--- a/src/membership/roster_client.h
+++ b/src/membership/roster_client.h
@@ -6,7 +6,8 @@
 #include <random>
 #include <string>
 
-#include "core/ports.h"
+#include "core/endpoint_list_source.h"
+#include "core/event_log.h"
 #include "membership/roster_words.h"
 #include "membership/start_times.h"
 #include "transport/reactor.h"
--- a/src/membership/roster_words.cpp
+++ b/src/membership/roster_words.cpp
@@ -52,7 +52,8 @@
     throw Fault("field 'id' holds more than visible ASCII characters");
   read.address = text(entry, "address", "");
   const double started_ms = number(entry, "started_ms", 0, 0, 1e14);
-  if (started_ms > 0) read.endpoint.started = std::max<Time>(std::llround(started_ms * 10) - wall_offset, 1);
+  if (started_ms > 0)
+    read.endpoint.started = to_timestamp(std::max<Time>(std::llround(started_ms * 10) - wall_offset, 1));
   read.endpoint.rating = number(entry, "rating", 1, 0, 1e9);
   read.endpoint.kind = text(entry, "kind", "");
   read.endpoint.location = text(entry, "location", "");
@@ -118,7 +119,8 @@
   for (const core::EndpointListEntry& entry : word.entries) {
     const Endpoint& server = entry.endpoint;
     Json row{{"id", server.id}, {"address", entry.address}, {"condition", name_of(server.state)}};
-    if (server.started > 0) row["started_ms"] = static_cast<double>(server.started + wall_offset) / 10;
+    if (server.started > Timestamp{})
+      row["started_ms"] = static_cast<double>(to_ticks(server.started) + wall_offset) / 10;
     if (server.rating != 1) row["rating"] = server.rating;
     if (!server.kind.empty()) row["kind"] = server.kind;
     if (!server.location.empty()) row["location"] = server.location;
--- a/src/membership/start_times.cpp
+++ b/src/membership/start_times.cpp
@@ -27,7 +27,8 @@
 
 Time latest_start(const EndpointEntries& entries) {
   Time latest = 0;
-  for (const core::EndpointListEntry& entry : entries) latest = std::max(latest, entry.endpoint.started);
+  for (const core::EndpointListEntry& entry : entries)
+    latest = std::max(latest, to_ticks(entry.endpoint.started));
   return latest;
 }
 
@@ -41,14 +42,14 @@
   for (core::EndpointListEntry& entry : entries) {
     const auto known = earlier.find(entry.endpoint.id);
     const StartTime last = known != earlier.end() ? known->second : StartTime{};
-    StartTime start{.told = entry.endpoint.started, .translated = last.translated};
+    StartTime start{.told = to_ticks(entry.endpoint.started), .translated = last.translated};
     if (start.told == 0) start.translated = 0;
     if (start.told != 0 && start.told != last.told) {
       start.translated = first_translation(start.told);
       // Another start is another incarnation, also where both are heard of at one moment.
       if (start.translated == last.translated) ++start.translated;
     }
-    entry.endpoint.started = start.translated;
+    entry.endpoint.started = to_timestamp(start.translated);
     // Most servers started long ago; of these nothing has to be kept.
     const bool kept = start.told != 0 && entry.endpoint.state != EndpointState::removed;
     if (kept) {
--- a/src/membership/start_times.h
+++ b/src/membership/start_times.h
@@ -4,8 +4,7 @@
 #include <map>
 #include <vector>
 
-#include "core/ports.h"
-#include "decide.h"
+#include "core/endpoint_list_source.h"
 #include "transport/reactor.h"
 
 namespace rushhill::membership {
--- a/src/node/configuration.cpp
+++ b/src/node/configuration.cpp
@@ -4,7 +4,7 @@
 #include <stdexcept>
 
 #include "settings/deployment.h"
-#include "transport/reactor.h"
+#include "transport/address.h"
 
 namespace rushhill::node {
 namespace {
@@ -56,7 +56,7 @@
   const std::int64_t memory = limits.whole("memory_mb", 0);
   read.memory_mb = memory > 0 ? static_cast<std::size_t>(memory) : 0;
   read.module = settings::read_deployment(fields.object("settings"));
-  if (read.module.peers) {
+  if (read.module.reports.gossip) {
     read.peer_listen = address(fields, "peer_listen");
     read.peers = fields.texts("peers");
     read.peers_all = fields.text("peers_all", "");
--- a/src/node/configuration.h
+++ b/src/node/configuration.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "decide.h"
 #include "membership/board_words.h"
+#include "routing/configuration.h"
 
 namespace rushhill::node {
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -4,6 +4,8 @@
 #include <string>
 #include <utility>
 
+#include "core/endpoint_list_source.h"
+#include "core/peer_messenger.h"
 #include "membership/board_client.h"
 
 namespace rushhill::node {
@@ -36,20 +38,23 @@
 
 Node::Node(transport::Reactor& reactor, const Configuration& told, core::EventLog& diary)
     : reactor_(reactor), diary_(diary), shares_(transport::share_descriptors(told.sockets, reserve)),
-      pool_(reactor,
-            {.shots_a_connection = std::max(told.module.shots_a_connection, 1),
-             .connections = shares_.servers,
-             .connect_limit = told.module.connect_limit > 0 ? told.module.connect_limit : 2'500,
-             .idle = static_cast<Time>(static_cast<double>(told.module.connection_idle) * idle_part),
-             .reports = told.module.reports != "" && told.module.reports != "none"},
-            diary),
-      peers_(!told.module.peers ? nullptr
-                                : std::make_unique<transport::BarePeers>(
-                                      reactor, transport::numeric_address(told.peer_listen),
-                                      told.module.router_number, told.peers, told.peers_all,
-                                      [this](int router, const std::string& bytes) {
-                                        gateway_.gossip_received(router, bytes);
-                                      })),
+      pool_(
+          reactor,
+          {.shots_a_connection = std::max(told.module.requests_per_connection, 1),
+           .connections = shares_.servers,
+           .connect_limit =
+               told.module.connect_timeout > Duration::zero() ? to_ticks(told.module.connect_timeout) : 2'500,
+           .idle = static_cast<Time>(static_cast<double>(to_ticks(told.module.connection_idle_timeout)) *
+                                     idle_part),
+           .reports = told.module.reports.load_reports != "" && told.module.reports.load_reports != "none"},
+          diary),
+      peers_(!told.module.reports.gossip ? nullptr
+                                         : std::make_unique<transport::BarePeers>(
+                                               reactor, transport::numeric_address(told.peer_listen),
+                                               told.module.router_number, told.peers, told.peers_all,
+                                               [this](int router, const std::string& bytes) {
+                                                 gateway_.gossip_received(router, bytes);
+                                               })),
       board_(std::make_unique<membership::BoardClient>(
           reactor, transport::numeric_address(told.board), settings::Fields(told.known, "known").whole("rev"),
           told.seed, diary,
@@ -73,9 +78,9 @@
     gateway_.endpoints_updated(whole ? EndpointListForm::cached : EndpointListForm::delta, notice.entries);
   }
   if (first) gateway_.endpoints_updated(EndpointListForm::cached, {});
-  if (!told.module.roster_on_request) board_->watch(true);
+  if (!told.module.endpoints_on_request) board_->watch(true);
   for (const RequestClass& type : told.module.request_classes)
-    longest_limit_ = std::max(longest_limit_, type.deadline_span);
+    longest_limit_ = std::max(longest_limit_, to_ticks(type.deadline_span));
   fixed_ = told.fixed;
   front_.ready(true);
   address_ = front_.listen(transport::numeric_address(told.listen));
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -5,12 +5,14 @@
 #include <functional>
 #include <memory>
 
+#include "core/event_log.h"
 #include "core/gateway.h"
 #include "frontends/fastcgi_front.h"
 #include "membership/board_client.h"
 #include "node/configuration.h"
 #include "transport/bare_peers.h"
 #include "transport/descriptors.h"
+#include "transport/reactor.h"
 #include "upstream/line_pool.h"
 
 namespace rushhill::node {
--- a/src/node/reloader.h
+++ b/src/node/reloader.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <string>
 
-#include "core/ports.h"
+#include "core/event_log.h"
 #include "core/timer_service.h"
 #include "node/configuration.h"
 
--- a/src/replica/conversation.h
+++ b/src/replica/conversation.h
@@ -10,6 +10,7 @@
 
 #include "replica/frames.h"
 #include "replica/replica.h"
+#include "routing/time.h"
 
 namespace rushhill::replica {
 
--- a/src/replica/frames.cpp
+++ b/src/replica/frames.cpp
@@ -6,6 +6,7 @@
 #include <optional>
 
 #include "frames.pb.h"
+#include "routing/time.h"
 
 namespace rushhill::replica {
 namespace {
--- a/src/replica/marks.h
+++ b/src/replica/marks.h
@@ -10,6 +10,7 @@
 #include <string_view>
 
 #include "replica/replica.h"
+#include "routing/time.h"
 
 namespace rushhill::replica {
 
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -11,6 +11,7 @@
 #include <set>
 
 #include "replica/state.h"
+#include "routing/time.h"
 
 namespace rushhill::replica {
 
--- a/src/replica/state.h
+++ b/src/replica/state.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "decide.h"
+#include "routing/time.h"
 
 namespace rushhill::replica {
 
--- a/src/replicating/replica_links.h
+++ b/src/replicating/replica_links.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "core/ports.h"
+#include "core/event_log.h"
 #include "replica/conversation.h"
+#include "transport/listener.h"
 #include "transport/numbered.h"
-#include "transport/reactor.h"
 
 namespace rushhill::replicating {
 
--- a/src/router/remembered_endpoint_list.cpp
+++ b/src/router/remembered_endpoint_list.cpp
@@ -6,6 +6,8 @@
 #include <stdexcept>
 #include <utility>
 
+#include "routing/types.h"
+
 namespace rushhill::router {
 namespace {
 
--- a/src/router/remembered_endpoint_list.h
+++ b/src/router/remembered_endpoint_list.h
@@ -12,7 +12,7 @@
 #include <random>
 #include <string>
 
-#include "core/ports.h"
+#include "core/event_log.h"
 #include "core/timer_service.h"
 #include "membership/roster_words.h"
 #include "storage/background_task.h"
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -7,6 +7,9 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "core/deduplication_log.h"
+#include "core/endpoint_list_source.h"
+#include "core/peer_messenger.h"
 #include "transport/descriptors.h"
 
 namespace rushhill::router {
@@ -35,7 +38,7 @@
 std::size_t reserve(const deployment::Program& program) {
   constexpr std::size_t listener_file_and_refused = 3;
   const bool links = !program.replica.listen.empty();
-  return listener_file_and_refused + (program.module.peers ? 1 : 0) +
+  return listener_file_and_refused + (program.module.reports.gossip ? 1 : 0) +
          (program.roster.address.empty() ? 0 : 1) +
          (program.mqtt.address.empty() ? 0 : program.mqtt.topics.size()) +
          (links ? 2 + most_links_of(program) : 0);
@@ -69,11 +72,11 @@
                            {.router = program.module.router_number,
                             .connections = program.links.connections,
                             .total = server_connections_,
-                            .connect_limit = program.module.connect_limit,
-                            .idle = program.module.connection_idle,
+                            .connect_limit = to_ticks(program.module.connect_timeout),
+                            .idle = to_ticks(program.module.connection_idle_timeout),
                             .reply = program.links.reply},
                            diary),
-      peers_(!program.module.peers
+      peers_(!program.module.reports.gossip
                  ? nullptr
                  : std::make_unique<transport::PeerLinks>(
                        reactor, program.peers.listen, program.module.router_number, program.peers.addresses,
@@ -122,7 +125,9 @@
               .request_within = program.http.head_within,
               .idle = program.http.idle,
               .weight = program.http.weight,
-              .come_back = program.module.retry_advice ? program.module.longest_retry_advice : 0}) {
+              .come_back = program.module.retries.retry_after
+                               ? to_ticks(program.module.retries.longest_retry_after)
+                               : 0}) {
   pool_.report_to(gateway_);
   if (shared_) front_.standing([this] { return shared_->standing(); });
   if (remembered_list_) front_.more_metrics([this] { return to_prometheus(remembered_list_->writes()); });
@@ -133,7 +138,7 @@
   start_times.translate_snapshot(membership::read_clocks(reactor), membership::latest_start(recalled.entries),
                                  recalled.form, recalled.entries);
   gateway_.endpoints_updated(recalled.form, recalled.entries);
-  if (roster_ && !program.module.roster_on_request) roster_->watch(true);
+  if (roster_ && !program.module.endpoints_on_request) roster_->watch(true);
   if (!program.mqtt.address.empty())
     mqtt_ = std::make_unique<frontends::MqttFront>(reactor, gateway_, intake_, diary, program.mqtt, seed);
   const std::string& where = program.http.listen;
--- a/src/router/router_process.h
+++ b/src/router/router_process.h
@@ -6,6 +6,7 @@
 #include <memory>
 #include <string>
 
+#include "core/event_log.h"
 #include "core/gateway.h"
 #include "core/intake.h"
 #include "deployment/deployment_file.h"
--- a/src/router/shared_state.cpp
+++ b/src/router/shared_state.cpp
@@ -30,7 +30,8 @@
   const auto routers = static_cast<std::size_t>(std::max(program.module.routers, 1));
   replica::Bounds bounds;
   bounds.life.fill(word_life);
-  bounds.life[static_cast<std::size_t>(replica::Kind::ration)] = ration_life(program.module.load_window);
+  bounds.life[static_cast<std::size_t>(replica::Kind::ration)] =
+      ration_life(to_ticks(program.module.load_budget.window));
   bounds.own.fill(own_words);
   bounds.together.fill(own_words * routers);
   const auto marks = static_cast<std::size_t>(replica::Kind::mark);
@@ -59,7 +60,7 @@
 SharedState::SharedState(transport::Reactor& reactor, const deployment::Program& program, std::uint64_t seed,
                          core::EventLog& diary, RationKnown known, Marked marked)
     : reactor_(reactor), diary_(diary), told_(program.replica), routers_(program.module.routers),
-      others_(others_of(program)), window_(program.module.load_window), born_(reactor.now()),
+      others_(others_of(program)), window_(to_ticks(program.module.load_budget.window)), born_(reactor.now()),
       known_(std::move(known)), marked_(std::move(marked)),
       copy_({program.module.router_number, incarnation_of(seed, reactor.clock_ns())}, bounds_of(program),
             *this),
--- a/src/router/shared_state.h
+++ b/src/router/shared_state.h
@@ -7,10 +7,12 @@
 #include <functional>
 #include <memory>
 
-#include "core/ports.h"
+#include "core/deduplication_log.h"
+#include "core/event_log.h"
 #include "deployment/deployment_file.h"
 #include "replica/marks.h"
 #include "replicating/replica_links.h"
+#include "transport/reactor.h"
 
 namespace rushhill::router {
 
--- a/src/routing/duration.h
+++ b/src/routing/duration.h
@@ -1,7 +1,7 @@
 // Units of Time, which counts whole tenths of a millisecond.
 #pragma once
 
-#include "decide.h"
+#include "routing/time.h"
 
 namespace rushhill::routing {
 
--- a/src/routing/gossip.h
+++ b/src/routing/gossip.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <variant>
 
-#include "decide.h"
+#include "routing/types.h"
 
 namespace rushhill::routing {
 
--- a/src/routing/load_budget.h
+++ b/src/routing/load_budget.h
@@ -9,6 +9,7 @@
 #include <cstddef>
 
 #include "routing/sliding_window.h"
+#include "routing/time.h"
 
 namespace rushhill::routing {
 
--- a/src/routing/overload_control.h
+++ b/src/routing/overload_control.h
@@ -14,6 +14,7 @@
 
 #include "routing/duration.h"
 #include "routing/sliding_window.h"
+#include "routing/time.h"
 
 namespace rushhill::routing {
 
--- a/src/routing/routing_policy.cpp
+++ b/src/routing/routing_policy.cpp
@@ -1,7 +1,7 @@
-// All decisions of a rushhill router: which model server gets each event, when it is shot at again, shed or
-// abandoned, and which copies are held. The router calls one method of Router (decide.h) for each thing that
-// happens, with the clock's reading; the module acts at once by calling the Host handed over at start. It
-// keeps no clock, thread or socket of its own, and one instance knows only what its own router has seen.
+// All decisions of a router: which endpoint gets each request, when it is retried, rejected or failed, and
+// which copies are prewarmed.
+#include "routing/routing_policy.h"
+
 #include <algorithm>
 #include <cmath>
 #include <random>
@@ -9,7 +9,6 @@
 #include <set>
 #include <utility>
 
-#include "decide.h"
 #include "routing/duration.h"
 #include "routing/gossip.h"
 #include "routing/load_budget.h"
@@ -154,15 +153,16 @@
         chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24U) ^ (seed >> 48U))),
         slow_start_(slow_start_limits(deployment)), load_budget_(load_budget_limits(deployment)),
         tenant_quotas_(deployment.tenants, deployment.routers) {
-    const auto price = [&](const char* name) { return d_.prices.contains(name) ? d_.prices.at(name) : 0; };
-    crossing_ = price("cross-zone") / (price("origin") + load_worth);
+    crossing_ = d_.prices.cross_location / (d_.prices.load + load_worth);
     for (const RequestClass& type : d_.request_classes) usual_ = std::max(usual_, row(type).usual);
   }
 
-  void endpoints_updated(Time now, EndpointListForm form, const std::vector<Endpoint>& servers) override {
+  void endpoints_updated(Timestamp moment, EndpointListForm form,
+                         const std::vector<Endpoint>& servers) override {
+    const Time now = to_ticks(moment);
     if (born_ == 0) born_ = kept_ = now, wake_housekeeping(now);
     follow_due_ |=
-        d_.roster_on_request && (form == EndpointListForm::cached || form == EndpointListForm::failed);
+        d_.endpoints_on_request && (form == EndpointListForm::cached || form == EndpointListForm::failed);
     if (form == EndpointListForm::failed) return;
     ++roster_version_;
     std::set<EndpointId> named;
@@ -171,7 +171,7 @@
       auto [it, fresh] = servers_.try_emplace(told.id);
       Server& server = it->second;
       if (fresh) server.tokens = slow_start_.first_tokens(told.id);
-      if (!fresh && told.started != server.told.started) {
+      if (!fresh && to_ticks(told.started) != to_ticks(server.told.started)) {
         server.aside = false, server.reborn = 0, server.past = Past{second};
         forget_copies(told.id);
       }
@@ -190,39 +190,44 @@
     forget_copies(server.told.id);
   }
 
-  void request_received(Time now, const RoutingRequest& told) override {
+  void request_received(Timestamp moment, const RoutingRequest& told) override {
+    const Time now = to_ticks(moment);
     load_budget_.request_taken(now);
     Pending& pending = events_[told.id];
     pending.told = told;
     // A traffic type that was not told at start is of the strictest kind.
-    pending.type = &row(
-        {.name = told.request_class, .latency_objective = second, .retry_safety = RetrySafety::at_most_once});
-    pending.limit = now + told.time_left - d_.tick;
+    pending.type = &row({.name = told.request_class,
+                         .latency_objective = to_duration(second),
+                         .retry_safety = RetrySafety::at_most_once});
+    pending.limit = now + to_ticks(told.time_left) - to_ticks(d_.tick);
     const RequestClass& type = pending.type->told;
-    const auto stretch = static_cast<Time>(type.latency_objective_stretch * static_cast<double>(told.work));
-    pending.due = now + std::max(type.latency_objective,
-                                 std::min(type.deadline_span, type.latency_objective + stretch));
+    const auto stretch =
+        static_cast<Time>(type.latency_objective_stretch * static_cast<double>(to_ticks(told.work)));
+    pending.due =
+        now + std::max(to_ticks(type.latency_objective),
+                       std::min(to_ticks(type.deadline_span), to_ticks(type.latency_objective) + stretch));
     Function& function = functions_[told.function];
     function.lanes = std::max(told.lanes, 1.0);
     function.asked = now;
     function.heat.bucket_at(now) += 1;
     heat_.bucket_at(now) += 1;
-    if (told.load_time > 0) function.load = static_cast<double>(told.load_time);
+    if (to_ticks(told.load_time) > 0) function.load = static_cast<double>(to_ticks(told.load_time));
     pending.over_share = !tenant_quotas_.take(now, told.tenant);
-    if (told.time_left <= d_.tick) return give_up(pending, 0);
-    host_.set_timer(told.id + 1, pending.limit);
+    if (to_ticks(told.time_left) <= to_ticks(d_.tick)) return give_up(pending, 0);
+    host_.set_timer(told.id + 1, to_timestamp(pending.limit));
     // Standing copies are crowded: a part is shed at once, at every router alike, for the rest to be in time.
     const double rejected = overload_control_.share_to_reject(now, told.tenant);
     const bool shed = may_shed(pending) && draw() < rejected;
-    if (shed) return give_up(pending, d_.longest_retry_advice);
+    if (shed) return give_up(pending, to_ticks(d_.retries.longest_retry_after));
     place(now, pending);
   }
 
-  void response_started(Time, RequestId id, int leg) override {
+  void response_started(Timestamp, RequestId id, int leg) override {
     if (const auto it = events_.find(id); it != events_.end()) it->second.streaming = leg;
   }
 
-  void attempt_ended(Time now, const AttemptEnd& end) override {
+  void attempt_ended(Timestamp moment, const AttemptEnd& end) override {
+    const Time now = to_ticks(moment);
     const auto it = events_.find(end.request);
     if (it == events_.end()) return;
     Pending& pending = it->second;
@@ -244,14 +249,15 @@
     if (!pending.done && pending.streaming < 0 && !any_open(pending)) place(now, pending);
   }
 
-  void client_cancelled(Time, RequestId id) override {
+  void client_cancelled(Timestamp, RequestId id) override {
     if (const auto it = events_.find(id); it != events_.end()) {
       it->second.done = true;
       call_off_rest(it->second);
     }
   }
 
-  void timer_fired(Time now, std::int64_t token) override {
+  void timer_fired(Timestamp moment, std::int64_t token) override {
+    const Time now = to_ticks(moment);
     if (token == housekeeping_token) return keep_house(now);
     const auto it = events_.find(token - 1);
     if (it == events_.end() || it->second.done || it->second.streaming >= 0) return;
@@ -259,17 +265,19 @@
     give_up(it->second, 0);
   }
 
-  void probe_ended(Time now, const ProbeEnd& end) override {
+  void probe_ended(Timestamp moment, const ProbeEnd& end) override {
+    const Time now = to_ticks(moment);
     const auto it = servers_.find(end.endpoint);
     if (it == servers_.end()) return;
-    note_contact(now, it->second, end.outcome, end.taken);
+    note_contact(now, it->second, end.outcome, to_ticks(end.taken));
     if (!end.report.contains("util")) return;
     const double busy = end.report.at("util");
     weigh_use(now, it->second, busy);
-    if (d_.peers) tell_peers(routing::UtilizationReported{end.endpoint, busy});
+    if (d_.reports.gossip) tell_peers(routing::UtilizationReported{end.endpoint, busy});
   }
   // A peer saw a server die, lost a connection to it, or saw how busy it is.
-  void gossip_received(Time now, int, const std::string& bytes) override {
+  void gossip_received(Timestamp moment, int, const std::string& bytes) override {
+    const Time now = to_ticks(moment);
     const routing::GossipMessage message = routing::decode(bytes);
     const auto it = servers_.find(routing::endpoint_of(message));
     if (it == servers_.end()) return;
@@ -283,11 +291,13 @@
     seems_dead(now, server);
   }
 
-  void load_budget_restored(Time now, double orders) override {
+  void load_budget_restored(Timestamp moment, double orders) override {
+    const Time now = to_ticks(moment);
     load_budget_.earlier_orders_known(now, orders);
   }
 
-  void prewarm_ended(Time now, const PrewarmEnd& end) override {
+  void prewarm_ended(Timestamp moment, const PrewarmEnd& end) override {
+    const Time now = to_ticks(moment);
     load_budget_.order_ended();
     Entry& entry = functions_[end.function].entries[end.endpoint];
     entry.ordered = false;
@@ -298,19 +308,19 @@
 
  private:
   static routing::SlowStartLimits slow_start_limits(const RoutingConfiguration& deployment) {
-    return {.budget_multiple = deployment.fall_multiple,
-            .budget_span = deployment.fall_span,
-            .initial_capacity = deployment.cold_share,
-            .warm_up_span = deployment.cold_span,
+    return {.budget_multiple = deployment.slow_start.budget_multiple,
+            .budget_span = to_ticks(deployment.slow_start.budget_span),
+            .initial_capacity = deployment.slow_start.initial_capacity,
+            .warm_up_span = to_ticks(deployment.slow_start.warm_up_span),
             .routers = deployment.routers,
             .router_number = deployment.router_number};
   }
   static routing::LoadBudgetLimits load_budget_limits(const RoutingConfiguration& deployment) {
-    return {.orders_permitted = deployment.orders,
-            .window = deployment.load_window,
-            .free_orders = deployment.load_free,
-            .orders_per_request = deployment.loads_per_event,
-            .earlier_orders_follow = deployment.ration_told};
+    return {.orders_permitted = deployment.copies.prewarm,
+            .window = to_ticks(deployment.load_budget.window),
+            .free_orders = deployment.load_budget.free_loads,
+            .orders_per_request = deployment.load_budget.loads_per_request,
+            .earlier_orders_follow = deployment.load_budget.restored_after_restart};
   }
 
   // The guards: every shot and order passes through these.
@@ -320,14 +330,14 @@
   // Rules 1 and 2. Whether the event may have a further shot at this server.
   bool may_shoot(Time now, const Pending& pending, const Server& server) const {
     if (pending.done || pending.streaming >= 0 || now >= pending.limit) return false;
-    if (static_cast<int>(pending.shots.size()) >= d_.attempt_limit) return false;
+    if (static_cast<int>(pending.shots.size()) >= d_.retries.attempt_limit) return false;
     const RequestClass& type = pending.type->told;
     for (const Shot& shot : pending.shots) {
-      if (shot.open && !d_.second_copies) return false;
+      if (shot.open && !d_.retries.hedging) return false;
       if (!shot.open && !shot.may_have_run) continue;
       if (type.retry_safety == RetrySafety::at_most_once) return false;
       if (type.retry_safety == RetrySafety::keyed &&
-          (now - shot.sent + d_.tick >= type.deduplication_span ||
+          (now - shot.sent + to_ticks(d_.tick) >= to_ticks(type.deduplication_span) ||
            !same_group(type.deduplication_scope, shot.server, server))) {
         return false;
       }
@@ -342,7 +352,7 @@
            slow_start_.admits_request(now, since, weight(server), server.tokens, observed_load());
   }
   Time cold_since(Time now, const Server& server) const {
-    return slow_start_.warming_since(now, server.told.started, server.reborn);
+    return slow_start_.warming_since(now, to_ticks(server.told.started), server.reborn);
   }
   routing::ObservedLoad observed_load() const {
     return {.response_time = usual_, .utilization = busy_usual_, .successes = borne_};
@@ -372,7 +382,8 @@
   }
 
   bool stands(Time now, const Entry& entry) const {
-    return entry.open > 0 || entry.ordered || (entry.confirmed && now - entry.used < d_.keep_alive);
+    return entry.open > 0 || entry.ordered ||
+           (entry.confirmed && now - entry.used < to_ticks(d_.copies.keep_alive));
   }
   bool warm(Time now, const Function& function, const EndpointId& server) const {
     const auto it = function.entries.find(server);
@@ -488,9 +499,9 @@
     if (server == nullptr) {
       // Nobody may take it now: it waits here while it can still be answered in time.
       pending.waiting = !pending.over_share && may_shed(pending) &&
-                        static_cast<int>(pending.shots.size()) < d_.attempt_limit &&
+                        static_cast<int>(pending.shots.size()) < d_.retries.attempt_limit &&
                         2 * usual_time(pending, function) < std::min(due_left, left);
-      if (!pending.waiting) return give_up(pending, d_.longest_retry_advice);
+      if (!pending.waiting) return give_up(pending, to_ticks(d_.retries.longest_retry_after));
       waiting_.insert(pending.told.id);
       return;
     }
@@ -498,17 +509,18 @@
     const double usual = usual_time(pending, function), calm = usual * calm_pace_;
     const double wait = wait_at(now, pending, function, *server, server->past.total(now, recent_));
     const double tolerated = pending.over_share ? due_left * over_share_part : due_left;
-    const double in_crowd = due_left * (pending.over_share ? d_.over_share_worth : 1);
+    const double in_crowd = due_left * (pending.over_share ? d_.over_quota_value : 1);
     const bool too_late = wait > std::max(tolerated, 2 * usual) || wait > left ||
                           overload_control_.misses_objective(calm, in_crowd);
-    if (too_late && may_shed(pending) && !any_open(pending)) return give_up(pending, d_.longest_retry_advice);
+    if (too_late && may_shed(pending) && !any_open(pending))
+      return give_up(pending, to_ticks(d_.retries.longest_retry_after));
     shoot(now, pending, function, *server);
   }
 
   void shoot(Time now, Pending& pending, Function& function, Server& server) {
     const EndpointId& id = server.told.id;
     Entry& entry = function.entries[id];
-    const bool confirmed = entry.confirmed && now - entry.used < d_.keep_alive;
+    const bool confirmed = entry.confirmed && now - entry.used < to_ticks(d_.copies.keep_alive);
     entry.confirmed = confirmed;
     ++entry.open;
     pending.shots.push_back({.server = id, .sent = now, .confirmed = confirmed});
@@ -517,7 +529,7 @@
     // Every send weighs as the mean work of its class.
     if (cold_since(now, server) != 0)
       server.tokens.take(routing::SlowStart::cost_of_request(pending.type->usual, observed_load()));
-    host_.send_attempt(pending.told.id, id, 0);
+    host_.send_attempt(pending.told.id, id, Duration::zero());
   }
 
   bool await_order(Time now, Pending& pending, const EndpointId& id) {
@@ -539,7 +551,7 @@
     const bool aside = servers_.at(shot.server).aside;
     const double usual = usual_time(pending, function) * fleet_pace_ * (aside ? quiet_times : patience_times);
     const int loads = (aside ? 0 : 1) + (shot.confirmed ? 0 : 1);
-    return static_cast<Time>(usual + loads * load_time(pending, function)) + 2 * d_.tick;
+    return static_cast<Time>(usual + loads * load_time(pending, function)) + 2 * to_ticks(d_.tick);
   }
 
   // An overdue shot counts against its server at once; where the server looks bad the event goes elsewhere.
@@ -571,16 +583,16 @@
 
   void move_on(Time now, Pending& pending, Function& function) {
     const RequestClass& type = pending.type->told;
-    const bool capped = static_cast<int>(pending.shots.size()) >= d_.attempt_limit;
+    const bool capped = static_cast<int>(pending.shots.size()) >= d_.retries.attempt_limit;
     // Where the fleet is late, what is overdue is only late too: doubling all of it would make that worse.
     if (type.retry_safety == RetrySafety::at_most_once || capped || moves_ < 1) return;
-    if (d_.second_copies) {
+    if (d_.retries.hedging) {
       Server* server = pick(now, pending, function);
       if (server == nullptr || shot_at(pending, server->told.id) != nullptr) return;
       shoot(now, pending, function, *server);
     } else {
-      if (!d_.cancel || (type.retry_safety == RetrySafety::keyed &&
-                         type.deduplication_scope != DeduplicationScope::everywhere))
+      if (!d_.retries.cancel_attempts || (type.retry_safety == RetrySafety::keyed &&
+                                          type.deduplication_scope != DeduplicationScope::everywhere))
         return;
       host_.cancel_attempt(pending.told.id, static_cast<int>(pending.shots.size()) - 1);
     }
@@ -589,7 +601,7 @@
 
   void call_off_rest(Pending& pending) {
     for (std::size_t leg = 0; leg < pending.shots.size(); ++leg) {
-      if (d_.cancel && pending.streaming < 0 && pending.shots[leg].open)
+      if (d_.retries.cancel_attempts && pending.streaming < 0 && pending.shots[leg].open)
         host_.cancel_attempt(pending.told.id, static_cast<int>(leg));
     }
   }
@@ -597,7 +609,10 @@
   void give_up(Pending& pending, Time come_back) {
     const bool harmless = may_shed(pending);
     if (harmless)
-      host_.reject(pending.told.id, d_.retry_advice ? std::min(come_back, d_.longest_retry_advice) : 0);
+      host_.reject(
+          pending.told.id,
+          to_duration(d_.retries.retry_after ? std::min(come_back, to_ticks(d_.retries.longest_retry_after))
+                                             : 0));
     if (!harmless) host_.fail(pending.told.id);
     pending.done = true;
     waiting_.erase(pending.told.id);
@@ -629,10 +644,10 @@
       server.refusals = 0, server.shut_until = 0;
       // A process that dies takes along all that it has in hand: what it took before and answers now tells
       // that it lived. What was on its way at that moment does not.
-      if (shot.sent < server.reborn && now - server.reborn > d_.tick) server.reborn = 0;
+      if (shot.sent < server.reborn && now - server.reborn > to_ticks(d_.tick)) server.reborn = 0;
       moves_ = std::min(moves_ + move_share, move_burst);
       learn_times(now, pending, function, server, shot, end);
-      const bool loaded = d_.tells_warm ? end.copy_state != CopyState::loaded : !shot.confirmed;
+      const bool loaded = d_.copies.state_is_reported ? end.copy_state != CopyState::loaded : !shot.confirmed;
       overload_control_.attempt_succeeded(
           now, usual_time(pending, function) * calm_pace_ + (loaded ? load_time(pending, function) : 0));
     } else if (end.outcome == AttemptOutcome::overloaded) {
@@ -647,13 +662,13 @@
     } else if (end.copy_state == CopyState::load_failed || end.outcome == AttemptOutcome::function_missing) {
       entry.confirmed = false;
     }
-    note_contact(now, server, end.outcome, end.taken);
+    note_contact(now, server, end.outcome, to_ticks(end.taken));
     if (end.report.contains("util")) weigh_use(now, server, end.report.at("util"));
-    const bool stood =
-        d_.tells_warm ? end.copy_state == CopyState::loaded : end.outcome == AttemptOutcome::succeeded;
+    const bool stood = d_.copies.state_is_reported ? end.copy_state == CopyState::loaded
+                                                   : end.outcome == AttemptOutcome::succeeded;
     if (stood || (end.outcome == AttemptOutcome::overloaded && shot.confirmed)) {
       const bool bad = end.outcome == AttemptOutcome::overloaded ||
-                       4 * end.taken > 3 * pending.type->told.latency_objective;
+                       4 * to_ticks(end.taken) > 3 * to_ticks(pending.type->told.latency_objective);
       overload_control_.attempt_at_loaded_copy(now, pending.told.tenant, bad);
     }
     if (!called_off && end.outcome != AttemptOutcome::overloaded)
@@ -677,12 +692,13 @@
   // One that never comes up says that the way is cut, or the machine gone: nothing of the process.
   void note_contact(Time now, Server& server, AttemptOutcome ending, Time taken) {
     const bool up = ending != AttemptOutcome::connect_failed;
-    if (!up && d_.connect_limit > 0 && 2 * taken >= d_.connect_limit) {  // a refusal comes at once
+    if (!up && to_ticks(d_.connect_timeout) > 0 &&
+        2 * taken >= to_ticks(d_.connect_timeout)) {  // a refusal comes at once
       server.shut_until = now + std::min(second << std::min(server.silences++, 3), longest_pause);
     } else if (!up || ending == AttemptOutcome::connection_lost) {
       const bool lively = server.answered != 0 && now - server.answered <= second;
-      if (cut(now, server) || (!lively && !(up && d_.peers))) return seems_dead(now, server);
-      if (d_.peers) tell_peers(routing::ConnectionLost{server.told.id});
+      if (cut(now, server) || (!lively && !(up && d_.reports.gossip))) return seems_dead(now, server);
+      if (d_.reports.gossip) tell_peers(routing::ConnectionLost{server.told.id});
     } else if (ending != AttemptOutcome::unanswered && ending != AttemptOutcome::cancelled &&
                ending != AttemptOutcome::not_sent) {
       server.cuts = server.silences = 0, server.answered = now;
@@ -690,7 +706,7 @@
   }
   // Whether so many connections were lost within a second of each other that the process has died.
   bool cut(Time now, Server& server) const {
-    if (now - std::exchange(server.cut, now) > second && d_.peers) server.cuts = 0;
+    if (now - std::exchange(server.cut, now) > second && d_.reports.gossip) server.cuts = 0;
     return ++server.cuts >= cuts_of_death;
   }
 
@@ -698,7 +714,7 @@
   void seems_dead(Time now, Server& server) {
     server.reborn = now;
     forget_copies(server.told.id);
-    if (d_.peers && now - std::exchange(server.noted, now) >= second)
+    if (d_.reports.gossip && now - std::exchange(server.noted, now) >= second)
       tell_peers(routing::EndpointDied{server.told.id});
   }
 
@@ -708,9 +724,9 @@
 
   void learn_times(Time now, Pending& pending, Function& function, Server& server, const Shot& shot,
                    const AttemptEnd& end) {
-    const auto taken = static_cast<double>(end.taken);
-    const bool found = d_.tells_warm ? end.copy_state == CopyState::loaded : shot.confirmed;
-    if (!found && d_.tells_warm && end.copy_state != CopyState::load_started) return;
+    const auto taken = static_cast<double>(to_ticks(end.taken));
+    const bool found = d_.copies.state_is_reported ? end.copy_state == CopyState::loaded : shot.confirmed;
+    if (!found && d_.copies.state_is_reported && end.copy_state != CopyState::load_started) return;
     if (!found) return add_sample(load_usual_, std::max(taken - usual_time(pending, function), 0.0));
     add_sample(pending.type->usual, taken);
     add_sample(usual_, taken);
@@ -725,7 +741,7 @@
   }
   double load_time(const Pending& pending, const Function& function) const {
     const double guess =
-        load_usual_ > 0 ? load_usual_ : static_cast<double>(pending.type->told.latency_objective);
+        load_usual_ > 0 ? load_usual_ : static_cast<double>(to_ticks(pending.type->told.latency_objective));
     return std::max(function.load > 0 ? function.load : guess, 1.0);
   }
   double pace(const Tally& tally) const {
@@ -828,7 +844,7 @@
 
   // Where load reports come only with probes, one router probes a server in each period and tells its peers.
   void ask_load(Time now, Server& server) {
-    if (!d_.probing || !d_.peers || d_.reports != "probe") return;
+    if (!d_.reports.probes || !d_.reports.gossip || d_.reports.load_reports != "probe") return;
     const Time turn = now / probe_period;
     if (std::exchange(server.probe_turn, turn) == turn) return;
     const double whose =
@@ -838,7 +854,9 @@
     host_.probe(server.told.id);
   }
 
-  void wake_housekeeping(Time now) { host_.set_timer(housekeeping_token, now + housekeeping_period); }
+  void wake_housekeeping(Time now) {
+    host_.set_timer(housekeeping_token, to_timestamp(now + housekeeping_period));
+  }
 
   void forget_copies(const EndpointId& server) {
     for (auto& [id, function] : functions_) {
@@ -848,7 +866,8 @@
   }
 
   TypeRow& row(const RequestClass& type) {
-    return types_.try_emplace(type.name, TypeRow{type, static_cast<double>(type.latency_objective) / 4})
+    return types_
+        .try_emplace(type.name, TypeRow{type, static_cast<double>(to_ticks(type.latency_objective)) / 4})
         .first->second;
   }
 
--- a/src/routing/sliding_window.h
+++ b/src/routing/sliding_window.h
@@ -11,7 +11,7 @@
 #include <cstddef>
 #include <utility>
 
-#include "decide.h"
+#include "routing/time.h"
 
 namespace rushhill::routing {
 
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -10,7 +10,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "decide.h"
+#include "routing/types.h"
 
 namespace rushhill::routing {
 
--- a/src/routing/tenant_quotas.h
+++ b/src/routing/tenant_quotas.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "decide.h"
+#include "routing/types.h"
 
 namespace rushhill::routing {
 
--- a/src/scale/costs.cpp
+++ b/src/scale/costs.cpp
@@ -6,6 +6,9 @@
 #include <stdexcept>
 #include <utility>
 
+#include "core/endpoint_list_source.h"
+#include "core/event_log.h"
+#include "core/peer_messenger.h"
 #include "emulator/network.h"
 #include "membership/board_client.h"
 #include "membership/board_words.h"
@@ -15,6 +18,7 @@
 #include "replica/replica.h"
 #include "replicating/replica_links.h"
 #include "transport/bare_peers.h"
+#include "transport/listener.h"
 
 namespace rushhill::scale {
 namespace {
--- a/src/scale/hollow.cpp
+++ b/src/scale/hollow.cpp
@@ -6,6 +6,10 @@
 #include <numeric>
 #include <utility>
 
+#include "core/endpoint_list_source.h"
+#include "core/peer_messenger.h"
+#include "core/upstream_transport.h"
+
 namespace rushhill::scale {
 namespace {
 
@@ -61,18 +65,18 @@
   RoutingConfiguration told;
   told.routers = sizes.routers;
   told.location = "region-0/zone-0";
-  told.tick = 10;
-  told.attempt_limit = attempt_cap;
-  told.tells_warm = true;
-  told.keep_alive = copy_life;
-  told.cold_span = 16 * second;
-  told.fall_span = second + second / 2;
-  told.probing = told.peers = sizes.probing;
+  told.tick = to_duration(10);
+  told.retries.attempt_limit = attempt_cap;
+  told.copies.state_is_reported = true;
+  told.copies.keep_alive = to_duration(copy_life);
+  told.slow_start.warm_up_span = to_duration(16 * second);
+  told.slow_start.budget_span = to_duration(second + second / 2);
+  told.reports.probes = told.reports.gossip = sizes.probing;
   if (sizes.probing)
-    told.reports = "probe", told.routers = 1;  // one probes for all: the whole fleet's messages
+    told.reports.load_reports = "probe", told.routers = 1;  // one probes for all: the whole fleet's messages
   told.request_classes = {{.name = "lookup",
-                           .latency_objective = latency_target,
-                           .deadline_span = deadline,
+                           .latency_objective = to_duration(latency_target),
+                           .deadline_span = to_duration(deadline),
                            .retry_safety = RetrySafety::idempotent}};
   for (int i = 0; i < sizes.tenants; ++i)
     told.tenants.push_back({.name = "tenant-" + std::to_string(i), .share = 1, .quota_per_s = tenant_quota});
@@ -119,14 +123,14 @@
 
 void HollowModule::whole_list() {
   lists.begin();
-  router_->endpoints_updated(now_, EndpointListForm::snapshot, list_);
+  router_->endpoints_updated(to_timestamp(now_), EndpointListForm::snapshot, list_);
   lists.end();
 }
 void HollowModule::change(int server) {
   Endpoint& changed = list_[static_cast<std::size_t>(server) % list_.size()];
-  changed.started = ++changes_;  // another life, and long ago: it is not cold any more
+  changed.started = to_timestamp(++changes_);  // another life, and long ago: it is not cold any more
   lists.begin();
-  router_->endpoints_updated(now_, EndpointListForm::delta, {changed});
+  router_->endpoints_updated(to_timestamp(now_), EndpointListForm::delta, {changed});
   lists.end();
 }
 
@@ -138,12 +142,12 @@
   RoutingRequest told{.id = id,
                       .request_class = "lookup",
                       .function = functions_[static_cast<std::size_t>(calling_)],
-                      .time_left = deadline,
-                      .load_time = load};
+                      .time_left = to_duration(deadline),
+                      .load_time = to_duration(load)};
   if (sizes_.tenants > 0) told.tenant = "tenant-" + std::to_string(id % sizes_.tenants);
   ++taken;
   requests.begin();
-  router_->request_received(now_, told);
+  router_->request_received(to_timestamp(now_), told);
   requests.end();
 }
 
@@ -164,7 +168,8 @@
       request();
     }
     for (const EndpointId& server : std::exchange(probed_, {}))
-      router_->probe_ended(now_, {.endpoint = server, .taken = work, .report = {{"util", 0.5}}});
+      router_->probe_ended(to_timestamp(now_),
+                           {.endpoint = server, .taken = to_duration(work), .report = {{"util", 0.5}}});
   }
   now_ = until;
 }
@@ -173,22 +178,22 @@
   if (!due.is_end) {
     Meter& meter = due.token == 0 ? ticks : requests;
     meter.begin();
-    router_->timer_fired(now_, due.token);
+    router_->timer_fired(to_timestamp(now_), due.token);
     meter.end();
     return;
   }
   const AttemptEnd end{.request = due.event,
                        .endpoint = list_[due.server].id,
                        .final = true,
-                       .taken = now_ - due.sent,
+                       .taken = to_duration(now_ - due.sent),
                        .copy_state = due.found ? CopyState::loaded : CopyState::load_started};
   function_of_.erase(due.event);
   requests.begin();
-  router_->attempt_ended(now_, end);
+  router_->attempt_ended(to_timestamp(now_), end);
   requests.end();
 }
 
-void HollowModule::send_attempt(RequestId event, const EndpointId& server, Time) {
+void HollowModule::send_attempt(RequestId event, const EndpointId& server, Duration) {
   ++attempts;
   const std::size_t place = place_.at(server);
   const auto [copy, fresh] = warm_.try_emplace({place, function_of_.at(event)}, now_);
@@ -202,7 +207,9 @@
              .found = found,
              .is_end = true});
 }
-void HollowModule::set_timer(std::int64_t token, Time at) { due_.push({.at = at, .token = token}); }
+void HollowModule::set_timer(std::int64_t token, Timestamp at) {
+  due_.push({.at = to_ticks(at), .token = token});
+}
 void HollowModule::probe(const EndpointId& server) { probed_.push_back(server); }
 void HollowModule::send_gossip(int, const std::string& bytes) {
   ++messages;
@@ -263,10 +270,12 @@
 
 bool HollowRouter::request(const std::string& function, RequestId number) {
   calling_ = function;
-  const auto id = gateway_.accept(
-      source_, *this,
-      {.request_class = "lookup", .function = function, .time_left = deadline, .load_time = load},
-      {.id = std::to_string(number), .source = "/clients", .type = "lookup"});
+  const auto id = gateway_.accept(source_, *this,
+                                  {.request_class = "lookup",
+                                   .function = function,
+                                   .time_left = to_duration(deadline),
+                                   .load_time = to_duration(load)},
+                                  {.id = std::to_string(number), .source = "/clients", .type = "lookup"});
   // What waits for a place is sent later.
   if (id) open_.try_emplace(*id, function, servers_.clock().now());
   calling_.clear();
--- a/src/scale/hollow.h
+++ b/src/scale/hollow.h
@@ -12,9 +12,15 @@
 #include <string>
 #include <vector>
 
+#include "core/client.h"
+#include "core/endpoint_list_source.h"
+#include "core/event_log.h"
 #include "core/gateway.h"
-#include "decide.h"
+#include "core/peer_messenger.h"
+#include "core/timer_service.h"
+#include "core/upstream_transport.h"
 #include "emulator/network.h"
+#include "routing/routing_policy.h"
 #include "scale/counter.h"
 #include "standin/machine.h"
 
@@ -83,11 +89,11 @@
     bool operator>(const Due& other) const { return at > other.at; }
   };
 
-  void send_attempt(RequestId event, const EndpointId& server, Time time_out) override;
+  void send_attempt(RequestId event, const EndpointId& server, Duration timeout) override;
   void cancel_attempt(RequestId, int) override {}
-  void reject(RequestId event, Time) override { ++rejected, function_of_.erase(event); }
+  void reject(RequestId event, Duration) override { ++rejected, function_of_.erase(event); }
   void fail(RequestId event) override { ++abandoned, function_of_.erase(event); }
-  void set_timer(std::int64_t token, Time at) override;
+  void set_timer(std::int64_t token, Timestamp at) override;
   void probe(const EndpointId& server) override;
   void close_idle(const EndpointId&) override {}
   void prewarm(const EndpointId&, const FunctionId&, int) override {}
--- a/src/scale/size.cpp
+++ b/src/scale/size.cpp
@@ -8,7 +8,10 @@
 #include <utility>
 #include <vector>
 
+#include "core/endpoint_list_source.h"
+#include "core/peer_messenger.h"
 #include "emulator/network.h"
+#include "routing/configuration.h"
 
 namespace rushhill::scale {
 namespace {
@@ -51,8 +54,8 @@
     RoutingConfiguration deployment = deployment_of(size.sizes);
     deployment.router_number = me;
     deployment.location = location_of(me);
-    deployment.cancel = true;  // an attempt at a silent machine is given up
-    deployment.connect_limit = connect_limit;
+    deployment.retries.cancel_attempts = true;  // an attempt at a silent machine is given up
+    deployment.connect_timeout = to_duration(connect_limit);
     auto made =
         std::make_unique<HollowRouter>(deployment, servers, no_peers, static_cast<std::uint64_t>(++lives));
     made->gateway().endpoints_updated(EndpointListForm::snapshot, list());
@@ -197,7 +200,9 @@
   const auto begin = [&](bool on) {
     for (core::EndpointListEntry& entry : back) {
       if (on) running.servers.stop(entry.endpoint.id);
-      if (!on) running.servers.start(entry.endpoint.id), entry.endpoint.started = running.network.now();
+      if (!on)
+        running.servers.start(entry.endpoint.id),
+            entry.endpoint.started = to_timestamp(running.network.now());
     }
     if (fault.kind == Fault::Kind::regions_apart) running.servers.part_regions(on);
     for (int i = 0; fault.kind == Fault::Kind::routers_restart && !on && i < fault.count; ++i) {
--- a/src/scale/size.h
+++ b/src/scale/size.h
@@ -2,6 +2,7 @@
 // the fleet has beside as many servers as fit. What they cost is counted as the costs are.
 #pragma once
 
+#include "routing/time.h"
 #include "scale/costs.h"
 
 namespace rushhill::scale {
--- a/src/settings/deployment.h
+++ b/src/settings/deployment.h
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "decide.h"
+#include "routing/configuration.h"
 #include "settings/fields.h"
 
 namespace rushhill::settings {
--- a/src/settings/fields.h
+++ b/src/settings/fields.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "decide.h"
+#include "routing/time.h"
 
 namespace rushhill::settings {
 
@@ -30,6 +30,8 @@
   return ns % ns_per_tenth < 0 ? whole - 1 : whole;
 }
 inline Time ceil_time(std::int64_t ns) { return -floor_time(-ns); }
+inline Duration floor_duration(std::int64_t ns) { return to_duration(floor_time(ns)); }
+inline Duration ceil_duration(std::int64_t ns) { return to_duration(ceil_time(ns)); }
 inline std::int64_t to_ns(Time time) { return time * ns_per_tenth; }
 
 // Fields of one object; a missing or mistyped one is named in the error.
--- a/src/standin/broker.h
+++ b/src/standin/broker.h
@@ -14,7 +14,7 @@
 #include "standin/day.h"
 #include "standin/parts.h"
 #include "standin/record.h"
-#include "transport/reactor.h"
+#include "transport/listener.h"
 
 namespace rushhill::standin {
 
--- a/src/standin/day.h
+++ b/src/standin/day.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "decide.h"
+#include "routing/time.h"
 
 namespace rushhill::standin {
 
--- a/src/standin/fleet.cpp
+++ b/src/standin/fleet.cpp
@@ -7,6 +7,8 @@
 #include <utility>
 
 #include "events/cloudevent.h"
+#include "routing/types.h"
+#include "transport/listener.h"
 #include "transport/numbered.h"
 
 namespace rushhill::standin {
--- a/src/standin/links.h
+++ b/src/standin/links.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "standin/day.h"
+#include "transport/listener.h"
 #include "transport/numbered.h"
-#include "transport/reactor.h"
 
 namespace rushhill::standin {
 
--- a/src/standin/machine.h
+++ b/src/standin/machine.h
@@ -14,6 +14,7 @@
 #include <vector>
 
 #include "core/timer_service.h"
+#include "routing/types.h"
 #include "standin/day.h"
 
 namespace rushhill::standin {
--- a/src/standin/roster_board.h
+++ b/src/standin/roster_board.h
@@ -10,8 +10,8 @@
 
 #include "standin/day.h"
 #include "standin/record.h"
+#include "transport/listener.h"
 #include "transport/numbered.h"
-#include "transport/reactor.h"
 
 namespace rushhill::standin {
 
--- a/src/transport/bare_peers.h
+++ b/src/transport/bare_peers.h
@@ -9,8 +9,8 @@
 #include <string_view>
 #include <vector>
 
-#include "core/ports.h"
-#include "transport/reactor.h"
+#include "core/peer_messenger.h"
+#include "transport/datagram_endpoint.h"
 
 namespace rushhill::transport {
 
--- a/src/transport/server_pool.h
+++ b/src/transport/server_pool.h
@@ -8,7 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "core/ports.h"
+#include "core/event_log.h"
+#include "core/upstream_transport.h"
 #include "transport/http.h"
 #include "transport/numbered.h"
 #include "transport/reactor.h"
--- a/src/transport/socket_listener.h
+++ b/src/transport/socket_listener.h
@@ -5,9 +5,9 @@
 
 #include "core/timer_service.h"
 #include "transport/backoff.h"
+#include "transport/bound_socket.h"
 #include "transport/event_source.h"
 #include "transport/file_descriptor.h"
-#include "transport/reactor.h"
 
 namespace rushhill::transport {
 
--- a/src/transport/socket_stream.h
+++ b/src/transport/socket_stream.h
@@ -6,11 +6,10 @@
 #include <string>
 #include <string_view>
 
-#include "core/timer_service.h"
 #include "transport/backoff.h"
 #include "transport/event_source.h"
 #include "transport/file_descriptor.h"
-#include "transport/reactor.h"
+#include "transport/stream.h"
 
 namespace rushhill::transport {
 
--- a/src/transport/sockets.h
+++ b/src/transport/sockets.h
@@ -3,8 +3,8 @@
 
 #include <cerrno>
 
+#include "transport/address.h"
 #include "transport/file_descriptor.h"
-#include "transport/reactor.h"
 #include "transport/system_calls.h"
 
 namespace rushhill::transport {
--- a/src/upstream/line_pool.h
+++ b/src/upstream/line_pool.h
@@ -9,7 +9,8 @@
 #include <utility>
 #include <vector>
 
-#include "core/ports.h"
+#include "core/event_log.h"
+#include "core/upstream_transport.h"
 #include "line_protocol/answers.h"
 #include "transport/numbered.h"
 #include "transport/reactor.h"
--- a/tests/benchmark/routing_benchmark.cpp
+++ b/tests/benchmark/routing_benchmark.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "decide.h"
+#include "routing/routing_policy.h"
 
 namespace rushhill {
 namespace {
@@ -51,11 +51,11 @@
   RoutingConfiguration deployment;
   deployment.routers = 10;
   deployment.tick = 10;
-  deployment.attempt_limit = 3;
-  deployment.tells_warm = true;
-  deployment.keep_alive = 120'000;
-  deployment.cold_span = 160'000;
-  deployment.fall_span = 15'000;
+  deployment.retries.attempt_limit = 3;
+  deployment.copies.state_is_reported = true;
+  deployment.copies.keep_alive = 120'000;
+  deployment.slow_start.warm_up_span = 160'000;
+  deployment.slow_start.budget_span = 15'000;
   deployment.request_classes = {{.name = "lookup",
                                  .latency_objective = 7'500,
                                  .deadline_span = 25'000,
--- a/tests/core/gateway_test.cpp
+++ b/tests/core/gateway_test.cpp
@@ -4,6 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "core/manual_clock.h"
+#include "routing/routing_policy.h"
 
 namespace rushhill::core {
 namespace {
@@ -98,15 +99,15 @@
                           .deadline_span = 2 * second,
                           .retry_safety = RetrySafety::keyed,
                           .deduplication_span = 5 * second}};
-    d.attempt_limit = 4;
-    d.open_cap = 100;
-    d.cancel = true;
-    d.orders = true;
-    d.tells_warm = true;
-    d.keep_alive = 10 * second;
-    d.order_limit = 10 * second;
-    d.fall_span = second;
-    d.cold_span = 10 * second;
+    d.retries.attempt_limit = 4;
+    d.open_request_limit = 100;
+    d.retries.cancel_attempts = true;
+    d.copies.prewarm = true;
+    d.copies.state_is_reported = true;
+    d.copies.keep_alive = 10 * second;
+    d.copies.prewarm_timeout = 10 * second;
+    d.slow_start.budget_span = second;
+    d.slow_start.warm_up_span = 10 * second;
     return d;
   }();
   HandClock clock;
@@ -182,7 +183,7 @@
 }
 
 TEST_F(GatewayStory, AnAtMostOnceEventThatProvablyNeverRanGoesElsewhere) {
-  deployment.orders = false;
+  deployment.copies.prewarm = false;
   for (const AttemptOutcome ending :
        {AttemptOutcome::overloaded, AttemptOutcome::connect_failed, AttemptOutcome::function_missing}) {
     told = Told();
@@ -198,7 +199,7 @@
 }
 
 TEST_F(GatewayStory, AClientGoneWhileItsOrderIsPendingLeavesNothingBehind) {
-  deployment.miss_answers = true;
+  deployment.copies.missing_is_answered = true;
   start();
   const RequestId id = event();
   for (std::size_t i = 0; i < told.shots.size() && told.orders.empty(); ++i)
@@ -227,7 +228,7 @@
 }
 
 TEST_F(GatewayStory, BeyondTheOpenCapNothingIsTakenAndRoomComesBack) {
-  deployment.open_cap = 1;
+  deployment.open_request_limit = 1;
   start();
   EXPECT_NE(event(), 0);
   EXPECT_EQ(event(), 0);
@@ -356,7 +357,7 @@
 
 TEST_F(GatewayStory, AnOrderThatCannotBeToldToOthersFirstNeverLeaves) {
   Book book;
-  deployment.miss_answers = deployment.orders = true;
+  deployment.copies.missing_is_answered = deployment.copies.prewarm = true;
   ledger = &book;
   start();
   event();
@@ -383,7 +384,7 @@
 }
 
 TEST_F(GatewayStory, AMessageLongerThanPeersMayHearIsNotSent) {
-  deployment.peers = true;
+  deployment.reports.gossip = true;
   start();
   static_cast<RoutingHost&>(*gateway).send_gossip(-1, std::string(257, 'x'));
   EXPECT_TRUE(told.messages.empty());
@@ -392,7 +393,7 @@
 }
 
 TEST_F(GatewayStory, TwentyThousandEventsLeaveNoAlarmAndNoRecordBehind) {
-  deployment.open_cap = 200'000;
+  deployment.open_request_limit = 200'000;
   start();
   const std::size_t before = clock.standing();
   for (int i = 0; i < 20'000; ++i) event();
@@ -403,7 +404,7 @@
 }
 
 TEST_F(GatewayStory, WhereShotsMayNotBeCalledOffWhatHasNotLeftIsTakenBackAllTheSame) {
-  deployment.cancel = false;
+  deployment.retries.cancel_attempts = false;
   start();
   const RequestId waiting = event();
   told.unsent = true;
--- a/tests/core/idle_close_test.cpp
+++ b/tests/core/idle_close_test.cpp
@@ -169,15 +169,15 @@
                           .deadline_span = 2 * second,
                           .retry_safety = RetrySafety::keyed,
                           .deduplication_span = 5 * second}};
-    d.attempt_limit = 4;
-    d.open_cap = 100;
-    d.tells_warm = true;
-    d.keep_alive = 10 * second;
-    d.fall_multiple = 2;
-    d.fall_span = second;
-    d.cold_share = 0.2;
-    d.cold_span = 10 * second;
-    d.connect_limit = connect_limit;
+    d.retries.attempt_limit = 4;
+    d.open_request_limit = 100;
+    d.copies.state_is_reported = true;
+    d.copies.keep_alive = 10 * second;
+    d.slow_start.budget_multiple = 2;
+    d.slow_start.budget_span = second;
+    d.slow_start.initial_capacity = 0.2;
+    d.slow_start.warm_up_span = 10 * second;
+    d.connect_timeout = connect_limit;
     return d;
   }();
   Silent silent;
--- a/tests/core/parts_fixture.h
+++ b/tests/core/parts_fixture.h
@@ -11,6 +11,7 @@
 
 #include "core/attempt_execution.h"
 #include "core/manual_clock.h"
+#include "routing/routing_policy.h"
 
 namespace rushhill::core {
 
--- a/tests/crowd.h
+++ b/tests/crowd.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "transport/reactor.h"
+#include "transport/address.h"
 
 namespace rushhill {
 
--- a/tests/fake_host.h
+++ b/tests/fake_host.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "decide.h"
+#include "routing/routing_policy.h"
 
 namespace rushhill {
 
@@ -61,16 +61,16 @@
     deployment.tick = 40;
     deployment.request_classes.push_back(
         {.name = "lookup", .latency_objective = second, .deadline_span = 3 * second});
-    deployment.fall_multiple = 2;
-    deployment.fall_span = second;
-    deployment.cold_share = 0.2;
-    deployment.cold_span = 10 * second;
-    deployment.attempt_limit = 4;
-    deployment.cancel = true;
-    deployment.orders = true;
-    deployment.tells_warm = true;
-    deployment.keep_alive = 10 * second;
-    deployment.order_limit = 10 * second;
+    deployment.slow_start.budget_multiple = 2;
+    deployment.slow_start.budget_span = second;
+    deployment.slow_start.initial_capacity = 0.2;
+    deployment.slow_start.warm_up_span = 10 * second;
+    deployment.retries.attempt_limit = 4;
+    deployment.retries.cancel_attempts = true;
+    deployment.copies.prewarm = true;
+    deployment.copies.state_is_reported = true;
+    deployment.copies.keep_alive = 10 * second;
+    deployment.copies.prewarm_timeout = 10 * second;
   }
 
   void start(int servers) {
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -23,13 +23,14 @@
   static const core::RequestReader intake(
       [] {
         RoutingConfiguration d;
-        d.request_classes = {{.name = "t", .latency_objective = 10, .deadline_span = 100}};
+        d.request_classes = {
+            {.name = "t", .latency_objective = to_duration(10), .deadline_span = to_duration(100)}};
         return d;
       }(),
       {{"t", "t"}});
   try {
     const RoutingRequest told = intake.read(event);
-    must(told.time_left > 0 && told.time_left <= 100 && told.lanes >= 1);
+    must(told.time_left > to_duration(0) && told.time_left <= to_duration(100) && told.lanes >= 1);
   } catch (const events::BadEvent&) {}
 }
 
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -13,7 +13,8 @@
 #include <thread>
 #include <vector>
 
-#include "core/ports.h"
+#include "core/event_log.h"
+#include "transport/listener.h"
 #include "transport/loop.h"
 
 namespace rushhill {
--- a/tests/membership/roster_test.cpp
+++ b/tests/membership/roster_test.cpp
@@ -9,6 +9,7 @@
 #include "emulator/network.h"
 #include "loopback.h"
 #include "membership/roster_client.h"
+#include "transport/listener.h"
 #include "transport/loop.h"
 
 namespace rushhill::membership {
--- a/tests/node/deadline_test.cpp
+++ b/tests/node/deadline_test.cpp
@@ -11,6 +11,7 @@
 #include "node/node.h"
 #include "node_process.h"
 #include "platform_story.h"
+#include "transport/listener.h"
 
 namespace rushhill::node {
 namespace {
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -3,6 +3,7 @@
 
 #include "emulator/network.h"
 #include "loopback.h"
+#include "transport/listener.h"
 
 namespace rushhill::node {
 namespace {
--- a/tests/node/system_calls_test.cpp
+++ b/tests/node/system_calls_test.cpp
@@ -5,6 +5,7 @@
 #include "node/node.h"
 #include "platform_story.h"
 #include "standin/faulty_system_calls.h"
+#include "transport/datagram_endpoint.h"
 
 namespace rushhill::node {
 namespace {
--- a/tests/process.h
+++ b/tests/process.h
@@ -17,7 +17,7 @@
 #include <string>
 #include <vector>
 
-#include "transport/reactor.h"
+#include "transport/address.h"
 
 namespace rushhill {
 
--- a/tests/routing/cold_fleet_test.cpp
+++ b/tests/routing/cold_fleet_test.cpp
@@ -12,6 +12,7 @@
 #include <random>
 
 #include "fake_host.h"
+#include "routing/routing_policy.h"
 
 namespace rushhill {
 namespace {
@@ -46,18 +47,19 @@
     deployment_.tick = 40;
     deployment_.request_classes.push_back(
         {.name = "lookup", .latency_objective = play.due, .deadline_span = 10 * play.due / 3});
-    deployment_.fall_multiple = 2;
-    deployment_.fall_span = 3 * second / 2;
-    deployment_.cold_share = play.cold_share;
-    deployment_.cold_span = play.cold_span;
-    deployment_.attempt_limit = 5;
-    deployment_.cancel = deployment_.probing = deployment_.peers = deployment_.orders = true;
-    deployment_.tells_warm = true;
-    deployment_.miss_answers = play.miss_answers;
-    deployment_.order_limit = 5 * second;
-    deployment_.reports = "probe";
-    deployment_.keep_alive = 13 * second;
-    deployment_.connect_limit = second / 4;
+    deployment_.slow_start.budget_multiple = 2;
+    deployment_.slow_start.budget_span = 3 * second / 2;
+    deployment_.slow_start.initial_capacity = play.cold_share;
+    deployment_.slow_start.warm_up_span = play.cold_span;
+    deployment_.retries.attempt_limit = 5;
+    deployment_.retries.cancel_attempts = deployment_.reports.probes = deployment_.reports.gossip =
+        deployment_.copies.prewarm = true;
+    deployment_.copies.state_is_reported = true;
+    deployment_.copies.missing_is_answered = play.miss_answers;
+    deployment_.copies.prewarm_timeout = 5 * second;
+    deployment_.reports.load_reports = "probe";
+    deployment_.copies.keep_alive = 13 * second;
+    deployment_.connect_timeout = second / 4;
     for (int i = 0; i < play.servers; ++i) add(0);
     std::vector<Endpoint> all;
     for (const auto& [id, machine] : machines_) all.push_back(machine.told);
@@ -294,7 +296,7 @@
   double share(const Machine& machine) const {
     if (machine.told.started == 0) return 1;
     const double age =
-        std::max(0.0, static_cast<double>(now_ - machine.told.started - deployment_.fall_span));
+        std::max(0.0, static_cast<double>(now_ - machine.told.started - deployment_.slow_start.budget_span));
     return std::min(1.0,
                     play_.cold_share + (1 - play_.cold_share) * age / static_cast<double>(play_.cold_span));
   }
@@ -340,7 +342,7 @@
   }
   // Of what routers send that have not been told of the start yet, nothing counts against the rule.
   void count(Machine& machine, bool told) {
-    while (!machine.got.empty() && machine.got.front() <= now_ - deployment_.fall_span)
+    while (!machine.got.empty() && machine.got.front() <= now_ - deployment_.slow_start.budget_span)
       machine.got.pop_front();
     const Time age = now_ - machine.told.started;
     if (!told || machine.told.started == 0 || age >= play_.cold_span) return;
@@ -357,8 +359,8 @@
   }
   // N: what the rule permits a cold server now within the fall span.
   double permitted(const Machine& machine) const {
-    return deployment_.fall_multiple * share(machine) * play_.cores *
-           static_cast<double>(deployment_.fall_span) / static_cast<double>(play_.work);
+    return deployment_.slow_start.budget_multiple * share(machine) * play_.cores *
+           static_cast<double>(deployment_.slow_start.budget_span) / static_cast<double>(play_.work);
   }
   // Adds up what it was permitted since the last time; whether all routers knew of its start by then.
   bool note_permitted(Machine& machine, Time until) {
@@ -367,8 +369,8 @@
     const Time from = std::max(machine.cold_from, machine.told.started + play_.told_within);
     machine.cold_from = std::max(from, until);
     if (until <= from) return false;
-    permitted_ +=
-        permitted(machine) * static_cast<double>(until - from) / static_cast<double>(deployment_.fall_span);
+    permitted_ += permitted(machine) * static_cast<double>(until - from) /
+                  static_cast<double>(deployment_.slow_start.budget_span);
     return true;
   }
 
--- a/tests/routing/routing_policy_test.cpp
+++ b/tests/routing/routing_policy_test.cpp
@@ -58,7 +58,7 @@
 
 TEST(Index, BusyServerIsHomeToFewerFunctions) {
   Story story;
-  story.deployment.tells_warm = false;
+  story.deployment.copies.state_is_reported = false;
   story.deployment.request_classes[0].latency_objective = 3 * second;
   story.start(10);
   const auto homes = [&](const char* prefix) {
@@ -96,7 +96,7 @@
 TEST(Index, RestartedServerHoldsNothing) {
   for (const char* function : {"f", "g", "h", "i", "j", "k"}) {
     Story story;
-    story.deployment.keep_alive = 60 * second;
+    story.deployment.copies.keep_alive = 60 * second;
     story.start(6);
     const EndpointId home = story.honour(function);
     story.change({.id = home, .state = EndpointState::draining});
@@ -109,7 +109,7 @@
 
 TEST(Miss, OrdersAHoldThereAndResendsThere) {
   Story story;
-  story.deployment.miss_answers = true;
+  story.deployment.copies.missing_is_answered = true;
   story.start(6);
   const RequestId id = story.event("f");
   const EndpointId server = story.server_of(id);
@@ -212,7 +212,7 @@
 // Seen on three hundred routers: new servers' cores stood four fifths idle while the old ones were full.
 TEST(Rule4, PartOfAColdServerIsLargerWhereServersReportIdleCores) {
   Story story;
-  story.deployment.probing = story.deployment.peers = true;
+  story.deployment.reports.probes = story.deployment.reports.gossip = true;
   story.start(1);
   for (int i = 0; i < 50; ++i) story.honour("f");
   for (int i = 0; i < 50; ++i) story.router->gossip_received(story.now, 1, "a u25");
@@ -245,7 +245,7 @@
 
 TEST(Rule4, ServerThatDiedIsColdBeforeTheRosterSaysSo) {
   Story story;
-  story.deployment.peers = true;
+  story.deployment.reports.gossip = true;
   story.start(2);
   for (int i = 0; i < 50; ++i) story.honour("f");
   story.router->gossip_received(story.now, 1, "a");
@@ -263,7 +263,7 @@
 
 TEST(Rule4, ServerLongUnheardThatRefusesConnectionsHasDied) {
   Story story;
-  story.deployment.peers = true;
+  story.deployment.reports.gossip = true;
   story.start(1);
   story.honour("f");
   story.pass(2 * second);
@@ -286,7 +286,7 @@
 // connection for its death and told all: within ten seconds nearly every server was held for cold.
 TEST(Rule4, OneConnectionLostAtEachOfThreeRoutersWithinASecondIsAServersDeath) {
   Story story;
-  story.deployment.peers = true;
+  story.deployment.reports.gossip = true;
   story.start(1);
   for (int i = 0; i < 50; ++i) story.honour("f");
   story.pass(2 * second);
@@ -309,9 +309,9 @@
 // when the way was whole again, cold.
 TEST(Health, ServerThatCannotBeReachedIsLeftAloneForAWhileAndIsAsWarmAsItWas) {
   Story story;
-  story.deployment.peers = true;
-  story.deployment.connect_limit = second / 4;
-  story.deployment.cold_span = 60 * second;
+  story.deployment.reports.gossip = true;
+  story.deployment.connect_timeout = second / 4;
+  story.deployment.slow_start.warm_up_span = 60 * second;
   story.start(2);
   for (int i = 0; i < 60; ++i) story.honour("f" + std::to_string(i % 6), "", second / 100);
   const auto cut_off = [&] {
@@ -340,7 +340,7 @@
 // cold.
 TEST(Health, ServerThatAnswersWhatItTookBeforeItsSupposedDeathLives) {
   Story story;
-  story.deployment.peers = true;
+  story.deployment.reports.gossip = true;
   story.start(1);
   for (int i = 0; i < 50; ++i) story.honour("f");
   const RequestId out = story.event("f");
@@ -385,7 +385,7 @@
 // all events were shed from then on.
 TEST(Health, ConnectionsCutHereAndThereAreNoServersDeath) {
   Story story;
-  story.deployment.peers = true;
+  story.deployment.reports.gossip = true;
   story.start(2);
   for (int i = 0; i < 200; ++i) {
     story.honour("f" + std::to_string(i % 7), "", second / 20);
@@ -400,9 +400,9 @@
 
 TEST(Rule5, NothingIsOrderedBeforeTheRationOfEarlierLivesIsKnownAndItCounts) {
   Story story;
-  story.deployment.miss_answers = story.deployment.ration_told = true;
-  story.deployment.load_window = 5 * second;
-  story.deployment.load_free = 3;
+  story.deployment.copies.missing_is_answered = story.deployment.load_budget.restored_after_restart = true;
+  story.deployment.load_budget.window = 5 * second;
+  story.deployment.load_budget.free_loads = 3;
   story.start(6);
   const auto misses = [&] {
     for (const char* function : {"f", "g", "h", "i"})
@@ -439,9 +439,9 @@
 
 TEST(Rule5, OrdersStayWithinTheRation) {
   Story story;
-  story.deployment.miss_answers = true;
-  story.deployment.load_window = 5 * second;
-  story.deployment.load_free = 2;
+  story.deployment.copies.missing_is_answered = true;
+  story.deployment.load_budget.window = 5 * second;
+  story.deployment.load_budget.free_loads = 2;
   story.start(6);
   for (const char* function : {"f", "g", "h", "i"}) {
     story.end(story.event(function), AttemptOutcome::function_missing, CopyState::unknown);
@@ -508,7 +508,7 @@
   Crowd story;
   story.deployment.request_classes[0].latency_objective = 2 * second;
   story.deployment.routers = 1;
-  story.deployment.over_share_worth = 0.05;
+  story.deployment.over_quota_value = 0.05;
   story.deployment.tenants.push_back({.name = "loud", .share = 0.5, .quota_per_s = 1});
   story.deployment.tenants.push_back({.name = "quiet", .share = 0.5, .quota_per_s = 1000});
   story.begin();
@@ -535,7 +535,7 @@
 TEST(Overload, WhatHangsAtOneSickServerShedsNothingElsewhere) {
   Story story;
   story.deployment.routers = 1;
-  story.deployment.over_share_worth = 0.05;
+  story.deployment.over_quota_value = 0.05;
   story.deployment.tenants.push_back({.name = "loud", .share = 0.5, .quota_per_s = 0.001});
   story.start(12);
   for (int i = 0; i < 60; ++i) story.honour("f" + std::to_string(i % 6));
@@ -570,7 +570,7 @@
 
 TEST(Overload, OverdueShotsAreNotAllDoubled) {
   Story story;
-  story.deployment.second_copies = true;
+  story.deployment.retries.hedging = true;
   story.start(8);
   story.others(100);
   const std::size_t before = story.host.shots.size();
@@ -598,8 +598,8 @@
     Story story;
     story.deployment.routers = 20;
     story.deployment.router_number = me;
-    story.deployment.probing = story.deployment.peers = true;
-    story.deployment.reports = "probe";
+    story.deployment.reports.probes = story.deployment.reports.gossip = true;
+    story.deployment.reports.load_reports = "probe";
     story.start(10);
     story.now = 3 * second * 1000 - 1;
     story.pass(second);
--- a/tests/standin/links_test.cpp
+++ b/tests/standin/links_test.cpp
@@ -4,6 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "emulator/network.h"
+#include "transport/listener.h"
 
 namespace rushhill::standin {
 namespace {
--- a/tests/transport/system_calls_test.cpp
+++ b/tests/transport/system_calls_test.cpp
@@ -6,6 +6,8 @@
 
 #include "loopback.h"
 #include "standin/faulty_system_calls.h"
+#include "transport/datagram_endpoint.h"
+#include "transport/listener.h"
 #include "transport/loop.h"
 #include "transport/peer_links.h"
 
--- a/tests/transport/transport_test.cpp
+++ b/tests/transport/transport_test.cpp
@@ -15,6 +15,8 @@
 
 #include "core/timer_queue.h"
 #include "loopback.h"
+#include "transport/datagram_endpoint.h"
+#include "transport/listener.h"
 #include "transport/loop.h"
 #include "transport/peer_links.h"
 
--- a/tests/upstream/line_pool_test.cpp
+++ b/tests/upstream/line_pool_test.cpp
@@ -3,6 +3,7 @@
 #include "upstream/line_pool.h"
 
 #include "loopback.h"
+#include "transport/listener.h"
 
 namespace rushhill::upstream {
 namespace {
