--- a/tests/core/attempt_execution_test.cpp
+++ b/tests/core/attempt_execution_test.cpp
@@ -36,7 +36,7 @@
   clock.pass(second / 10);
   EXPECT_EQ(carrier.dropped, (std::vector{std::pair(id, 0)}));
   EXPECT_EQ(endings(), std::vector<AttemptOutcome>{AttemptOutcome::unanswered});
-  EXPECT_EQ(heard.attempt_ends[0].taken, second / 10);
+  EXPECT_EQ(heard.attempt_ends[0].taken, to_duration(second / 10));
   EXPECT_EQ(heard.attempt_ends[0].endpoint, "a");
   attempts.cancel(id, 0);
   clock.settle();
--- a/tests/core/gateway_test.cpp
+++ b/tests/core/gateway_test.cpp
@@ -11,7 +11,26 @@
 
 constexpr Time second = 10'000;
 
-struct Told final : UpstreamTransport, PeerMessenger, EndpointListSource, EventLog, Client {
+// What the gateway asked of its ports.
+struct Recorded {
+  struct Shot {
+    RequestId event;
+    int leg;
+    EndpointId server;
+  };
+  std::vector<Shot> shots;
+  std::set<std::pair<RequestId, int>> out;
+  std::size_t most_out = 0;
+  std::vector<std::pair<RequestId, int>> dropped;
+  std::vector<std::pair<EndpointId, FunctionId>> orders;
+  std::map<EndpointId, std::string> addresses;
+  std::vector<std::string> messages, answers;
+  std::vector<EndpointId> recalled;
+  bool unsent = false;  // what is shot waits for its connection
+  int errors = 0;
+};
+
+struct Told final : Recorded, UpstreamTransport, PeerMessenger, EndpointListSource, EventLog, Client {
   void send(const AttemptCall& call) override {
     shots.push_back({call.request, call.attempt_number, call.endpoint});
     out.insert({call.request, call.attempt_number});
@@ -44,21 +63,8 @@
   void rejected(RequestId, Time) override { answers.emplace_back("shed"); }
   void failed(RequestId) override { answers.emplace_back("abandoned"); }
 
-  struct Shot {
-    RequestId event;
-    int leg;
-    EndpointId server;
-  };
-  std::vector<Shot> shots;
-  std::set<std::pair<RequestId, int>> out;
-  std::size_t most_out = 0;
-  std::vector<std::pair<RequestId, int>> dropped;
-  std::vector<std::pair<EndpointId, FunctionId>> orders;
-  std::map<EndpointId, std::string> addresses;
-  std::vector<std::string> messages, answers;
-  std::vector<EndpointId> recalled;
-  bool unsent = false;  // what is shot waits for its connection
-  int errors = 0;
+  // Forgets what was recorded.
+  void forget() { static_cast<Recorded&>(*this) = Recorded(); }
 };
 
 class GatewayStory : public testing::Test {
@@ -73,10 +79,12 @@
     gateway->endpoints_updated(EndpointListForm::snapshot, entries);
   }
   RequestId event(const std::string& type = "lookup") {
-    const auto id = gateway->accept(
-        source, told,
-        {.request_class = type, .function = "f", .time_left = 2 * second, .load_time = second / 10},
-        {.id = "one", .source = "/test", .type = type});
+    const auto id = gateway->accept(source, told,
+                                    {.request_class = type,
+                                     .function = "f",
+                                     .time_left = to_duration(2 * second),
+                                     .load_time = to_duration(second / 10)},
+                                    {.id = "one", .source = "/test", .type = type});
     return id.value_or(0);
   }
   void end(std::size_t shot, AttemptOutcome ending) {
@@ -88,26 +96,28 @@
 
   RoutingConfiguration deployment = [] {
     RoutingConfiguration d;
-    d.tick = 100;
-    d.request_classes = {{.name = "lookup", .latency_objective = second, .deadline_span = 2 * second},
+    d.tick = to_duration(100);
+    d.request_classes = {{.name = "lookup",
+                          .latency_objective = to_duration(second),
+                          .deadline_span = to_duration(2 * second)},
                          {.name = "booking",
-                          .latency_objective = second,
-                          .deadline_span = 2 * second,
+                          .latency_objective = to_duration(second),
+                          .deadline_span = to_duration(2 * second),
                           .retry_safety = RetrySafety::at_most_once},
                          {.name = "form",
-                          .latency_objective = second,
-                          .deadline_span = 2 * second,
+                          .latency_objective = to_duration(second),
+                          .deadline_span = to_duration(2 * second),
                           .retry_safety = RetrySafety::keyed,
-                          .deduplication_span = 5 * second}};
+                          .deduplication_span = to_duration(5 * second)}};
     d.retries.attempt_limit = 4;
     d.open_request_limit = 100;
     d.retries.cancel_attempts = true;
     d.copies.prewarm = true;
     d.copies.state_is_reported = true;
-    d.copies.keep_alive = 10 * second;
-    d.copies.prewarm_timeout = 10 * second;
-    d.slow_start.budget_span = second;
-    d.slow_start.warm_up_span = 10 * second;
+    d.copies.keep_alive = to_duration(10 * second);
+    d.copies.prewarm_timeout = to_duration(10 * second);
+    d.slow_start.budget_span = to_duration(second);
+    d.slow_start.warm_up_span = to_duration(10 * second);
     return d;
   }();
   HandClock clock;
@@ -129,7 +139,7 @@
 }
 
 TEST_F(GatewayStory, WithoutTheModulesAnswerTheCoreGivesUpAtTheLimitItself) {
-  deployment.tick = -20'000;  // the module believes that it has two seconds more
+  deployment.tick = to_duration(-20'000);  // the module believes that it has two seconds more
   start();
   event();
   clock.pass(2 * second);
@@ -141,7 +151,7 @@
 }
 
 TEST_F(GatewayStory, InTheVeryTickOfTheHardLimitTheLimitComesBeforeTheAnswer) {
-  deployment.tick = -20'000;  // the module has not given up yet
+  deployment.tick = to_duration(-20'000);  // the module has not given up yet
   start();
   event();
   clock.jump(2 * second);
@@ -173,7 +183,7 @@
 
 TEST_F(GatewayStory, AnAtMostOnceEventThatMayHaveRunIsAbandonedAndNotShotAgain) {
   for (const AttemptOutcome ending : {AttemptOutcome::error, AttemptOutcome::connection_lost}) {
-    told = Told();
+    told.forget();
     start();
     event("booking");
     end(0, ending);
@@ -186,7 +196,7 @@
   deployment.copies.prewarm = false;
   for (const AttemptOutcome ending :
        {AttemptOutcome::overloaded, AttemptOutcome::connect_failed, AttemptOutcome::function_missing}) {
-    told = Told();
+    told.forget();
     start();
     event("booking");
     end(0, ending);
@@ -259,7 +269,7 @@
   const RequestId id = event();
   end(0, AttemptOutcome::overloaded);
   const std::size_t shots = told.shots.size();
-  static_cast<RoutingHost&>(*gateway).send_attempt(id, "c", second / 10);
+  static_cast<RoutingHost&>(*gateway).send_attempt(id, "c", to_duration(second / 10));
   clock.pass(second / 10);
   EXPECT_EQ(told.dropped.back(), std::pair(id, static_cast<int>(shots)));
   EXPECT_EQ(gateway->tally().outcomes[static_cast<std::size_t>(AttemptOutcome::unanswered)], 1U);
@@ -268,9 +278,9 @@
 TEST_F(GatewayStory, AShotForAnEventThatHasItsAnswerIsNeverSent) {
   start();
   const RequestId id = event();
-  static_cast<RoutingHost&>(*gateway).reject(id, 0);
+  static_cast<RoutingHost&>(*gateway).reject(id, Duration::zero());
   const std::size_t shots = told.shots.size();
-  static_cast<RoutingHost&>(*gateway).send_attempt(id, "c", 0);
+  static_cast<RoutingHost&>(*gateway).send_attempt(id, "c", to_duration(0));
   clock.settle();
   EXPECT_EQ(told.shots.size(), shots);
   EXPECT_EQ(gateway->tally().outcomes[static_cast<std::size_t>(AttemptOutcome::not_sent)], 1U);
--- a/tests/core/idle_close_test.cpp
+++ b/tests/core/idle_close_test.cpp
@@ -129,9 +129,9 @@
       for (const auto& peer : server->peers)
         idle_ones.push_back(peer.get()), peer->stream->set_reading(false);
     }
-    const auto id =
-        gateway->accept(source, client, {.request_class = type, .function = "f", .time_left = 2 * second},
-                        {.id = "call", .source = "/test", .type = type, .data = data});
+    const auto id = gateway->accept(
+        source, client, {.request_class = type, .function = "f", .time_left = to_duration(2 * second)},
+        {.id = "call", .source = "/test", .type = type, .data = data});
     ASSERT_TRUE(id.has_value());
     ASSERT_EQ(gateway->tally().attempts, 1U);
     for (RawPeer* peer : idle_ones) {
@@ -158,26 +158,28 @@
 
   RoutingConfiguration deployment = [] {
     RoutingConfiguration d;
-    d.tick = 100;
-    d.request_classes = {{.name = "idempotent", .latency_objective = second, .deadline_span = 2 * second},
+    d.tick = to_duration(100);
+    d.request_classes = {{.name = "idempotent",
+                          .latency_objective = to_duration(second),
+                          .deadline_span = to_duration(2 * second)},
                          {.name = "at-most-once",
-                          .latency_objective = second,
-                          .deadline_span = 2 * second,
+                          .latency_objective = to_duration(second),
+                          .deadline_span = to_duration(2 * second),
                           .retry_safety = RetrySafety::at_most_once},
                          {.name = "keyed",
-                          .latency_objective = second,
-                          .deadline_span = 2 * second,
+                          .latency_objective = to_duration(second),
+                          .deadline_span = to_duration(2 * second),
                           .retry_safety = RetrySafety::keyed,
-                          .deduplication_span = 5 * second}};
+                          .deduplication_span = to_duration(5 * second)}};
     d.retries.attempt_limit = 4;
     d.open_request_limit = 100;
     d.copies.state_is_reported = true;
-    d.copies.keep_alive = 10 * second;
+    d.copies.keep_alive = to_duration(10 * second);
     d.slow_start.budget_multiple = 2;
-    d.slow_start.budget_span = second;
+    d.slow_start.budget_span = to_duration(second);
     d.slow_start.initial_capacity = 0.2;
-    d.slow_start.warm_up_span = 10 * second;
-    d.connect_timeout = connect_limit;
+    d.slow_start.warm_up_span = to_duration(10 * second);
+    d.connect_timeout = to_duration(connect_limit);
     return d;
   }();
   Silent silent;
@@ -257,9 +259,10 @@
   start(1);
   pump.pass(15'000);
   one.on_bytes = nullptr;
-  ASSERT_TRUE(gateway->accept(source, client,
-                              {.request_class = "at-most-once", .function = "f", .time_left = 2 * second},
-                              {.id = "call", .source = "/test", .type = "at-most-once", .data = data}));
+  ASSERT_TRUE(gateway->accept(
+      source, client,
+      {.request_class = "at-most-once", .function = "f", .time_left = to_duration(2 * second)},
+      {.id = "call", .source = "/test", .type = "at-most-once", .data = data}));
   pump.pass(600);
   one.peers[0]->stream->close();
   ASSERT_TRUE(ended());
--- a/tests/core/outstanding_calls_test.cpp
+++ b/tests/core/outstanding_calls_test.cpp
@@ -3,6 +3,8 @@
 
 #include <gtest/gtest.h>
 
+#include "routing/types.h"
+
 namespace rushhill::core {
 namespace {
 
--- a/tests/core/parts_fixture.h
+++ b/tests/core/parts_fixture.h
@@ -27,16 +27,16 @@
 class RecordingRouter final : public RoutingPolicy {
  public:
   explicit RecordingRouter(Heard& heard) : heard_(heard) {}
-  void endpoints_updated(Time, EndpointListForm, const std::vector<Endpoint>&) override {}
-  void request_received(Time, const RoutingRequest& event) override { heard_.requests.push_back(event); }
-  void response_started(Time, RequestId, int) override {}
-  void attempt_ended(Time, const AttemptEnd& end) override { heard_.attempt_ends.push_back(end); }
-  void client_cancelled(Time, RequestId event) override { heard_.cancelled.push_back(event); }
-  void timer_fired(Time, std::int64_t) override {}
-  void probe_ended(Time, const ProbeEnd& end) override { heard_.probe_ends.push_back(end); }
-  void prewarm_ended(Time, const PrewarmEnd& end) override { heard_.order_ends.push_back(end); }
-  void gossip_received(Time, int, const std::string&) override {}
-  void load_budget_restored(Time, double) override {}
+  void endpoints_updated(Timestamp, EndpointListForm, const std::vector<Endpoint>&) override {}
+  void request_received(Timestamp, const RoutingRequest& event) override { heard_.requests.push_back(event); }
+  void response_started(Timestamp, RequestId, int) override {}
+  void attempt_ended(Timestamp, const AttemptEnd& end) override { heard_.attempt_ends.push_back(end); }
+  void client_cancelled(Timestamp, RequestId event) override { heard_.cancelled.push_back(event); }
+  void timer_fired(Timestamp, std::int64_t) override {}
+  void probe_ended(Timestamp, const ProbeEnd& end) override { heard_.probe_ends.push_back(end); }
+  void prewarm_ended(Timestamp, const PrewarmEnd& end) override { heard_.order_ends.push_back(end); }
+  void gossip_received(Timestamp, int, const std::string&) override {}
+  void load_budget_restored(Timestamp, double) override {}
 
  private:
   Heard& heard_;
--- a/tests/core/request_lifecycle_test.cpp
+++ b/tests/core/request_lifecycle_test.cpp
@@ -37,7 +37,8 @@
   static constexpr Time advice = 700;
 
   RequestId accept() {
-    return lifecycle.accept(source, client, {.request_class = "lookup", .time_left = second}, {.id = "one"})
+    return lifecycle
+        .accept(source, client, {.request_class = "lookup", .time_left = to_duration(second)}, {.id = "one"})
         .value_or(0);
   }
 
@@ -150,7 +151,7 @@
   lifecycle.verdict(id, AdmissionVerdict::tracked);
   lifecycle.verdict(id, AdmissionVerdict::tracked);
   ASSERT_EQ(heard.requests.size(), 1U);
-  EXPECT_EQ(heard.requests[0].time_left, second - second / 4);
+  EXPECT_EQ(heard.requests[0].time_left, to_duration(second - second / 4));
   lifecycle.fail(id);
   EXPECT_EQ(ledger.fates, std::vector<ExecutionCertainty>{ExecutionCertainty::not_executed});
 }
--- a/tests/core/server_call_execution_test.cpp
+++ b/tests/core/server_call_execution_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_EQ(tally.probes, 1U);
   ASSERT_EQ(heard.probe_ends.size(), 1U);
   EXPECT_EQ(heard.probe_ends[0].endpoint, "a");
-  EXPECT_EQ(heard.probe_ends[0].taken, 30);
+  EXPECT_EQ(heard.probe_ends[0].taken, to_duration(30));
 }
 
 TEST_F(ServerCallExecutionTest, AnOrderLeavesWithItsLimitAndIsReportedWithTheTimeItTook) {
@@ -48,7 +48,7 @@
   EXPECT_EQ(carrier.order_limit, 5 * second);
   EXPECT_EQ(tally.prewarms, 1U);
   ASSERT_EQ(heard.order_ends.size(), 1U);
-  EXPECT_EQ(heard.order_ends[0].taken, second);
+  EXPECT_EQ(heard.order_ends[0].taken, to_duration(second));
   EXPECT_EQ(heard.order_ends[0].copies, 2);
 }
 
--- a/tests/deployment/deployment_file_test.cpp
+++ b/tests/deployment/deployment_file_test.cpp
@@ -115,9 +115,9 @@
   for (const std::string& line : first.in_force) printed += line + "\n";
   const Program second = read_text("g", printed);
   EXPECT_EQ(first.in_force, second.in_force);
-  EXPECT_EQ(second.module.tick, 330);
+  EXPECT_EQ(second.module.tick, to_duration(330));
   EXPECT_EQ(second.module.tenants.at(0).share, 0.25);
-  EXPECT_EQ(second.module.request_classes.at(0).latency_objective, 7'500);
+  EXPECT_EQ(second.module.request_classes.at(0).latency_objective, to_duration(7'500));
 }
 
 TEST(DeploymentFile, ATrafficTypeThatTellsNoEffectIsOfTheStrictestKind) {
--- a/tests/events/cloudevent_test.cpp
+++ b/tests/events/cloudevent_test.cpp
@@ -119,7 +119,8 @@
 class Reading : public testing::Test {
  protected:
   Reading() {
-    deployment.request_classes = {{.name = "lookup", .latency_objective = 7'500, .deadline_span = 25'000}};
+    deployment.request_classes = {
+        {.name = "lookup", .latency_objective = to_duration(7'500), .deadline_span = to_duration(25'000)}};
     deployment.tenants = {{.name = "a"}};
   }
   std::string refused(const std::string& name, const std::string& value) {
@@ -140,7 +141,7 @@
 
 TEST_F(Reading, EachAttributeHasItsRange) {
   EXPECT_EQ(refused("subject", "any"), "");
-  EXPECT_EQ(told.time_left, 25'000);
+  EXPECT_EQ(told.time_left, to_duration(25'000));
   EXPECT_EQ(told.lanes, 1);
   EXPECT_EQ(refused("function", ""), "function");
   EXPECT_EQ(refused("function", std::string(257, 'f')), "function");
@@ -154,7 +155,7 @@
   EXPECT_EQ(refused("timeleftms", "0"), "timeleftms");
   EXPECT_EQ(refused("timeleftms", "2501"), "timeleftms");  // no client stretches the hard limit
   EXPECT_EQ(refused("timeleftms", "700"), "");
-  EXPECT_EQ(told.time_left, 7'000);
+  EXPECT_EQ(told.time_left, to_duration(7'000));
 }
 
 TEST_F(Reading, ATypeThatBelongsToNoTrafficTypeIsRefused) {
--- a/tests/fake_host.h
+++ b/tests/fake_host.h
@@ -25,13 +25,13 @@
     Time at;
   };
 
-  void send_attempt(RequestId event, const EndpointId& server, Time) override {
+  void send_attempt(RequestId event, const EndpointId& server, Duration) override {
     shots.push_back({event, server});
   }
   void cancel_attempt(RequestId event, int leg) override { called_off.emplace_back(event, leg); }
-  void reject(RequestId event, Time) override { sheds.push_back(event); }
+  void reject(RequestId event, Duration) override { sheds.push_back(event); }
   void fail(RequestId event) override { abandoned.push_back(event); }
-  void set_timer(std::int64_t token, Time at) override { wakes.push_back({token, at}); }
+  void set_timer(std::int64_t token, Timestamp at) override { wakes.push_back({token, to_ticks(at)}); }
   void probe(const EndpointId& server) override { probes.push_back(server); }
   void close_idle(const EndpointId&) override {}
   void prewarm(const EndpointId& server, const FunctionId& function, int copies) override {
@@ -58,28 +58,31 @@
 struct Story {
   Story() {
     deployment.routers = 2;
-    deployment.tick = 40;
-    deployment.request_classes.push_back(
-        {.name = "lookup", .latency_objective = second, .deadline_span = 3 * second});
+    deployment.tick = to_duration(40);
+    deployment.request_classes.push_back({.name = "lookup",
+                                          .latency_objective = to_duration(second),
+                                          .deadline_span = to_duration(3 * second)});
     deployment.slow_start.budget_multiple = 2;
-    deployment.slow_start.budget_span = second;
+    deployment.slow_start.budget_span = to_duration(second);
     deployment.slow_start.initial_capacity = 0.2;
-    deployment.slow_start.warm_up_span = 10 * second;
+    deployment.slow_start.warm_up_span = to_duration(10 * second);
     deployment.retries.attempt_limit = 4;
     deployment.retries.cancel_attempts = true;
     deployment.copies.prewarm = true;
     deployment.copies.state_is_reported = true;
-    deployment.copies.keep_alive = 10 * second;
-    deployment.copies.prewarm_timeout = 10 * second;
+    deployment.copies.keep_alive = to_duration(10 * second);
+    deployment.copies.prewarm_timeout = to_duration(10 * second);
   }
 
   void start(int servers) {
     router = make_routing_policy(deployment, seed, host);
     std::vector<Endpoint> list;
     for (int i = 0; i < servers; ++i) list.push_back({.id = std::string(1, static_cast<char>('a' + i))});
-    router->endpoints_updated(now, EndpointListForm::snapshot, list);
+    router->endpoints_updated(to_timestamp(now), EndpointListForm::snapshot, list);
+  }
+  void change(const Endpoint& server) {
+    router->endpoints_updated(to_timestamp(now), EndpointListForm::delta, {server});
   }
-  void change(const Endpoint& server) { router->endpoints_updated(now, EndpointListForm::delta, {server}); }
 
   // Lets time pass, ringing every bell that falls due.
   void pass(Time span) {
@@ -94,19 +97,19 @@
       const FakeHost::Wake wake = host.wakes[next];
       host.wakes.erase(host.wakes.begin() + static_cast<std::ptrdiff_t>(next));
       now = std::max(now, wake.at);
-      router->timer_fired(now, wake.token);
+      router->timer_fired(to_timestamp(now), wake.token);
     }
     now = end;
   }
 
   RequestId event(const FunctionId& function, Time left = 3 * second, const std::string& customer = "") {
-    router->request_received(now, {.id = ++last,
-                                   .request_class = "lookup",
-                                   .tenant = customer,
-                                   .function = function,
-                                   .time_left = left,
-                                   .lanes = 2,
-                                   .load_time = second / 2});
+    router->request_received(to_timestamp(now), {.id = ++last,
+                                                 .request_class = "lookup",
+                                                 .tenant = customer,
+                                                 .function = function,
+                                                 .time_left = to_duration(left),
+                                                 .lanes = 2,
+                                                 .load_time = to_duration(second / 2)});
     return last;
   }
   // Ends the newest shot of the event.
@@ -117,13 +120,13 @@
     for (const auto& shot : host.shots) {
       if (shot.event == id) ++leg, server = shot.server;
     }
-    router->attempt_ended(now, {.request = id,
-                                .attempt_number = leg,
-                                .endpoint = server,
-                                .outcome = ending,
-                                .final = ending == AttemptOutcome::succeeded,
-                                .taken = taken,
-                                .copy_state = warmth});
+    router->attempt_ended(to_timestamp(now), {.request = id,
+                                              .attempt_number = leg,
+                                              .endpoint = server,
+                                              .outcome = ending,
+                                              .final = ending == AttemptOutcome::succeeded,
+                                              .taken = to_duration(taken),
+                                              .copy_state = warmth});
   }
   // An event that is honoured after a tenth of a second.
   EndpointId honour(const FunctionId& function, const std::string& customer = "", Time taken = second / 10) {
--- a/tests/membership/board_test.cpp
+++ b/tests/membership/board_test.cpp
@@ -178,7 +178,7 @@
   const Notice notice = read_notice(json, 15'000);
   EXPECT_TRUE(notice.whole);
   ASSERT_EQ(notice.entries.size(), 1U);
-  EXPECT_EQ(notice.entries[0].endpoint.started, 5'000);
+  EXPECT_EQ(notice.entries[0].endpoint.started, to_timestamp(5'000));
   EXPECT_EQ(notice.entries[0].endpoint.state, EndpointState::removed);
 }
 
--- a/tests/membership/roster_test.cpp
+++ b/tests/membership/roster_test.cpp
@@ -41,7 +41,7 @@
   ASSERT_EQ(told.entries.size(), 1U);
   EXPECT_EQ(told.entries[0].endpoint.state, EndpointState::active);
   EXPECT_EQ(told.entries[0].address, "127.0.0.1:2");
-  EXPECT_EQ(told.entries[0].endpoint.started, 8'000);  // 9000 tenths less the offset
+  EXPECT_EQ(told.entries[0].endpoint.started, to_timestamp(8'000));  // 9000 tenths less the offset
 }
 
 TEST(RosterWords, AnAddressThatTwoServersClaimBelongsToTheLaterStart) {
--- a/tests/membership/start_times_test.cpp
+++ b/tests/membership/start_times_test.cpp
@@ -24,7 +24,7 @@
 core::EndpointListEntry entry(const std::string& id, Time told) {
   core::EndpointListEntry made;
   made.endpoint.id = id;
-  made.endpoint.started = told;
+  made.endpoint.started = to_timestamp(told);
   return made;
 }
 Time told_at_age(Time age) { return true_wall - age; }
@@ -36,7 +36,7 @@
     translator.translate_snapshot({.monotonic = now, .wall = true_wall + step}, latest_start(entries),
                                   EndpointListForm::snapshot, entries);
     const auto it = std::ranges::find_if(entries, [&](const auto& one) { return one.endpoint.id == id; });
-    return now - it->endpoint.started;
+    return now - to_ticks(it->endpoint.started);
   }
 };
 
@@ -89,8 +89,8 @@
       StartTimeTranslator translator;
       EndpointEntries arrived{entry("fresh", told_at_age(second) + step + far_off), entry("always", 0)};
       translator.translate_update(now, EndpointListForm::delta, arrived);
-      EXPECT_EQ(arrived[0].endpoint.started, now);
-      EXPECT_EQ(arrived[1].endpoint.started, 0);
+      EXPECT_EQ(arrived[0].endpoint.started, to_timestamp(now));
+      EXPECT_EQ(arrived[1].endpoint.started, to_timestamp(0));
     }
   }
 }
@@ -103,7 +103,7 @@
   EndpointEntries again{entry("a", told_at_age(60 * second)), entry("b", told_at_age(0))};
   translator.translate_update(now + second, EndpointListForm::snapshot, again);
   EXPECT_EQ(again[0].endpoint.started, first[0].endpoint.started);
-  EXPECT_EQ(again[1].endpoint.started, now + second);
+  EXPECT_EQ(again[1].endpoint.started, to_timestamp(now + second));
   EndpointEntries in_the_same_moment{entry("b", told_at_age(-second))};
   translator.translate_update(now + second, EndpointListForm::delta, in_the_same_moment);
   EXPECT_NE(in_the_same_moment[0].endpoint.started, again[1].endpoint.started) << "another incarnation";
@@ -116,13 +116,13 @@
   EndpointEntries left{entry("a", told_at_age(second))};
   left[0].endpoint.state = EndpointState::removed;
   translator.translate_update(now + 1, EndpointListForm::delta, left);
-  EXPECT_EQ(left[0].endpoint.started, now) << "the incarnation that was known";
+  EXPECT_EQ(left[0].endpoint.started, to_timestamp(now)) << "the incarnation that was known";
   EndpointEntries missing{};
   translator.translate_update(now + 2, EndpointListForm::snapshot, missing);
   EndpointEntries back{entry("a", told_at_age(second)), entry("b", told_at_age(second))};
   translator.translate_update(now + 3, EndpointListForm::delta, back);
-  EXPECT_EQ(back[0].endpoint.started, now + 3);
-  EXPECT_EQ(back[1].endpoint.started, now + 3);
+  EXPECT_EQ(back[0].endpoint.started, to_timestamp(now + 3));
+  EXPECT_EQ(back[1].endpoint.started, to_timestamp(now + 3));
 }
 
 // What follows runs both clients of discovery on the emulated network, whose wall clock is stepped.
@@ -144,7 +144,7 @@
   void step(Time by) { network.step_wall_clock(by * nanoseconds_a_tenth); }
   void pass(Time span) { network.run_until(network.now() + span); }
   void hear(const std::vector<core::EndpointListEntry>& entries) {
-    for (const auto& one : entries) started[one.endpoint.id] = one.endpoint.started;
+    for (const auto& one : entries) started[one.endpoint.id] = to_ticks(one.endpoint.started);
   }
 
   emulator::Network network{2};
--- a/tests/router/remembered_endpoint_list_test.cpp
+++ b/tests/router/remembered_endpoint_list_test.cpp
@@ -40,8 +40,9 @@
 };
 
 membership::RosterWord list_of(std::int64_t revision) {
-  core::EndpointListEntry entry{.endpoint = {.id = "s" + std::to_string(revision), .started = 77},
-                                .address = "127.0.0.1:9"};
+  core::EndpointListEntry entry{
+      .endpoint = {.id = "s" + std::to_string(revision), .started = to_timestamp(77)},
+      .address = "127.0.0.1:9"};
   return {.form = EndpointListForm::snapshot, .revision = revision, .entries = {entry}};
 }
 
@@ -285,7 +286,7 @@
   EXPECT_EQ(list_read.form, EndpointListForm::cached);
   ASSERT_EQ(list_read.entries.size(), 1U);
   EXPECT_EQ(list_read.entries[0].endpoint.id, "s1");
-  EXPECT_EQ(list_read.entries[0].endpoint.started, 77);
+  EXPECT_EQ(list_read.entries[0].endpoint.started, to_timestamp(77));
   EXPECT_TRUE(log.lines.empty());
 }
 
--- a/tests/routing/cold_fleet_test.cpp
+++ b/tests/routing/cold_fleet_test.cpp
@@ -44,22 +44,23 @@
  public:
   explicit Fleet(const Play& play) : play_(play), chance_(play.seed) {
     deployment_.routers = play.routers;
-    deployment_.tick = 40;
-    deployment_.request_classes.push_back(
-        {.name = "lookup", .latency_objective = play.due, .deadline_span = 10 * play.due / 3});
+    deployment_.tick = to_duration(40);
+    deployment_.request_classes.push_back({.name = "lookup",
+                                           .latency_objective = to_duration(play.due),
+                                           .deadline_span = to_duration(10 * play.due / 3)});
     deployment_.slow_start.budget_multiple = 2;
-    deployment_.slow_start.budget_span = 3 * second / 2;
+    deployment_.slow_start.budget_span = to_duration(3 * second / 2);
     deployment_.slow_start.initial_capacity = play.cold_share;
-    deployment_.slow_start.warm_up_span = play.cold_span;
+    deployment_.slow_start.warm_up_span = to_duration(play.cold_span);
     deployment_.retries.attempt_limit = 5;
     deployment_.retries.cancel_attempts = deployment_.reports.probes = deployment_.reports.gossip =
         deployment_.copies.prewarm = true;
     deployment_.copies.state_is_reported = true;
     deployment_.copies.missing_is_answered = play.miss_answers;
-    deployment_.copies.prewarm_timeout = 5 * second;
+    deployment_.copies.prewarm_timeout = to_duration(5 * second);
     deployment_.reports.load_reports = "probe";
-    deployment_.copies.keep_alive = 13 * second;
-    deployment_.connect_timeout = second / 4;
+    deployment_.copies.keep_alive = to_duration(13 * second);
+    deployment_.connect_timeout = to_duration(second / 4);
     for (int i = 0; i < play.servers; ++i) add(0);
     std::vector<Endpoint> all;
     for (const auto& [id, machine] : machines_) all.push_back(machine.told);
@@ -118,7 +119,7 @@
   };
   struct Instance final : RoutingHost {
     Instance(Fleet& of, int who) : fleet(of), me(who) {}
-    void send_attempt(RequestId event, const EndpointId& server, Time) override {
+    void send_attempt(RequestId event, const EndpointId& server, Duration) override {
       const int leg = legs[event]++;
       open.insert({event, leg});
       fleet.at(fleet.now_ + 5, [this, event, leg, server] { fleet.arrive(*this, event, leg, server); });
@@ -126,11 +127,11 @@
     void cancel_attempt(RequestId event, int leg) override {
       finish(event, leg, {}, AttemptOutcome::cancelled, CopyState::unknown, fleet.now_);
     }
-    void reject(RequestId event, Time) override { legs.erase(event), fleet.retry(*this); }
+    void reject(RequestId event, Duration) override { legs.erase(event), fleet.retry(*this); }
     void fail(RequestId event) override { legs.erase(event), fleet.retry(*this); }
-    void set_timer(std::int64_t token, Time when) override {
-      fleet.at(when, [this, life = life, token] {
-        if (life == this->life) router->timer_fired(fleet.now_, token);
+    void set_timer(std::int64_t token, Timestamp when) override {
+      fleet.at(to_ticks(when), [this, life = life, token] {
+        if (life == this->life) router->timer_fired(to_timestamp(fleet.now_), token);
       });
     }
     void probe(const EndpointId& server) override {
@@ -138,8 +139,9 @@
         if (life != this->life) return;
         Machine& machine = fleet.machines_.at(server);
         fleet.count(machine, knows(server, machine));
-        router->probe_ended(fleet.now_,
-                            {.endpoint = server, .taken = 10, .report = {{"util", fleet.use(server)}}});
+        router->probe_ended(
+            to_timestamp(fleet.now_),
+            {.endpoint = server, .taken = to_duration(10), .report = {{"util", fleet.use(server)}}});
       });
     }
     void close_idle(const EndpointId&) override {}
@@ -150,8 +152,9 @@
         machine.copies.try_emplace(function, fleet.now_ + second / 2);
         fleet.at(machine.copies.at(function), [this, life, server, function] {
           if (life != this->life) return;
-          router->prewarm_ended(fleet.now_,
-                                {.endpoint = server, .function = function, .taken = second / 2, .copies = 1});
+          router->prewarm_ended(
+              to_timestamp(fleet.now_),
+              {.endpoint = server, .function = function, .taken = to_duration(second / 2), .copies = 1});
         });
       });
     }
@@ -159,7 +162,7 @@
     void send_gossip(int, const std::string& bytes) override {
       fleet.at(fleet.now_ + 100, [this, bytes] {
         for (auto& other : fleet.instances_) {
-          if (other.get() != this) other->router->gossip_received(fleet.now_, me, bytes);
+          if (other.get() != this) other->router->gossip_received(to_timestamp(fleet.now_), me, bytes);
         }
       });
     }
@@ -172,18 +175,18 @@
       fleet.at(fleet.now_, [this, event, leg, server, ending, warmth, sent] {
         if (open.erase({event, leg}) == 0) return;
         fleet.honoured_ += ending == AttemptOutcome::succeeded ? 1 : 0;
-        router->attempt_ended(fleet.now_, {.request = event,
-                                           .attempt_number = leg,
-                                           .endpoint = server,
-                                           .outcome = ending,
-                                           .final = ending == AttemptOutcome::succeeded,
-                                           .taken = fleet.now_ - sent,
-                                           .copy_state = warmth});
+        router->attempt_ended(to_timestamp(fleet.now_), {.request = event,
+                                                         .attempt_number = leg,
+                                                         .endpoint = server,
+                                                         .outcome = ending,
+                                                         .final = ending == AttemptOutcome::succeeded,
+                                                         .taken = to_duration(fleet.now_ - sent),
+                                                         .copy_state = warmth});
       });
     }
     bool knows(const EndpointId& server, const Machine& machine) const {
       const auto it = known.find(server);
-      return it != known.end() && it->second == machine.told.started;
+      return it != known.end() && it->second == to_ticks(machine.told.started);
     }
     Fleet& fleet;
     int me, life = 0;
@@ -201,7 +204,7 @@
   EndpointId add(Time started) {
     const EndpointId id = "s" + std::to_string(machines_.size() + 100);
     Machine& machine = machines_[id];
-    machine.told = {.id = id, .started = started};
+    machine.told = {.id = id, .started = to_timestamp(started)};
     machine.cold_from = started;
     machine.free.assign(2, 0);
     return id;
@@ -210,8 +213,8 @@
     for (auto& instance : instances_) {
       at(now_ + std::uniform_int_distribution<Time>(100, play_.told_within)(chance_),
          [this, one = instance.get(), server] {
-           one->known[server.id] = server.started;
-           one->router->endpoints_updated(now_, EndpointListForm::delta, {server});
+           one->known[server.id] = to_ticks(server.started);
+           one->router->endpoints_updated(to_timestamp(now_), EndpointListForm::delta, {server});
          });
     }
   }
@@ -236,8 +239,8 @@
     deployment_.router_number = instance.me;
     const auto seed = play_.seed * 1'000U + static_cast<std::uint32_t>(instance.me + 100'000 * instance.life);
     instance.router = make_routing_policy(deployment_, seed, instance);
-    instance.router->endpoints_updated(now_, EndpointListForm::snapshot, list);
-    for (const Endpoint& server : list) instance.known[server.id] = server.started;
+    instance.router->endpoints_updated(to_timestamp(now_), EndpointListForm::snapshot, list);
+    for (const Endpoint& server : list) instance.known[server.id] = to_ticks(server.started);
   }
   // Servers whose process dies and is back at once, cold; the routers hear of it one after the other.
   void plan_crashes() {
@@ -245,7 +248,8 @@
     for (int i = 0; i < count; ++i) {
       at(start_ + play_.release, [this, id = "s" + std::to_string(100 + i)] {
         Machine& machine = machines_.at(id);
-        machine.told.started = machine.cold_from = now_;
+        machine.cold_from = now_;
+        machine.told.started = to_timestamp(now_);
         ++machine.life;
         machine.free.assign(2, now_);
         machine.ends.clear(), machine.got.clear(), machine.copies.clear();
@@ -277,11 +281,11 @@
     const RequestId id = ++instance.last;
     const std::string name = "f" + std::to_string(std::min(function, 400));
     instance.functions[id] = name;
-    instance.router->request_received(now_, {.id = id,
-                                             .request_class = "lookup",
-                                             .function = name,
-                                             .time_left = 10 * play_.due / 3,
-                                             .load_time = second / 2});
+    instance.router->request_received(to_timestamp(now_), {.id = id,
+                                                           .request_class = "lookup",
+                                                           .function = name,
+                                                           .time_left = to_duration(10 * play_.due / 3),
+                                                           .load_time = to_duration(second / 2)});
   }
   void next_event(std::size_t router) {
     const double load = now_ - start_ < play_.release ? play_.load : play_.later_load;
@@ -294,9 +298,9 @@
     });
   }
   double share(const Machine& machine) const {
-    if (machine.told.started == 0) return 1;
-    const double age =
-        std::max(0.0, static_cast<double>(now_ - machine.told.started - deployment_.slow_start.budget_span));
+    if (machine.told.started == Timestamp{}) return 1;
+    const double age = std::max(0.0, static_cast<double>(now_ - to_ticks(machine.told.started) -
+                                                         to_ticks(deployment_.slow_start.budget_span)));
     return std::min(1.0,
                     play_.cold_share + (1 - play_.cold_share) * age / static_cast<double>(play_.cold_span));
   }
@@ -311,7 +315,7 @@
     if (std::uniform_real_distribution<double>(0, 1)(chance_) < play_.failing)
       return from.finish(event, leg, id, AttemptOutcome::error, CopyState::unknown, sent);
     const FunctionId copy = play_.miss_answers ? from.functions[event] : "any";
-    if (play_.miss_answers && !machine.copies.contains(copy) && machine.told.started != 0)
+    if (play_.miss_answers && !machine.copies.contains(copy) && machine.told.started != Timestamp{})
       return from.finish(event, leg, id, AttemptOutcome::function_missing, CopyState::unknown, sent);
     const double pace = play_.cores / 2 * share(machine);
     const double work = std::exponential_distribution<double>(1 / static_cast<double>(play_.work))(chance_);
@@ -342,10 +346,10 @@
   }
   // Of what routers send that have not been told of the start yet, nothing counts against the rule.
   void count(Machine& machine, bool told) {
-    while (!machine.got.empty() && machine.got.front() <= now_ - deployment_.slow_start.budget_span)
+    while (!machine.got.empty() && machine.got.front() <= now_ - to_ticks(deployment_.slow_start.budget_span))
       machine.got.pop_front();
-    const Time age = now_ - machine.told.started;
-    if (!told || machine.told.started == 0 || age >= play_.cold_span) return;
+    const Time age = now_ - to_ticks(machine.told.started);
+    if (!told || machine.told.started == Timestamp{} || age >= play_.cold_span) return;
     machine.got.push_back(now_);
     const double n = permitted(machine);
     sent_cold_ += note_permitted(machine, now_) ? 1 : 0;
@@ -360,17 +364,18 @@
   // N: what the rule permits a cold server now within the fall span.
   double permitted(const Machine& machine) const {
     return deployment_.slow_start.budget_multiple * share(machine) * play_.cores *
-           static_cast<double>(deployment_.slow_start.budget_span) / static_cast<double>(play_.work);
+           static_cast<double>(to_ticks(deployment_.slow_start.budget_span)) /
+           static_cast<double>(play_.work);
   }
   // Adds up what it was permitted since the last time; whether all routers knew of its start by then.
   bool note_permitted(Machine& machine, Time until) {
-    if (machine.told.started == 0) return false;
-    until = std::min(until, machine.told.started + play_.cold_span);
-    const Time from = std::max(machine.cold_from, machine.told.started + play_.told_within);
+    if (machine.told.started == Timestamp{}) return false;
+    until = std::min(until, to_ticks(machine.told.started) + play_.cold_span);
+    const Time from = std::max(machine.cold_from, to_ticks(machine.told.started) + play_.told_within);
     machine.cold_from = std::max(from, until);
     if (until <= from) return false;
     permitted_ += permitted(machine) * static_cast<double>(until - from) /
-                  static_cast<double>(deployment_.slow_start.budget_span);
+                  static_cast<double>(to_ticks(deployment_.slow_start.budget_span));
     return true;
   }
 
--- a/tests/routing/routing_policy_test.cpp
+++ b/tests/routing/routing_policy_test.cpp
@@ -59,7 +59,7 @@
 TEST(Index, BusyServerIsHomeToFewerFunctions) {
   Story story;
   story.deployment.copies.state_is_reported = false;
-  story.deployment.request_classes[0].latency_objective = 3 * second;
+  story.deployment.request_classes[0].latency_objective = to_duration(3 * second);
   story.start(10);
   const auto homes = [&](const char* prefix) {
     int count = 0;
@@ -72,11 +72,11 @@
     const RequestId id = story.event("g" + std::to_string(i));
     story.pass(second);
     const EndpointId server = story.server_of(id);
-    story.router->attempt_ended(story.now, {.request = id,
-                                            .endpoint = server,
-                                            .final = true,
-                                            .taken = second,
-                                            .report = {{"util", server == "a" ? 1.0 : 0.4}}});
+    story.router->attempt_ended(to_timestamp(story.now), {.request = id,
+                                                          .endpoint = server,
+                                                          .final = true,
+                                                          .taken = to_duration(second),
+                                                          .report = {{"util", server == "a" ? 1.0 : 0.4}}});
   }
   const int after = homes("h");
   EXPECT_GE(before, 8);
@@ -96,12 +96,12 @@
 TEST(Index, RestartedServerHoldsNothing) {
   for (const char* function : {"f", "g", "h", "i", "j", "k"}) {
     Story story;
-    story.deployment.copies.keep_alive = 60 * second;
+    story.deployment.copies.keep_alive = to_duration(60 * second);
     story.start(6);
     const EndpointId home = story.honour(function);
     story.change({.id = home, .state = EndpointState::draining});
     const EndpointId other = story.honour(function);
-    story.change({.id = home, .started = story.now - 20 * second});
+    story.change({.id = home, .started = to_timestamp(story.now - 20 * second)});
     story.pass(25 * second);  // no longer hot: only entries count
     EXPECT_EQ(story.server_of(story.event(function)), other);
   }
@@ -118,7 +118,7 @@
   EXPECT_EQ(story.host.orders[0].first, server);
   EXPECT_EQ(story.shots_of(id), 1);
   story.pass(second / 4);
-  story.router->prewarm_ended(story.now, {.endpoint = server, .function = "f", .copies = 1});
+  story.router->prewarm_ended(to_timestamp(story.now), {.endpoint = server, .function = "f", .copies = 1});
   EXPECT_EQ(story.shots_of(id), 2);
   EXPECT_EQ(story.server_of(id), server);
 }
@@ -127,7 +127,7 @@
   Story story;
   story.start(1);
   const RequestId id = story.event("f", second);
-  story.pass(second - story.deployment.tick);
+  story.pass(second - to_ticks(story.deployment.tick));
   EXPECT_EQ(story.finals(), 1U);
   story.end(id, AttemptOutcome::unanswered);
   story.pass(5 * second);
@@ -161,7 +161,7 @@
   RequestClass& type = story.deployment.request_classes[0];
   type.retry_safety = RetrySafety::keyed;
   type.deduplication_scope = DeduplicationScope::location;
-  type.deduplication_span = second / 2;
+  type.deduplication_span = to_duration(second / 2);
   story.start(0);
   for (const char* id : {"a", "b", "c", "d"})
     story.change({.id = id, .location = id[0] < 'c' ? "left" : "right"});
@@ -201,7 +201,7 @@
   Story story;
   story.start(1);
   for (int i = 0; i < 50; ++i) story.honour("f");  // ten events a second, a tenth of a second each
-  story.change({.id = "b", .started = story.now});
+  story.change({.id = "b", .started = to_timestamp(story.now)});
   story.change({.id = "a", .state = EndpointState::draining});
   for (int i = 0; i < 40; ++i) story.event("g", second);
   // Twice a fifth of what a warm server bore, over one second: four events, less the margin.
@@ -215,8 +215,8 @@
   story.deployment.reports.probes = story.deployment.reports.gossip = true;
   story.start(1);
   for (int i = 0; i < 50; ++i) story.honour("f");
-  for (int i = 0; i < 50; ++i) story.router->gossip_received(story.now, 1, "a u25");
-  story.change({.id = "b", .started = story.now});
+  for (int i = 0; i < 50; ++i) story.router->gossip_received(to_timestamp(story.now), 1, "a u25");
+  story.change({.id = "b", .started = to_timestamp(story.now)});
   story.change({.id = "a", .state = EndpointState::draining});
   for (int i = 0; i < 40; ++i) story.event("g", second);
   EXPECT_GE(story.shots_at("b"), 6) << "twice as many: a quarter busy, half of the fleet is kept as a margin";
@@ -234,7 +234,7 @@
     story.last = 1000 * me;
     story.start(4);
     for (int i = 0; i < 100; ++i) story.honour("f" + std::to_string(i), "", 2 * second / 10);
-    story.change({.id = "x", .started = story.now});
+    story.change({.id = "x", .started = to_timestamp(story.now)});
     for (int i = 0; i < 5; ++i) story.honour("g" + std::to_string(i), "", 2 * second / 10);
     shots += story.shots_at("x");
   }
@@ -248,7 +248,7 @@
   story.deployment.reports.gossip = true;
   story.start(2);
   for (int i = 0; i < 50; ++i) story.honour("f");
-  story.router->gossip_received(story.now, 1, "a");
+  story.router->gossip_received(to_timestamp(story.now), 1, "a");
   const int before = story.shots_at("a");
   for (int i = 0; i < 20; ++i) story.event("f");
   EXPECT_LE(story.shots_at("a") - before, 4);
@@ -295,13 +295,13 @@
     for (int i = 0; i < 20; ++i) story.event("f");
     return story.shots_at("a") - before;
   };
-  story.router->gossip_received(story.now, 1, "a c");
+  story.router->gossip_received(to_timestamp(story.now), 1, "a c");
   story.pass(2 * second);
-  story.router->gossip_received(story.now, 1, "a c");
+  story.router->gossip_received(to_timestamp(story.now), 1, "a c");
   story.end(story.event("f"), AttemptOutcome::connection_lost);
   EXPECT_EQ(story.host.told, std::vector<std::string>{"a c"});
   EXPECT_GE(admitted(), 15) << "two within a second, one long before";
-  story.router->gossip_received(story.now, 1, "a c");
+  story.router->gossip_received(to_timestamp(story.now), 1, "a c");
   EXPECT_LE(admitted(), 4);
 }
 
@@ -310,8 +310,8 @@
 TEST(Health, ServerThatCannotBeReachedIsLeftAloneForAWhileAndIsAsWarmAsItWas) {
   Story story;
   story.deployment.reports.gossip = true;
-  story.deployment.connect_timeout = second / 4;
-  story.deployment.slow_start.warm_up_span = 60 * second;
+  story.deployment.connect_timeout = to_duration(second / 4);
+  story.deployment.slow_start.warm_up_span = to_duration(60 * second);
   story.start(2);
   for (int i = 0; i < 60; ++i) story.honour("f" + std::to_string(i % 6), "", second / 100);
   const auto cut_off = [&] {
@@ -345,7 +345,7 @@
   for (int i = 0; i < 50; ++i) story.honour("f");
   const RequestId out = story.event("f");
   story.pass(second / 100);
-  story.router->gossip_received(story.now, 1, "a");
+  story.router->gossip_received(to_timestamp(story.now), 1, "a");
   for (int i = 0; i < 20; ++i) story.event("f");
   const int cold = story.shots_at("a");
   EXPECT_LE(cold, 50 + 1 + 4);
@@ -401,7 +401,7 @@
 TEST(Rule5, NothingIsOrderedBeforeTheRationOfEarlierLivesIsKnownAndItCounts) {
   Story story;
   story.deployment.copies.missing_is_answered = story.deployment.load_budget.restored_after_restart = true;
-  story.deployment.load_budget.window = 5 * second;
+  story.deployment.load_budget.window = to_duration(5 * second);
   story.deployment.load_budget.free_loads = 3;
   story.start(6);
   const auto misses = [&] {
@@ -410,7 +410,7 @@
   };
   misses();
   EXPECT_TRUE(story.host.orders.empty());
-  story.router->load_budget_restored(story.now, 2);
+  story.router->load_budget_restored(to_timestamp(story.now), 2);
   misses();
   EXPECT_EQ(story.host.orders.size(), 1U);
 }
@@ -427,7 +427,7 @@
     story.start(0);
     std::vector<Endpoint> list;
     for (int i = 0; i < 80; ++i) list.push_back({.id = "s" + std::to_string(i)});
-    story.router->endpoints_updated(story.now, EndpointListForm::snapshot, list);
+    story.router->endpoints_updated(to_timestamp(story.now), EndpointListForm::snapshot, list);
     at_first.insert(story.honour("hot"));
     for (int i = 0; i < 150; ++i) story.honour("f" + std::to_string(i % 50), "", second / 100);
     late.insert(story.honour("rare"));
@@ -440,7 +440,7 @@
 TEST(Rule5, OrdersStayWithinTheRation) {
   Story story;
   story.deployment.copies.missing_is_answered = true;
-  story.deployment.load_budget.window = 5 * second;
+  story.deployment.load_budget.window = to_duration(5 * second);
   story.deployment.load_budget.free_loads = 2;
   story.start(6);
   for (const char* function : {"f", "g", "h", "i"}) {
@@ -506,7 +506,7 @@
 // What lies beyond a share is worth little, and a queue of it delays the rest.
 TEST(Overload, WhatIsBeyondAShareGivesWayToTheRestInACrowd) {
   Crowd story;
-  story.deployment.request_classes[0].latency_objective = 2 * second;
+  story.deployment.request_classes[0].latency_objective = to_duration(2 * second);
   story.deployment.routers = 1;
   story.deployment.over_quota_value = 0.05;
   story.deployment.tenants.push_back({.name = "loud", .share = 0.5, .quota_per_s = 1});
@@ -605,7 +605,7 @@
     story.pass(second);
     for (const EndpointId& server : story.host.probes) ++probed[server];
     if (story.host.probes.empty()) continue;
-    story.router->probe_ended(story.now, {.endpoint = "a", .report = {{"util", 0.5}}});
+    story.router->probe_ended(to_timestamp(story.now), {.endpoint = "a", .report = {{"util", 0.5}}});
     EXPECT_EQ(story.host.told.back(), "a u50");
   }
   EXPECT_EQ(probed.size(), 10U);
@@ -614,7 +614,7 @@
 
 TEST(Health, SilentServerIsLeftByItsEventsAndAvoided) {
   Story story;
-  story.deployment.request_classes[0].latency_objective = 6 * second;
+  story.deployment.request_classes[0].latency_objective = to_duration(6 * second);
   story.start(4);
   for (int i = 0; i < 60; ++i) story.honour("f");
   std::vector<RequestId> events;
