--- a/src/core/attempt_execution.cpp
+++ b/src/core/attempt_execution.cpp
@@ -6,35 +6,35 @@
 
 namespace rushhill::core {
 
-void AttemptExecution::start(RequestId id, const EndpointId& server, Time timeout) {
+void AttemptExecution::start(RequestId id, const EndpointId& endpoint, Time timeout) {
   Request* request = env_.requests.find(id);
   if (request == nullptr) {
-    env_.log.write(Level::error, "shot for an event that is not open", {{"server", server}});
+    env_.log.write(Level::error, "attempt for a request that is not open", {{"server", endpoint}});
     return;
   }
   const Time now = env_.clock.now();
   const int number = static_cast<int>(request->attempts.size());
-  request->attempts.push_back({.endpoint = server, .started = now});
+  request->attempts.push_back({.endpoint = endpoint, .started = now});
   Attempt& attempt = request->attempts.back();
   if (request->concluded || now >= request->deadline || number >= attempt_limit_) {
     attempt.open = false;
     report_end_soon(id, *request, number, AttemptOutcome::not_sent);
     return;
   }
-  ++env_.tally.attempts;
+  ++env_.counters.attempts;
   if (timeout > 0) {
     attempt.timeout_timer = env_.clock.at(
         now + timeout, [this, id, number] { cancel_sent(id, number, AttemptOutcome::unanswered); });
   }
   env_.upstream.send({.request = id,
                       .attempt_number = number,
-                      .endpoint = server,
+                      .endpoint = endpoint,
                       .time_left = request->deadline - now,
                       .message = request->message});
 }
 
 void AttemptExecution::cancel(RequestId id, int number) {
-  const Attempt* attempt = env_.requests.find_attempt(id, number);
+  const Attempt* attempt = env_.requests.find_attempt({.request = id, .number = number});
   if (attempt != nullptr && attempt->open) cancel_sent(id, number, AttemptOutcome::cancelled);
 }
 
@@ -53,15 +53,15 @@
   }
 }
 
-// Closes the attempt's connection now; the module hears of it when what it does now is done.
-void AttemptExecution::cancel_sent(RequestId id, int number, AttemptOutcome ending) {
+// Cancels the attempt now; the policy is told when its present call has returned.
+void AttemptExecution::cancel_sent(RequestId id, int number, AttemptOutcome outcome) {
   env_.upstream.cancel(id, number);
-  close_and_report(id, env_.requests.at(id), number, ending);
+  close_and_report(id, env_.requests.at(id), number, outcome);
 }
 
-void AttemptExecution::close_and_report(RequestId id, Request& request, int number, AttemptOutcome ending) {
+void AttemptExecution::close_and_report(RequestId id, Request& request, int number, AttemptOutcome outcome) {
   close(request.attempts[static_cast<std::size_t>(number)]);
-  report_end_soon(id, request, number, ending);
+  report_end_soon(id, request, number, outcome);
 }
 
 void AttemptExecution::close(Attempt& attempt) {
@@ -69,18 +69,18 @@
   env_.clock.cancel(attempt.timeout_timer);
 }
 
-void AttemptExecution::report_end_soon(RequestId id, Request& request, int number, AttemptOutcome ending) {
+void AttemptExecution::report_end_soon(RequestId id, Request& request, int number, AttemptOutcome outcome) {
   ++request.deferred_calls;
-  env_.deferred.run_soon([this, id, number, ending] {
+  env_.deferred.run_soon([this, id, number, outcome] {
     --env_.requests.at(id).deferred_calls;
-    report_end(id, number, {.outcome = ending});
+    report_end(id, number, {.outcome = outcome});
   });
 }
 
 void AttemptExecution::report_end(RequestId id, int number, const AttemptResult& result) {
   const Request& request = env_.requests.at(id);
   const Attempt& attempt = request.attempts[static_cast<std::size_t>(number)];
-  env_.tally.count_outcome(result.outcome);
+  env_.counters.count_outcome(result.outcome);
   log_end(request, number, result.outcome);
   const AttemptEnd end{.request = id,
                        .attempt_number = number,
@@ -95,14 +95,14 @@
   env_.requests.erase_if_over(id);
 }
 
-void AttemptExecution::log_end(const Request& request, int number, AttemptOutcome ending) {
+void AttemptExecution::log_end(const Request& request, int number, AttemptOutcome outcome) {
   if (!env_.log.wants(Level::debug)) return;
-  const EndpointId& server = request.attempts[static_cast<std::size_t>(number)].endpoint;
-  env_.log.write(Level::debug, "shot ended",
+  const EndpointId& endpoint = request.attempts[static_cast<std::size_t>(number)].endpoint;
+  env_.log.write(Level::debug, "attempt ended",
                  {{"event", request.message.id},
                   {"leg", std::to_string(number)},
-                  {"server", server},
-                  {"ending", std::to_string(static_cast<int>(ending))}});
+                  {"server", endpoint},
+                  {"ending", std::to_string(static_cast<int>(outcome))}});
 }
 
 }  // namespace rushhill::core
--- a/src/core/attempt_execution.h
+++ b/src/core/attempt_execution.h
@@ -1,5 +1,5 @@
 // Carries out decisions about attempts: starts them, cancels them, and reports the one end of each to the
-// decision module. Part of the gateway; docs/program.md, "The core".
+// routing policy. Part of the gateway; docs/program.md, "The core".
 #pragma once
 
 #include "core/decision_module.h"
@@ -12,8 +12,10 @@
 
 namespace rushhill::core {
 
+// Sends the attempts of the requests in the RequestTable through the UpstreamTransport.
 class AttemptExecution {
  public:
+  // The other parts of the gateway; all of them outlive this one.
   struct Environment {
     TimerService& clock;
     UpstreamTransport& upstream;
@@ -21,16 +23,16 @@
     RequestTable& requests;
     DeferredCalls& deferred;
     PolicyRunner& policy;
-    Counters& tally;
+    Counters& counters;
   };
-  // `attempt_cap`: attempts of one request; further ones end as not sent.
-  AttemptExecution(const Environment& environment, int attempt_cap)
-      : env_(environment), attempt_limit_(attempt_cap) {}
+  // `attempt_limit`: of one request; further attempts end as not sent.
+  AttemptExecution(const Environment& environment, int attempt_limit)
+      : env_(environment), attempt_limit_(attempt_limit) {}
 
-  // Sends the request to the server as its next attempt. `timeout`: 0: until the request's deadline.
-  void start(RequestId id, const EndpointId& server, Time timeout);
+  // Sends the request to the endpoint as its next attempt. `timeout`: 0: until the request's deadline.
+  void start(RequestId id, const EndpointId& endpoint, Time timeout);
 
-  // Cancels one attempt because the decision module asks for it; nothing where it has ended already.
+  // Cancels one attempt because the routing policy asks for it; nothing where it has ended already.
   void cancel(RequestId id, int number);
   // Cancels the attempts of which no byte has left.
   void cancel_unsent(RequestId id, Request& request);
@@ -39,14 +41,14 @@
 
   // Marks an attempt as ended, without any report.
   void close(Attempt& attempt);
-  // Reports the end of a closed attempt to the decision module; erases the request if it is over with that.
+  // Reports the end of a closed attempt to the routing policy; erases the request if it is over with that.
   void report_end(RequestId id, int number, const AttemptResult& result);
 
  private:
-  void cancel_sent(RequestId id, int number, AttemptOutcome ending);
-  void close_and_report(RequestId id, Request& request, int number, AttemptOutcome ending);
-  void report_end_soon(RequestId id, Request& request, int number, AttemptOutcome ending);
-  void log_end(const Request& request, int number, AttemptOutcome ending);
+  void cancel_sent(RequestId id, int number, AttemptOutcome outcome);
+  void close_and_report(RequestId id, Request& request, int number, AttemptOutcome outcome);
+  void report_end_soon(RequestId id, Request& request, int number, AttemptOutcome outcome);
+  void log_end(const Request& request, int number, AttemptOutcome outcome);
 
   Environment env_;
   int attempt_limit_;
--- a/src/core/decision_module.h
+++ b/src/core/decision_module.h
@@ -1,4 +1,4 @@
-// The decision module as the core calls it, with the time that it takes.
+// Runs the routing policy and measures the time that it takes.
 #pragma once
 
 #include <cstdint>
@@ -10,12 +10,13 @@
 
 namespace rushhill::core {
 
+// Owns the policy; every call of it goes through here.
 class PolicyRunner {
  public:
   PolicyRunner(std::unique_ptr<RoutingPolicy> policy, TimerService& clock)
       : clock_(clock), policy_(std::move(policy)) {}
 
-  // Runs `call(RoutingPolicy&, Timestamp now)`. Calls must not nest: what the module asks for is reported to
+  // Runs `call(RoutingPolicy&, Timestamp now)`. Calls must not nest: what the policy asks for is reported to
   // it later.
   template <typename Call>
   void run(Call call) {
@@ -24,7 +25,7 @@
     spent_ns_ += clock_.nanoseconds() - began_ns;
   }
 
-  // Time spent within the module, in nanoseconds; 0 where the clock does not measure it.
+  // Time spent within the policy, in nanoseconds; 0 where the clock does not measure it.
   std::int64_t spent_ns() const { return spent_ns_; }
 
  private:
--- a/src/core/endpoint_list_source.h
+++ b/src/core/endpoint_list_source.h
@@ -7,6 +7,7 @@
 
 namespace rushhill::core {
 
+// The client of a service discovery; its lists come by Gateway::endpoints_updated.
 class EndpointListSource {
  public:
   EndpointListSource() = default;
@@ -22,6 +23,7 @@
   virtual void resync() = 0;
 };
 
+// An endpoint and where it is reached.
 struct EndpointListEntry {
   Endpoint endpoint{};
   std::string address{};  // in digits, with a port
--- a/src/core/event_log.h
+++ b/src/core/event_log.h
@@ -7,8 +7,10 @@
 
 namespace rushhill::core {
 
+// How important a line is, in ascending order.
 enum class Level { debug, info, warning, error };
 
+// Takes lines of named fields. Writing never fails for the caller.
 class EventLog {
  public:
   using Fields = std::initializer_list<std::pair<const char*, std::string>>;
--- a/src/core/intake.h
+++ b/src/core/intake.h
@@ -1,4 +1,4 @@
-// Turns a CloudEvent into the module's event, for every front alike. docs/events.md lists the attributes.
+// Reads a CloudEvent as a routing request, for every front end alike. docs/events.md lists the attributes.
 #pragma once
 
 #include <map>
@@ -9,15 +9,18 @@
 
 namespace rushhill::core {
 
+// Knows the request classes and tenants of the configuration.
 class RequestReader {
  public:
-  // `type_of_event`: from the event's type attribute to the name of a traffic type.
-  RequestReader(const RoutingConfiguration& deployment, std::map<std::string, std::string> type_of_event);
+  // `class_of_type`: from an event's type attribute to the name of a request class.
+  RequestReader(const RoutingConfiguration& configuration, std::map<std::string, std::string> class_of_type);
 
-  // Without id; throws events::BadEvent naming the attribute.
+  // Leaves the id unset. Throws events::BadEvent, which names the attribute.
   RoutingRequest read(const events::CloudEvent& event) const;
 
  private:
+  std::string read_tenant(const events::CloudEvent& event) const;
+
   std::map<std::string, RequestClass> classes_;  // by the event's type attribute
   std::map<std::string, Tenant> tenants_;
 };
--- a/src/core/peer_messenger.h
+++ b/src/core/peer_messenger.h
@@ -5,6 +5,7 @@
 
 namespace rushhill::core {
 
+// Sends datagram-like messages between the routers of a deployment.
 class PeerMessenger {
  public:
   PeerMessenger() = default;
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -23,90 +23,95 @@
   return "gone";
 }
 
-ExecutionCertainty fate_without_reply(const Request& request) {
+ExecutionCertainty certainty_without_reply(const Request& request) {
   return request.attempts.empty() ? ExecutionCertainty::not_executed : ExecutionCertainty::may_have_executed;
 }
 
 }  // namespace
 
 std::optional<RequestId> RequestLifecycle::accept(SourceRoom::Source source, Client& client,
-                                                  RoutingRequest told, events::CloudEvent message) {
+                                                  RoutingRequest routing_request,
+                                                  events::CloudEvent message) {
   if (!env_.room.within_share(source)) {
-    ++env_.tally.not_accepted;
+    ++env_.counters.not_accepted;
     return std::nullopt;
   }
   const auto [id, request] = env_.requests.add();
-  told.id = id;
+  routing_request.id = id;
   request.client = &client;
   request.message = std::move(message);
   request.accepted = env_.clock.now();
-  request.deadline = request.accepted + to_ticks(told.time_left);
+  request.deadline = request.accepted + to_ticks(routing_request.time_left);
   request.deadline_timer = env_.clock.at(request.deadline, [this, added = id] { expire(added); });
   request.source = source;
   env_.room.accepted(request.accepted, source);
-  ++env_.tally.accepted;
+  ++env_.counters.accepted;
   AdmissionVerdict verdict = AdmissionVerdict::untracked;
   if (env_.deduplication != nullptr) {
-    verdict = env_.deduplication->admit(id, told.request_class, request.message, to_ticks(told.time_left));
+    verdict = env_.deduplication->admit(id, routing_request.request_class, request.message,
+                                        to_ticks(routing_request.time_left));
   }
-  apply(verdict, id, request, std::move(told));
+  apply(verdict, id, request, std::move(routing_request));
   return id;
 }
 
-// What does not go on to the decision module is answered at once.
-void RequestLifecycle::apply(AdmissionVerdict verdict, RequestId id, Request& request, RoutingRequest told) {
+// A request that does not go on to the routing policy is answered at once.
+void RequestLifecycle::apply(AdmissionVerdict verdict, RequestId id, Request& request,
+                             RoutingRequest routing_request) {
   request.awaiting_record.reset();
   switch (verdict) {
     case AdmissionVerdict::tracked:
       request.recorded = true;
       [[fallthrough]];
     case AdmissionVerdict::untracked:
-      env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.request_received(now, told); });
+      env_.policy.run(
+          [&](RoutingPolicy& policy, Timestamp now) { policy.request_received(now, routing_request); });
       break;
     case AdmissionVerdict::pending:
       request.recorded = true;
-      request.awaiting_record = std::move(told);
+      request.awaiting_record = std::move(routing_request);
       break;
     case AdmissionVerdict::duplicate:
       answer_duplicate(id, request);
       break;
     case AdmissionVerdict::unavailable:
-      ++env_.tally.not_replicated;
-      reject(id, rejection_advice_);
+      ++env_.counters.not_replicated;
+      reject(id, retry_after_);
       break;
   }
 }
 
-void RequestLifecycle::verdict(RequestId id, AdmissionVerdict verdict) {
+void RequestLifecycle::admission_decided(RequestId id, AdmissionVerdict verdict) {
   Request* request = env_.requests.find(id);
   if (request == nullptr || !request->awaiting_record || request->concluded) return;
-  RoutingRequest told = std::move(*request->awaiting_record);
-  told.time_left = to_duration(request->deadline - env_.clock.now());
+  RoutingRequest routing_request = std::move(*request->awaiting_record);
+  routing_request.time_left = to_duration(request->deadline - env_.clock.now());
   // In the tick of the deadline the deadline comes first.
-  if (told.time_left <= Duration::zero()) {
+  if (routing_request.time_left <= Duration::zero()) {
     expire(id);
     return;
   }
-  apply(verdict, id, *request, std::move(told));
+  apply(verdict, id, *request, std::move(routing_request));
 }
 
-void RequestLifecycle::cancelled(RequestId id, std::uint64_t unread) {
-  env_.tally.attempts_after_cancel += unread;
+void RequestLifecycle::cancelled(const ClientCancellation& cancellation) {
+  env_.counters.attempts_after_cancel += cancellation.attempts_unread;
+  const RequestId id = cancellation.request;
   Request* request = env_.requests.find(id);
   if (request == nullptr || request->client == nullptr) return;
   request->client = nullptr;
   if (request->concluded) return;
-  ++env_.tally.cancelled;
-  const bool unknown_to_module = request->awaiting_record.has_value();
-  conclude(id, *request, End::cancelled, fate_without_reply(*request));
-  if (unknown_to_module) return;
+  ++env_.counters.cancelled;
+  const bool unknown_to_policy = request->awaiting_record.has_value();
+  conclude(id, *request, End::cancelled, certainty_without_reply(*request));
+  if (unknown_to_policy) return;
   env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.client_cancelled(now, id); });
 }
 
 void RequestLifecycle::reject(RequestId id, Time retry_after) {
   Request* request = env_.requests.find(id);
   if (request == nullptr || request->concluded) return;
-  ++env_.tally.rejected;
+  ++env_.counters.rejected;
   conclude(id, *request, End::failed, ExecutionCertainty::not_executed);
   answer_soon(id, [retry_after, id](Client& client) { client.rejected(id, retry_after); });
 }
@@ -114,28 +119,28 @@
 void RequestLifecycle::fail(RequestId id) {
   Request* request = env_.requests.find(id);
   if (request == nullptr || request->concluded) return;
-  ++env_.tally.failed;
-  conclude(id, *request, End::failed, fate_without_reply(*request));
+  ++env_.counters.failed;
+  conclude(id, *request, End::failed, certainty_without_reply(*request));
   answer_soon(id, [id](Client& client) { client.failed(id); });
 }
 
 void RequestLifecycle::answer_duplicate(RequestId id, Request& request) {
-  ++env_.tally.failed;
-  ++env_.tally.duplicates;
+  ++env_.counters.failed;
+  ++env_.counters.duplicates;
   conclude(id, request, End::failed, ExecutionCertainty::not_executed);
   answer_soon(id, [id](Client& client) { client.duplicate(id); });
 }
 
-// The decision module has given its answer before; where it has not, the core does.
+// The routing policy has given its answer before; where it has not, the core does.
 void RequestLifecycle::expire(RequestId id) {
   Request* request = env_.requests.find(id);
   if (request == nullptr) return;
   if (!request->concluded) {
-    if (request->awaiting_record) {  // the module has not heard of it
+    if (request->awaiting_record) {  // the policy has not seen it
       reject(id, 0);
       return;
     }
-    ++env_.tally.expired;
+    ++env_.counters.expired;
     env_.log.write(Level::error, "no answer by the hard limit", {{"event", request->message.id}});
     fail(id);
     env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.client_cancelled(now, id); });
@@ -149,7 +154,7 @@
 }
 
 void RequestLifecycle::attempt_ended(RequestId id, int number, AttemptResult result) {
-  Attempt* attempt = env_.requests.find_attempt(id, number);
+  Attempt* attempt = env_.requests.find_attempt({.request = id, .number = number});
   if (attempt == nullptr || !attempt->open) return;
   Request& request = env_.requests.at(id);
   // In the very tick of the deadline the deadline comes first.
@@ -159,7 +164,7 @@
   }
   env_.attempts.close(*attempt);
   if (result.outcome == AttemptOutcome::succeeded && !request.concluded) {
-    ++env_.tally.succeeded;
+    ++env_.counters.succeeded;
     conclude(id, request, End::succeeded, ExecutionCertainty::executed);
     Client* client = std::exchange(request.client, nullptr);
     client->succeeded(id, std::move(result.reply));
@@ -169,8 +174,8 @@
 
 // From here on the request only waits for the ends of its attempts. Nothing is sent for it any more, whether
 // or not what is out may be cancelled.
-void RequestLifecycle::conclude(RequestId id, Request& request, End end, ExecutionCertainty fate) {
-  if (request.recorded) env_.deduplication->request_ended(request.message, fate);
+void RequestLifecycle::conclude(RequestId id, Request& request, End end, ExecutionCertainty certainty) {
+  if (request.recorded) env_.deduplication->request_ended(request.message, certainty);
   env_.attempts.cancel_unsent(id, request);
   env_.room.concluded(env_.clock.now(), request.source, end);
   request.concluded = true;
@@ -189,7 +194,7 @@
                   {"ms", std::to_string(elapsed_ms)}});
 }
 
-// Answers that the decision module gives leave when it has returned.
+// Answers that the routing policy decides on are sent when it has returned.
 void RequestLifecycle::answer_soon(RequestId id, std::function<void(Client&)> answer) {
   ++env_.requests.at(id).deferred_calls;
   env_.deferred.run_soon([this, id, answer = std::move(answer)] {
--- a/src/core/request_lifecycle.h
+++ b/src/core/request_lifecycle.h
@@ -1,5 +1,5 @@
-// The life of a request from its acceptance to its one final answer: the verdict of the ledger, the deadline,
-// the client's leaving, the answers. Part of the gateway; docs/program.md, "The core".
+// The life of a request from its acceptance to its one final answer: the admission verdict, the deadline, the
+// cancellation by the client, the answers. Part of the gateway; docs/program.md, "The core".
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,16 @@
 
 namespace rushhill::core {
 
+// The client of a request has left. `attempts_unread`: see Gateway::client_cancelled.
+struct ClientCancellation {
+  RequestId request = 0;
+  std::uint64_t attempts_unread = 0;
+};
+
+// Decides when and how each request of the RequestTable is concluded.
 class RequestLifecycle {
  public:
+  // The other parts of the gateway; all of them outlive this one.
   struct Environment {
     TimerService& clock;
     EventLog& log;
@@ -27,21 +35,20 @@
     SourceRoom& room;
     DeferredCalls& deferred;
     PolicyRunner& policy;
-    Counters& tally;
+    Counters& counters;
   };
-  // `rejection_advice`: when a client may come back whose deduplication record was not held; 0: no advice.
-  RequestLifecycle(const Environment& environment, Time rejection_advice)
-      : env_(environment), rejection_advice_(rejection_advice) {}
+  // `retry_after`: when clients may come back whose requests could not be recorded; 0: no advice.
+  RequestLifecycle(const Environment& environment, Time retry_after)
+      : env_(environment), retry_after_(retry_after) {}
 
   // Accepts a request unless its source has no room. The client's answer never comes before this returns.
-  std::optional<RequestId> accept(SourceRoom::Source source, Client& client, RoutingRequest told,
+  std::optional<RequestId> accept(SourceRoom::Source source, Client& client, RoutingRequest routing_request,
                                   events::CloudEvent message);
-  // The ledger's verdict on a request that waited for it.
-  void verdict(RequestId id, AdmissionVerdict verdict);
+  // The verdict on a request that waited for it.
+  void admission_decided(RequestId id, AdmissionVerdict verdict);
 
-  // The client has left. `unread`: attempts that started for it while its leaving stood to be read.
-  void cancelled(RequestId id, std::uint64_t unread);
-  // Final answers that the decision module asks for; nothing where the request has one.
+  void cancelled(const ClientCancellation& cancellation);
+  // Final answers that the routing policy asks for; nothing where the request has one.
   void reject(RequestId id, Time retry_after);
   void fail(RequestId id);
   // The deadline has come, or the router must end.
@@ -53,14 +60,14 @@
  private:
   using End = SourceRoom::End;
 
-  void apply(AdmissionVerdict verdict, RequestId id, Request& request, RoutingRequest told);
+  void apply(AdmissionVerdict verdict, RequestId id, Request& request, RoutingRequest routing_request);
   void answer_duplicate(RequestId id, Request& request);
-  void conclude(RequestId id, Request& request, End end, ExecutionCertainty fate);
+  void conclude(RequestId id, Request& request, End end, ExecutionCertainty certainty);
   void log_conclusion(const Request& request, End end);
   void answer_soon(RequestId id, std::function<void(Client&)> answer);
 
   Environment env_;
-  Time rejection_advice_;
+  Time retry_after_;
 };
 
 }  // namespace rushhill::core
--- a/src/core/request_table.cpp
+++ b/src/core/request_table.cpp
@@ -36,10 +36,11 @@
   return it == requests_.end() ? nullptr : &it->second;
 }
 
-Attempt* RequestTable::find_attempt(RequestId id, int number) {
-  Request* request = find(id);
-  if (request == nullptr || static_cast<std::size_t>(number) >= request->attempts.size()) return nullptr;
-  return &request->attempts[static_cast<std::size_t>(number)];
+Attempt* RequestTable::find_attempt(const AttemptId& id) {
+  Request* request = find(id.request);
+  const auto number = static_cast<std::size_t>(id.number);
+  if (request == nullptr || number >= request->attempts.size()) return nullptr;
+  return &request->attempts[number];
 }
 
 void RequestTable::erase_if_over(RequestId id) {
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -12,7 +12,13 @@
 
 namespace rushhill::core {
 
-// One attempt to have a request answered by a server; its number is its place in Request::attempts.
+// Names an attempt: its request, and its number within the request.
+struct AttemptId {
+  RequestId request = 0;
+  int number = 0;
+};
+
+// One attempt to have a request answered by an endpoint; its number is its place in Request::attempts.
 struct Attempt {
   EndpointId endpoint;
   Time started = 0;
@@ -20,12 +26,13 @@
   Timer timeout_timer{};  // none: until the request's deadline
 };
 
+// A request from its acceptance until its last attempt has ended.
 struct Request {
   admission::Shares::Source source = 0;
-  Client* client = nullptr;  // none: it has been handed its final answer, or it has cancelled
+  Client* client = nullptr;  // null: it was handed its final answer, or it cancelled
   bool concluded = false;    // the final answer is decided; only ends of attempts are awaited
-  bool recorded = false;     // the ledger is to hear how it ends
-  std::optional<RoutingRequest> awaiting_record;  // the module has not heard of it yet
+  bool recorded = false;     // its end is reported to the deduplication log
+  std::optional<RoutingRequest> awaiting_record;  // the policy has not seen it yet
   events::CloudEvent message;
   Time accepted = 0;
   Time deadline = 0;
@@ -41,8 +48,11 @@
   RequestTable(TimerService& clock, std::uint64_t seed);
   RequestTable(const RequestTable&) = delete;
   RequestTable& operator=(const RequestTable&) = delete;
+  RequestTable(RequestTable&&) = delete;
+  RequestTable& operator=(RequestTable&&) = delete;
   ~RequestTable();
 
+  // A new request and the id it got.
   struct Added {
     RequestId id;
     Request& request;
@@ -51,7 +61,7 @@
   Added add();
   Request* find(RequestId id);                            // null: none of that id
   Request& at(RequestId id) { return requests_.at(id); }  // throws std::out_of_range
-  Attempt* find_attempt(RequestId id, int number);        // null: no such request or attempt
+  Attempt* find_attempt(const AttemptId& id);             // null: no such request or attempt
 
   // Erases the request if it is concluded and neither an attempt nor a deferred call of it is left.
   void erase_if_over(RequestId id);
--- a/src/core/server_addresses.cpp
+++ b/src/core/server_addresses.cpp
@@ -9,19 +9,19 @@
     listed[entry.endpoint.id] = entry.endpoint.state == EndpointState::removed ? "" : entry.address;
   }
   if (form == EndpointListForm::snapshot || form == EndpointListForm::cached) {
-    for (const auto& [server, address] : addresses_) listed.try_emplace(server, "");
+    for (const auto& [endpoint, address] : addresses_) listed.try_emplace(endpoint, "");
   }
   return listed;
 }
 
-bool EndpointAddresses::set(const EndpointId& server, const std::string& address) {
-  const auto known = addresses_.find(server);
+bool EndpointAddresses::set(const EndpointId& endpoint, const std::string& address) {
+  const auto known = addresses_.find(endpoint);
   const bool unchanged = known != addresses_.end() ? known->second == address : address.empty();
   if (unchanged) return false;
   if (address.empty()) {
-    addresses_.erase(server);
+    addresses_.erase(endpoint);
   } else {
-    addresses_[server] = address;
+    addresses_[endpoint] = address;
   }
   return true;
 }
--- a/src/core/server_addresses.h
+++ b/src/core/server_addresses.h
@@ -1,4 +1,4 @@
-// The addresses at which the model servers are reached, as the last server lists gave them.
+// The addresses at which the endpoints are reached, as the last endpoint lists gave them.
 #pragma once
 
 #include <map>
@@ -9,17 +9,18 @@
 
 namespace rushhill::core {
 
+// The address of each endpoint that can be reached.
 class EndpointAddresses {
  public:
   using Map = std::map<EndpointId, std::string>;
 
-  // The address of each server that a list speaks of; empty: not reachable any more, because the server has
-  // left or because a whole list leaves it out.
+  // The address of each endpoint that a list speaks of; empty: not reachable any more, because the endpoint
+  // was removed or a complete list leaves it out.
   Map listed(EndpointListForm form, const std::vector<EndpointListEntry>& entries) const;
 
-  // Stores the address of one server, or forgets the server where it is empty. Returns whether that changed
-  // it.
-  bool set(const EndpointId& server, const std::string& address);
+  // Stores the address of one endpoint, or forgets the endpoint where it is empty. Returns whether that
+  // changed anything.
+  bool set(const EndpointId& endpoint, const std::string& address);
 
  private:
   Map addresses_;
--- a/src/core/server_call_execution.h
+++ b/src/core/server_call_execution.h
@@ -1,4 +1,5 @@
-// Carries out decisions about servers that belong to no request: probes, orders to load and to evict copies.
+// Carries out decisions about endpoints that belong to no request: probes, and orders to prewarm and to evict
+// copies.
 // Part of the gateway; docs/program.md, "The core".
 #pragma once
 
@@ -14,28 +15,31 @@
 
 namespace rushhill::core {
 
+// Sends the calls through the UpstreamTransport and reports their ends to the routing policy.
 class EndpointCallExecution {
  public:
+  // The other parts of the gateway; all of them outlive this one.
   struct Environment {
     TimerService& clock;
     UpstreamTransport& upstream;
-    DeduplicationLog* deduplication;  // none: orders leave without being told to others
+    DeduplicationLog* deduplication;  // none: orders are not recorded
     DeferredCalls& deferred;
     PolicyRunner& policy;
-    Counters& tally;
+    Counters& counters;
   };
-  // `order_limit`: the time after which an order to load is given up.
-  EndpointCallExecution(const Environment& environment, Time order_limit)
-      : env_(environment), prewarm_timeout_(order_limit) {}
-
-  void probe(const EndpointId& server);
-  // Orders copies of a function to be loaded. Where the ledger does not let it leave it ends as not sent.
-  void prewarm(const EndpointId& server, const FunctionId& function, int copies);
-  void evict(const EndpointId& server, const FunctionId& function);
-
-  // Ends of what was asked for, reported to the decision module with the time taken.
-  void probe_ended(const EndpointId& server, AttemptOutcome ending, const LoadReport& report);
-  void prewarm_ended(const EndpointId& server, const FunctionId& function, AttemptOutcome ending, int copies);
+  // `prewarm_timeout`: a prewarm order is given up after that.
+  EndpointCallExecution(const Environment& environment, Time prewarm_timeout)
+      : env_(environment), prewarm_timeout_(prewarm_timeout) {}
+
+  void probe(const EndpointId& endpoint);
+  // Orders copies of a function to be loaded. Where the order could not be recorded it ends as not sent.
+  void prewarm(const EndpointId& endpoint, const FunctionId& function, int copies);
+  void evict(const EndpointId& endpoint, const FunctionId& function);
+
+  // Ends of these calls, reported to the routing policy with the time taken.
+  void probe_ended(const EndpointId& endpoint, AttemptOutcome outcome, const LoadReport& report);
+  void prewarm_ended(const EndpointId& endpoint, const FunctionId& function, AttemptOutcome outcome,
+                     int copies);
 
  private:
   Environment env_;
--- a/src/core/source_room.h
+++ b/src/core/source_room.h
@@ -10,16 +10,17 @@
 
 namespace rushhill::core {
 
+// Shares the limit on open requests among the sources.
 class SourceRoom {
  public:
   using Source = admission::Shares::Source;
   using End = admission::Yielding::End;
 
-  // `open_cap`: requests open at once, over all sources; 0 or less: unlimited.
-  explicit SourceRoom(int open_cap)
-      : shares_(open_cap > 0 ? static_cast<std::size_t>(open_cap) : unlimited_requests) {}
+  // `open_request_limit`: requests open at once, over all sources; 0 or less: unlimited.
+  explicit SourceRoom(int open_request_limit)
+      : shares_(open_request_limit > 0 ? static_cast<std::size_t>(open_request_limit) : unlimited_requests) {}
 
-  // `can_wait`: what the source does not hand over now waits outside and is not lost.
+  // `can_wait`: requests that the source does not hand over now are not lost.
   Source add(double weight, bool can_wait) {
     yielding_.add(weight, can_wait);
     return shares_.add(weight);
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -11,6 +11,7 @@
 
 namespace rushhill::core {
 
+// Not thread-safe; calls may add and cancel timers while they are fired.
 class TimerQueue {
  public:
   Timer add(Time when, TimerService::Call call) {
--- a/src/core/timer_service.h
+++ b/src/core/timer_service.h
@@ -15,6 +15,7 @@
   auto operator<=>(const Timer&) const = default;
 };
 
+// Calls run on the one thread of the loop, never from within the call that asked for them.
 class TimerService {
  public:
   using Call = std::function<void()>;
--- a/src/core/upstream_transport.h
+++ b/src/core/upstream_transport.h
@@ -36,6 +36,7 @@
                              int copies) = 0;
 };
 
+// An attempt to be sent; the references are valid during the call only.
 struct AttemptCall {
   RequestId request = 0;
   int attempt_number = 0;
@@ -44,6 +45,7 @@
   const events::CloudEvent& message;
 };
 
+// Sends attempts, probes and orders to endpoints. Every call returns at once; ends come by UpstreamObserver.
 class UpstreamTransport {
  public:
   UpstreamTransport() = default;
