--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -1,6 +1,7 @@
 // HTTP/1.1 messages on bytes alone, read and written by Boost.Beast, which is seen by http.cpp only.
 #pragma once
 
+#include <cstdint>
 #include <memory>
 #include <string>
 #include <string_view>
@@ -33,7 +34,7 @@
   std::uint64_t body = 1024 * 1024;  // bytes
 };
 
-enum class HttpProgress { more, done, bad, head_too_large, body_too_large };
+enum class HttpProgress : std::uint8_t { more, done, bad, head_too_large, body_too_large };
 
 // Reads one message after another from a growing buffer, taking off its front what it has used.
 class HttpRequestReader {
--- a/src/transport/numbered.h
+++ b/src/transport/numbered.h
@@ -14,7 +14,9 @@
   std::uint64_t number_ = ++last_;
 };
 struct ByNumber {
-  bool operator()(const Numbered* a, const Numbered* b) const { return a->number() < b->number(); }
+  bool operator()(const Numbered* left, const Numbered* right) const {
+    return left->number() < right->number();
+  }
 };
 
 }  // namespace rushhill::transport
--- a/src/transport/server_pool.h
+++ b/src/transport/server_pool.h
@@ -1,84 +1,63 @@
-// The way to the model servers over HTTP/1.1: a pool of connections for each server, one exchange at a time
-// on a connection. docs/servers.md is the contract. Every exchange ends once, with what is known of it.
+// Runs calls on endpoints over HTTP/1.1: a pool of connections to each, with one exchange at a time on a
+// connection. docs/servers.md is the contract.
 #pragma once
 
-#include <map>
-#include <memory>
+#include <cstdint>
 #include <string>
-#include <utility>
 #include <vector>
 
-#include "core/event_log.h"
-#include "core/upstream_transport.h"
-#include "transport/http.h"
-#include "transport/numbered.h"
-#include "transport/reactor.h"
+#include "transport/connection_pool.h"
+#include "transport/http_connection.h"
 
 namespace rushhill::transport {
 
+// Bounds of the pool and of its connections.
 struct PoolBounds {
-  int router = 0;           // told to servers, so that records can name the sender
-  int connections = 256;    // to one server
-  std::size_t total = 0;    // to all of them together; 0: no bound
+  int router = 0;         // this router's number, sent to endpoints so that their records can name the sender
+  int connections = 256;  // to one endpoint
+  std::size_t total = 0;  // to all of them together; 0: no bound
   Time connect_limit = 0;   // tenths of a millisecond
-  Time idle = 0;            // likewise
-  std::uint64_t reply = 0;  // bytes
+  Time idle = 0;            // tenths of a millisecond until an idle connection is closed
+  std::uint64_t reply = 0;  // bytes of a response's body
 };
 
-// The load report in an ORCA header, TEXT or JSON form, by the module's names; what is not understood is
-// left.
-LoadReport load_report(std::string_view header);
-// A function's name as one segment of a path.
-std::string path_segment(std::string_view text);
-// What a server's answer to a shot says.
-core::AttemptResult attempt_result(HttpResponse response);
+// An endpoint and its connections, of which the one used last is used next.
+struct HttpEndpoint : PooledEndpoint<HttpConnection> {
+  std::vector<HttpConnection*> idle{};  // the last used at the back
 
-class ServerPool final : public core::UpstreamTransport {
+  std::vector<HttpConnection*> idle_connections() const { return idle; }
+  HttpConnection* longest_idle() const { return idle.empty() ? nullptr : idle.front(); }
+  void connection_removed(HttpConnection& connection) { std::erase(idle, &connection); }
+};
+
+// The pool. Every call ends once, with what is known of it: where no connection may be opened, at once.
+class ServerPool final : public ConnectionPool<HttpEndpoint>, private HttpConnectionOwner {
  public:
-  ServerPool(Reactor& reactor, const PoolBounds& bounds, core::EventLog& diary);
-  ~ServerPool() override;
-  void report_to(core::UpstreamObserver& carried) { carried_ = &carried; }
+  ServerPool(Reactor& reactor, const PoolBounds& bounds, core::EventLog& event_log);
 
   void send(const core::AttemptCall& call) override;
-  void cancel(RequestId event, int leg) override;
-  bool cancel_unsent(RequestId event, int leg) override;
-  void cancel_all_unsent(const EndpointId& server) override;
-  void probe(const EndpointId& server, Time limit) override;
-  void prewarm(const EndpointId& server, const FunctionId& function, int copies, Time limit) override;
-  void evict(const EndpointId& server, const FunctionId& function) override;
-  void close_idle(const EndpointId& server) override;
-  void set_address(const EndpointId& server, const std::string& address) override;
+  void cancel(RequestId request, int attempt_number) override;
+  bool cancel_unsent(RequestId request, int attempt_number) override;
+  void cancel_all_unsent(const EndpointId& id) override;
+  void probe(const EndpointId& id, Time timeout) override;
+  void prewarm(const EndpointId& id, const FunctionId& function, int copies, Time timeout) override;
+  void evict(const EndpointId& id, const FunctionId& function) override;
 
-  std::size_t connections() const { return connections_; }
-  // Where a server is reached now; empty: nowhere.
-  std::string address(const EndpointId& server) const;
+  // Where an endpoint is reached now; empty: nowhere.
+  std::string address(const EndpointId& id) const;
 
  private:
-  class Link;
-  struct Exchange;
-  struct Server {
-    EndpointId id;
-    std::string address_text;
-    std::unique_ptr<Address> address;
-    std::map<Link*, std::shared_ptr<Link>, ByNumber> links;
-    std::vector<Link*> idle;  // the last used at the back
-  };
+  void attempt_started(RequestId request) override;
+  void connection_idle(HttpConnection& connection) override;
+  void connection_unusable(HttpConnection& connection) override;
+  void exchange_answered(const HttpExchange& exchange, HttpResponse response) override;
+  void exchange_failed(const HttpExchange& exchange, AttemptOutcome outcome) override;
 
-  void start(const EndpointId& server, Exchange exchange);
-  void end(Exchange& exchange, HttpResponse* response, AttemptOutcome otherwise);
-  bool make_room();
-  void forget(Link& link);
-  void drop_if_unused(const EndpointId& id);
-  static std::shared_ptr<Link> hold(Link& link);
+  void start(HttpExchange exchange);
+  HttpConnection* take_idle(HttpEndpoint& endpoint);
+  bool total_reached() const { return bounds_.total > 0 && connections() >= bounds_.total; }
 
-  Reactor& reactor_;
   PoolBounds bounds_;
-  core::EventLog& diary_;
-  core::UpstreamObserver* carried_ = nullptr;
-  std::map<EndpointId, std::unique_ptr<Server>> servers_;
-  std::map<std::pair<RequestId, int>, Link*> shots_;
-  std::size_t connections_ = 0;
-  std::shared_ptr<int> life_ = std::make_shared<int>(0);  // what was put off is void when the pool is gone
 };
 
 }  // namespace rushhill::transport
--- a/src/transport/stream.h
+++ b/src/transport/stream.h
@@ -6,6 +6,7 @@
 #pragma once
 
 #include <cstddef>
+#include <cstdint>
 #include <memory>
 #include <string_view>
 
@@ -18,7 +19,7 @@
 class PendingConnection;
 
 // Why a stream was closed by something else than this process.
-enum class CloseReason {
+enum class CloseReason : std::uint8_t {
   connect_failed,  // never established
   closed_by_peer,
   reset,       // reset by the peer, or failed
@@ -64,7 +65,7 @@
   // Off: nothing is read, and the peer has to wait.
   virtual void set_reading(bool on) = 0;
   // What can be read next, without reading it.
-  enum class Peeked { nothing, bytes, end };
+  enum class Peeked : std::uint8_t { nothing, bytes, end };
   virtual Peeked peek() = 0;
   // How long the bytes that on_data() is given had been here, unread, since the last of them came. 0 where
   // the system can't tell, and where the loop has looked just before.
--- /dev/null
+++ b/src/transport/upstream_requests.h
@@ -0,0 +1,23 @@
+// The HTTP requests that are sent to endpoints, as bytes. docs/servers.md is the contract.
+#pragma once
+
+#include <string>
+#include <string_view>
+
+#include "core/upstream_transport.h"
+
+namespace rushhill::transport {
+
+// `router`: the sender's number, which endpoints put into their records.
+std::string attempt_request(int router, const core::AttemptCall& call);
+std::string probe_request(const EndpointId& endpoint);
+// Asks the endpoint to have that many copies of the function loaded.
+std::string prewarm_request(int router, const EndpointId& endpoint, const FunctionId& function, int copies);
+// Asks which functions are loaded, and how many copies of each.
+std::string copy_query_request(int router, const EndpointId& endpoint);
+std::string evict_request(int router, const EndpointId& endpoint, const FunctionId& function);
+
+// Any text as one segment of a path, percent-encoded.
+std::string path_segment(std::string_view text);
+
+}  // namespace rushhill::transport
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -6,7 +6,7 @@
 #include "core/intake.h"
 #include "events/cloudevent.h"
 #include "transport/http.h"
-#include "transport/server_pool.h"
+#include "transport/upstream_responses.h"
 
 namespace {
 
