--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -40,7 +40,7 @@
     : reactor_(reactor), diary_(diary), shares_(transport::share_descriptors(told.sockets, reserve)),
       pool_(
           reactor,
-          {.shots_a_connection = std::max(told.module.requests_per_connection, 1),
+          {.requests_per_connection = std::max(told.module.requests_per_connection, 1),
            .connections = shares_.servers,
            .connect_limit =
                told.module.connect_timeout > Duration::zero() ? to_ticks(told.module.connect_timeout) : 2'500,
--- a/src/transport/connection_pool.h
+++ b/src/transport/connection_pool.h
@@ -3,7 +3,6 @@
 // connection is opened, shared or reused is each pool's own rule.
 #pragma once
 
-#include <compare>
 #include <cstddef>
 #include <map>
 #include <memory>
@@ -22,13 +21,6 @@
 
 namespace rushhill::transport {
 
-// Names one attempt of a request.
-struct AttemptKey {
-  RequestId request = 0;
-  int attempt_number = 0;
-  auto operator<=>(const AttemptKey&) const = default;
-};
-
 // An endpoint and its open connections. A pool's own endpoint type derives from it and adds
 //   std::vector<Connection*> idle_connections() const;  // in the order in which they are closed
 //   Connection* longest_idle() const;                   // nullptr: none is idle
@@ -60,6 +52,7 @@
   }
 
   // An address that cannot be read is logged, and the endpoint counts as unreachable.
+  // NOLINTNEXTLINE(bugprone-easily-swappable-parameters): the interface's; the check spares other overrides
   void set_address(const EndpointId& id, const std::string& address) override {
     auto& known = endpoints_[id];
     if (!known) known = std::make_unique<Endpoint>();
--- a/src/transport/upstream_call.h
+++ b/src/transport/upstream_call.h
@@ -1,6 +1,7 @@
 // What was asked of an endpoint, whatever the protocol, and how its end is reported to the core.
 #pragma once
 
+#include <compare>
 #include <cstdint>
 
 #include "core/upstream_transport.h"
@@ -16,6 +17,13 @@
   evict        // to unload a function; its end is not reported
 };
 
+// Names one attempt of a request.
+struct AttemptKey {
+  RequestId request = 0;
+  int attempt_number = 0;
+  auto operator<=>(const AttemptKey&) const = default;
+};
+
 // One call to an endpoint, from its start to its one end.
 struct UpstreamCall {
   UpstreamCallKind kind = UpstreamCallKind::attempt;
--- a/src/upstream/line_pool.h
+++ b/src/upstream/line_pool.h
@@ -1,78 +1,77 @@
-// The way to the model servers over the platform's line protocol: connections that carry several requests,
-// their answers matched by id. Every shot, probe and order ends once, with what is known of it.
+// Runs calls on endpoints over the platform's line protocol: a pool of connections that carry several
+// exchanges at once. docs/platform.md is the contract.
 #pragma once
 
-#include <map>
+#include <cstddef>
+#include <cstdint>
 #include <memory>
-#include <optional>
 #include <string>
-#include <utility>
 #include <vector>
 
-#include "core/event_log.h"
-#include "core/upstream_transport.h"
-#include "line_protocol/answers.h"
-#include "transport/numbered.h"
-#include "transport/reactor.h"
+#include "transport/connection_pool.h"
+#include "upstream/line_connection.h"
 
 namespace rushhill::upstream {
 
+// Bounds of the pool and of its connections.
 struct LineBounds {
-  int shots_a_connection = 1;     // at once
-  std::size_t connections = 256;  // to all servers together
-  Time connect_limit = 0;         // tenths of a millisecond
-  Time idle = 0;                  // likewise; below the time after which servers close
-  bool reports = false;           // probes ask for the load report
+  int requests_per_connection = 1;  // at once
+  std::size_t connections = 256;    // to all endpoints together
+  Time connect_limit = 0;           // tenths of a millisecond
+  Time idle = 0;                    // tenths of a millisecond; below the time after which endpoints close
+  bool reports = false;             // probes ask for the load report
   line_protocol::Bounds answers{};
 };
 
-class LinePool final : public core::UpstreamTransport {
+// An endpoint and its connections. A connection without an open exchange is idle.
+struct LineEndpoint : transport::PooledEndpoint<LineConnection> {
+  std::vector<LineConnection*> idle_connections() const;
+  LineConnection* longest_idle() const;
+  void connection_removed(LineConnection&) {}
+};
+
+// The pool. Every call ends once, with what is known of it.
+class LinePool final : public transport::ConnectionPool<LineEndpoint>, private LineConnectionOwner {
  public:
-  LinePool(transport::Reactor& reactor, const LineBounds& bounds, core::EventLog& diary);
-  ~LinePool() override;
-  void report_to(core::UpstreamObserver& carried) { carried_ = &carried; }
+  LinePool(transport::Reactor& reactor, const LineBounds& bounds, core::EventLog& event_log);
 
   void send(const core::AttemptCall& call) override;
-  void cancel(RequestId event, int leg) override;
-  bool cancel_unsent(RequestId event, int leg) override;
-  void cancel_all_unsent(const EndpointId& server) override;
-  void probe(const EndpointId& server, Time limit) override;
-  void prewarm(const EndpointId& server, const FunctionId& function, int copies, Time limit) override;
-  void evict(const EndpointId& server, const FunctionId& function) override;
-  void close_idle(const EndpointId& server) override;
-  void set_address(const EndpointId& server, const std::string& address) override;
+  void cancel(RequestId request, int attempt_number) override;
+  bool cancel_unsent(RequestId request, int attempt_number) override;
+  void cancel_all_unsent(const EndpointId& id) override;
+  void probe(const EndpointId& id, Time timeout) override;
+  void prewarm(const EndpointId& id, const FunctionId& function, int copies, Time timeout) override;
+  void evict(const EndpointId& id, const FunctionId& function) override;
 
-  std::size_t connections() const { return connections_; }
-  std::size_t servers() const { return servers_.size(); }
+  // Endpoints that are on the endpoint list or still have connections.
+  std::size_t servers() const { return endpoint_count(); }
 
  private:
-  class Link;
-  struct Exchange;
-  struct Server {
-    EndpointId id;
-    std::string address_text;
-    std::optional<transport::Address> address;
-    std::map<Link*, std::shared_ptr<Link>, transport::ByNumber> links;
+  // Connections that could take an exchange; nullptr: there is none of that kind.
+  struct Candidates {
+    LineConnection* idle = nullptr;    // the one used last
+    LineConnection* shared = nullptr;  // the one with the fewest exchanges on it
   };
 
-  void start(const EndpointId& server, Exchange exchange);
-  Link* link_for(Server& server, const Exchange& exchange);
-  bool make_room();
-  void fail_soon(Exchange exchange, AttemptOutcome ending);
-  void end(const Exchange& exchange, AttemptOutcome ending);
-  void answered(const Exchange& exchange, line_protocol::Answer answer);
-  void forget(Link& link);
-  void drop_if_unused(const EndpointId& id);
+  void attempt_started(RequestId request) override;
+  void exchange_detached(const LineExchange& exchange) override;
+  void exchange_answered(const LineExchange& exchange, line_protocol::Answer answer) override;
+  void exchange_failed(const LineExchange& exchange, AttemptOutcome outcome) override;
+  void exchange_failed_later(LineExchange exchange, AttemptOutcome outcome) override;
+  void retry(LineExchange exchange) override { start(std::move(exchange)); }
+  void connection_unusable(LineConnection& connection) override;
+  void answer_unreadable(const LineConnection& connection) override;
+  void destroy(std::unique_ptr<LineEndpoint> endpoint) override;
+
+  void start(LineExchange exchange);
+  static Candidates candidates(const LineEndpoint& endpoint, const LineExchange& exchange);
+  Candidates healthy_candidates(const LineEndpoint& endpoint, const LineExchange& exchange);
+  bool may_open() { return connections() < bounds_.connections || close_longest_idle(); }
+  LineConnection* open_connection(LineEndpoint& endpoint, const transport::Address& address);
+  std::string next_tag(const char* prefix) { return prefix + std::to_string(next_tag_++); }
 
-  transport::Reactor& reactor_;
   LineBounds bounds_;
-  core::EventLog& diary_;
-  core::UpstreamObserver* carried_ = nullptr;
-  std::map<EndpointId, std::unique_ptr<Server>> servers_;
-  std::map<std::pair<RequestId, int>, Link*> shots_;
-  std::size_t connections_ = 0;
   std::uint64_t next_tag_ = 1;
-  std::shared_ptr<int> life_ = std::make_shared<int>(0);  // what was put off is void when the pool is gone
 };
 
 }  // namespace rushhill::upstream
--- a/tests/upstream/line_pool_test.cpp
+++ b/tests/upstream/line_pool_test.cpp
@@ -62,10 +62,13 @@
   Silent silent;
   RawServer server{reactor};
   Ends ends;
-  LinePool pool{
-      reactor,
-      {.shots_a_connection = 2, .connections = 3, .connect_limit = 3'000, .idle = 100'000, .reports = true},
-      silent};
+  LinePool pool{reactor,
+                {.requests_per_connection = 2,
+                 .connections = 3,
+                 .connect_limit = 3'000,
+                 .idle = 100'000,
+                 .reports = true},
+                silent};
 };
 
 TEST_F(LineStory, AnAnswerCutAtAnyByteIsALostConnectionThatMayHaveRun) {
@@ -272,8 +275,9 @@
 
 // The server has answered and reset; both stand unread when the next shot meets the reset.
 TEST_F(LineStory, AnAnswerThatStandsUnreadBeforeAResetIsReadAndWhatMetTheResetGoesElsewhere) {
-  LinePool narrow(
-      reactor, {.shots_a_connection = 2, .connections = 1, .connect_limit = 3'000, .idle = 100'000}, silent);
+  LinePool narrow(reactor,
+                  {.requests_per_connection = 2, .connections = 1, .connect_limit = 3'000, .idle = 100'000},
+                  silent);
   narrow.report_to(ends);
   narrow.set_address("a", server.address());
   const auto send = [&](RequestId event) {
