--- a/src/transport/backoff.h
+++ b/src/transport/backoff.h
@@ -1,5 +1,4 @@
-// A pause after failures of this machine, such as a want of memory or descriptors: it doubles with each
-// failure up to a bound, so that no failure makes the loop spin, and halves with each success.
+// Backoff after failures of this machine, such as a lack of memory or descriptors.
 #pragma once
 
 #include <algorithm>
@@ -8,6 +7,8 @@
 
 namespace rushhill::transport {
 
+// A pause that doubles with each failure up to a bound, so that no failure makes the loop spin, and halves
+// with each success.
 class Backoff {
  public:
   // Tenths of a millisecond. The longest is short beside any deadline and any connect limit.
--- a/src/transport/bare_peers.cpp
+++ b/src/transport/bare_peers.cpp
@@ -5,36 +5,37 @@
 namespace rushhill::transport {
 namespace {
 
-constexpr std::size_t most_bytes = 256;  // of a datagram, by the platform's protocol
+constexpr std::size_t max_message_bytes = 256;  // of a datagram, by the platform's protocol
 
 }  // namespace
 
-BarePeers::BarePeers(Reactor& reactor, const Address& listen, int me,
-                     const std::vector<std::string>& addresses, const std::string& all, Heard heard)
-    : me_(me), heard_(std::move(heard)),
+BarePeers::BarePeers(Reactor& reactor, const Address& listen, int own_number,
+                     const std::vector<std::string>& addresses, const std::string& broadcast,
+                     MessageHandler handler)
+    : own_number_(own_number), handler_(std::move(handler)),
       datagrams_(reactor, listen,
-                 [this](const Address& from, std::string_view bytes) { hear(from, bytes); }) {
+                 [this](const Address& from, std::string_view bytes) { receive(from, bytes); }) {
   for (const std::string& address : addresses) {
     addresses_.push_back(numeric_address(address));
     routers_.try_emplace(addresses_.back(), static_cast<int>(addresses_.size()) - 1);
   }
-  if (!all.empty()) all_ = numeric_address(all);
+  if (!broadcast.empty()) broadcast_ = numeric_address(broadcast);
 }
 
 void BarePeers::send(int router, const std::string& bytes) {
-  if (bytes.size() > most_bytes) return;
+  if (bytes.size() > max_message_bytes) return;
   const auto send = [&](const Address& to) { dropped_ += datagrams_.send(to, bytes) ? 0 : 1; };
-  if (router < 0 && all_) return send(*all_);
+  if (router < 0 && broadcast_) return send(*broadcast_);
   for (std::size_t i = 0; i < addresses_.size(); ++i) {
-    const bool meant = router < 0 ? static_cast<int>(i) != me_ : static_cast<int>(i) == router;
+    const bool meant = router < 0 ? static_cast<int>(i) != own_number_ : static_cast<int>(i) == router;
     if (meant) send(addresses_[i]);
   }
 }
 
-void BarePeers::hear(const Address& from, std::string_view bytes) {
-  if (bytes.size() > most_bytes) return;
+void BarePeers::receive(const Address& from, std::string_view bytes) {
+  if (bytes.size() > max_message_bytes) return;
   const auto it = routers_.find(from);
-  if (it != routers_.end() && it->second != me_) heard_(it->second, std::string(bytes));
+  if (it != routers_.end() && it->second != own_number_) handler_(it->second, std::string(bytes));
 }
 
 }  // namespace rushhill::transport
--- a/src/transport/bound_socket.h
+++ b/src/transport/bound_socket.h
@@ -18,6 +18,7 @@
   PendingConnection(PendingConnection&&) = delete;
   PendingConnection& operator=(PendingConnection&&) = delete;
   virtual ~PendingConnection() = default;
+  // Closes it.
   virtual void refuse() const = 0;
 };
 
--- a/src/transport/datagram_endpoint.h
+++ b/src/transport/datagram_endpoint.h
@@ -1,4 +1,4 @@
-// Sends and receives datagrams at an address.
+// A datagram socket of a reactor.
 #pragma once
 
 #include <memory>
@@ -9,10 +9,12 @@
 
 namespace rushhill::transport {
 
+// Sends and receives datagrams at an address. The handler is called with each that arrives.
 class DatagramEndpoint {
  public:
   DatagramEndpoint(Reactor& reactor, const Address& address, DatagramHandler handler)
       : socket_(reactor.open_datagrams(address, std::move(handler))) {}
+  // On a socket that this process was started with.
   DatagramEndpoint(Reactor& reactor, int inherited, DatagramHandler handler)
       : socket_(reactor.open_inherited_datagrams(inherited, std::move(handler))) {}
 
--- a/src/transport/datagram_socket.cpp
+++ b/src/transport/datagram_socket.cpp
@@ -9,20 +9,20 @@
 namespace rushhill::transport {
 namespace {
 
-constexpr int heard_at_once = 64;            // datagrams an iteration, so that connections get their part
-constexpr int most_failures = 8;             // in a row, until a pause
-constexpr std::size_t most_datagram = 2048;  // bytes; far above what peers may send
+constexpr int max_received_at_once = 64;  // datagrams an iteration, so that connections get their share
+constexpr int max_failures = 8;           // in a row, until a pause
+constexpr std::size_t max_datagram_bytes = 2048;  // far above what peers may send
 
 }  // namespace
 
-DatagramSocket::DatagramSocket(Loop& loop, FileDescriptor socket, DatagramHandler heard)
-    : loop_(loop), socket_(std::move(socket)), heard_(std::move(heard)) {
+DatagramSocket::DatagramSocket(Loop& loop, FileDescriptor socket, DatagramHandler handler)
+    : loop_(loop), socket_(std::move(socket)), handler_(std::move(handler)) {
   set_non_blocking(socket_);
   loop_.watch(socket_.number(), *this, {.readable = true});
 }
 
 DatagramSocket::~DatagramSocket() {
-  loop_.cancel(pause_);
+  loop_.cancel(pause_timer_);
   loop_.watch(socket_.number(), *this, {});
 }
 
@@ -34,11 +34,11 @@
   return sent == static_cast<ssize_t>(bytes.size());
 }
 
-// A failure is of one call or one datagram: what stands behind it is heard all the same.
+// A failure is of one call or one datagram: those behind it are received all the same.
 void DatagramSocket::on_readable() {
   int failures = 0;
-  for (int i = 0; i < heard_at_once && failures < most_failures; ++i) {
-    std::array<char, most_datagram> bytes{};
+  for (int i = 0; i < max_received_at_once && failures < max_failures; ++i) {
+    std::array<char, max_datagram_bytes> bytes{};
     sockaddr_storage from{};
     socklen_t length = sizeof from;
     const auto got = loop_.system().recvfrom(socket_.number(), bytes.data(), bytes.size(), MSG_DONTWAIT,
@@ -50,16 +50,16 @@
     }
     failures = 0;
     backoff_.succeeded();
-    heard_(Address(reinterpret_cast<const sockaddr*>(&from), length),
-           {bytes.data(), static_cast<std::size_t>(got)});
+    handler_(Address(reinterpret_cast<const sockaddr*>(&from), length),
+             {bytes.data(), static_cast<std::size_t>(got)});
   }
-  if (failures >= most_failures) pause();
+  if (failures >= max_failures) pause();
 }
 
 void DatagramSocket::pause() {
   loop_.watch(socket_.number(), *this, {});
-  pause_ = loop_.at(loop_.now() + backoff_.failed(),
-                    [this] { loop_.watch(socket_.number(), *this, {.readable = true}); });
+  pause_timer_ = loop_.at(loop_.now() + backoff_.failed(),
+                          [this] { loop_.watch(socket_.number(), *this, {.readable = true}); });
 }
 
 }  // namespace rushhill::transport
--- a/src/transport/datagram_socket.h
+++ b/src/transport/datagram_socket.h
@@ -11,9 +11,14 @@
 
 class Loop;
 
+// Receives datagrams whenever the loop finds it readable. It must not outlive the loop.
 class DatagramSocket final : public BoundSocket, public EventSource {
  public:
-  DatagramSocket(Loop& loop, FileDescriptor socket, DatagramHandler heard);
+  DatagramSocket(Loop& loop, FileDescriptor socket, DatagramHandler handler);
+  DatagramSocket(const DatagramSocket&) = delete;
+  DatagramSocket& operator=(const DatagramSocket&) = delete;
+  DatagramSocket(DatagramSocket&&) = delete;
+  DatagramSocket& operator=(DatagramSocket&&) = delete;
   ~DatagramSocket() override;
   bool send(const Address& to, std::string_view bytes) override;
   Address address() const override;
@@ -24,8 +29,8 @@
 
   Loop& loop_;
   FileDescriptor socket_;
-  DatagramHandler heard_;
-  core::Timer pause_;
+  DatagramHandler handler_;
+  core::Timer pause_timer_;
   Backoff backoff_;
 };
 
--- a/src/transport/descriptors.cpp
+++ b/src/transport/descriptors.cpp
@@ -11,17 +11,19 @@
 namespace rushhill::transport {
 namespace {
 
-constexpr std::size_t most_looked_at = 65'536;  // descriptors; a few milliseconds at a start
+constexpr std::size_t max_examined = 65'536;  // descriptors; takes some milliseconds, at the start only
 
 }  // namespace
 
-std::size_t descriptors_left(std::size_t told) {
+std::size_t descriptors_left(std::size_t configured) {
   rlimit system{};
-  std::size_t limit = told > 0 ? told : std::numeric_limits<std::size_t>::max();
+  std::size_t limit = configured > 0 ? configured : std::numeric_limits<std::size_t>::max();
   if (getrlimit(RLIMIT_NOFILE, &system) == 0) limit = std::min<std::size_t>(limit, system.rlim_cur);
   std::size_t open = 0;
-  const auto last = static_cast<int>(std::min<std::size_t>(system.rlim_cur, most_looked_at));
-  for (int descriptor = 0; descriptor < last; ++descriptor) open += ::fcntl(descriptor, F_GETFD) >= 0 ? 1 : 0;
+  const auto last = static_cast<int>(std::min<std::size_t>(system.rlim_cur, max_examined));
+  for (int descriptor = 0; descriptor < last; ++descriptor) {
+    if (::fcntl(descriptor, F_GETFD) >= 0) ++open;
+  }
   return limit - std::min(open, limit);
 }
 
--- a/src/transport/event_source.h
+++ b/src/transport/event_source.h
@@ -1,21 +1,25 @@
-// What waits in the event loop for its descriptor to become readable or writable.
+// What the event loop waits for.
 #pragma once
 
 #include "transport/poller.h"
 
 namespace rushhill::transport {
 
+// Waits in the event loop for its descriptor to become readable or writable.
 class EventSource {
  public:
   explicit EventSource(bool opened_by_peer = false) : opened_by_peer_(opened_by_peer) {}
   EventSource(const EventSource&) = delete;
   EventSource& operator=(const EventSource&) = delete;
+  EventSource(EventSource&&) = delete;
+  EventSource& operator=(EventSource&&) = delete;
   virtual ~EventSource() = default;
 
   virtual void on_readable() = 0;
   virtual void on_writable() {}
 
-  // A connection that came to us: these are read before all else, so that a client's leaving is known first.
+  // A connection that a peer opened: these are read before all else, so that a client that has closed its is
+  // known first.
   bool opened_by_peer() const { return opened_by_peer_; }
 
  protected:
@@ -26,7 +30,7 @@
 
   const bool opened_by_peer_;
   RegistrationId registration_ = 0;  // 0: the loop does not wait for it
-  Interest interest_;                // what it waits for, also while the system has not taken it
+  Interest interest_;                // also while it could not be registered with the system yet
   bool registered_ = false;          // with the system
 };
 
--- a/src/transport/file_descriptor.h
+++ b/src/transport/file_descriptor.h
@@ -1,4 +1,4 @@
-// An open file descriptor with one owner, closed when that goes.
+// Ownership of file descriptors.
 #pragma once
 
 #include <utility>
@@ -7,6 +7,7 @@
 
 namespace rushhill::transport {
 
+// Owns an open file descriptor and closes it when destroyed.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
--- a/src/transport/http.cpp
+++ b/src/transport/http.cpp
@@ -17,8 +17,16 @@
   return it == headers.end() ? nullptr : &it->second;
 }
 
+HttpProgress progress_of(const boost::system::error_code& error) {
+  if (error == http::error::need_more) return HttpProgress::more;
+  if (error == http::error::header_limit) return HttpProgress::head_too_large;
+  if (error == http::error::body_limit) return HttpProgress::body_too_large;
+  return HttpProgress::bad;
+}
+
+// Feeds the parser until it is done, fails or needs more, and takes off the buffer what it has used.
 template <typename Parser>
-HttpProgress put_into(Parser& parser, std::string& buffer, std::uint64_t most) {
+HttpProgress parse(Parser& parser, std::string& buffer) {
   std::size_t used = 0;
   HttpProgress progress = HttpProgress::more;
   while (!parser.is_done() && used < buffer.size()) {
@@ -26,30 +34,33 @@
     const std::size_t taken =
         parser.put(boost::asio::const_buffer(buffer.data() + used, buffer.size() - used), error);
     used += taken;
-    if (error == http::error::need_more) break;
-    if (error) {
-      progress = error == http::error::header_limit ? HttpProgress::head_too_large
-                 : error == http::error::body_limit ? HttpProgress::body_too_large
-                                                    : HttpProgress::bad;
-      break;
-    }
-    if (taken == 0) break;
+    if (error) progress = progress_of(error);
+    if (error || taken == 0) break;
   }
   buffer.erase(0, used);
-  // Beast 1.74 passes over its own limit where a response's head and body come in one piece.
-  const bool long_body = parser.is_header_done() && parser.content_length().value_or(0) > most;
-  if (progress == HttpProgress::more && (long_body || parser.get().body().size() > most))
+  return progress;
+}
+
+template <typename Parser>
+HttpProgress put_into(Parser& parser, std::string& buffer, std::uint64_t body_limit) {
+  const HttpProgress progress = parse(parser, buffer);
+  // Beast 1.74 ignores its own limit where a response's head and body come in one piece.
+  const bool long_body = parser.is_header_done() && parser.content_length().value_or(0) > body_limit;
+  if (progress == HttpProgress::more && (long_body || parser.get().body().size() > body_limit))
     return HttpProgress::body_too_large;
   return parser.is_done() ? HttpProgress::done : progress;
 }
 
+char lowered(char letter) {
+  return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter;
+}
+
 template <typename Fields>
-Headers lowered(const Fields& fields) {
+Headers read_headers(const Fields& fields) {
   Headers headers;
   for (const auto& field : fields) {
     std::string name(field.name_string());
-    std::ranges::transform(name, name.begin(),
-                           [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; });
+    std::ranges::transform(name, name.begin(), lowered);
     headers.emplace_back(std::move(name), std::string(field.value()));
   }
   return headers;
@@ -105,7 +116,7 @@
 }
 HttpRequest HttpRequestReader::take() {
   auto message = std::exchange(parser_, nullptr)->release();
-  return {std::string(message.method_string()), std::string(message.target()), lowered(message.base()),
+  return {std::string(message.method_string()), std::string(message.target()), read_headers(message.base()),
           std::move(message.body()), message.keep_alive()};
 }
 
@@ -123,7 +134,7 @@
 }
 HttpResponse HttpResponseReader::take() {
   auto message = std::exchange(parser_, nullptr)->release();
-  return {static_cast<int>(message.result_int()), lowered(message.base()), std::move(message.body()),
+  return {static_cast<int>(message.result_int()), read_headers(message.base()), std::move(message.body()),
           message.keep_alive()};
 }
 
--- a/src/transport/listener.h
+++ b/src/transport/listener.h
@@ -1,4 +1,4 @@
-// Accepts connections at an address.
+// A listening socket of a reactor.
 #pragma once
 
 #include <functional>
@@ -9,6 +9,7 @@
 
 namespace rushhill::transport {
 
+// Accepts connections at an address while it lives. The handler is called with each.
 class Listener {
  public:
   // Listens on an address (port 0: the system chooses), shared with other processes where asked, or on a
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -13,17 +13,18 @@
 namespace rushhill::transport {
 namespace {
 
-constexpr Time longest_sleep = 1000;  // tenths of a millisecond; a signal's flag is seen within that
-constexpr Time sight = 500;           // tenths of a millisecond; half of what a client is owed that has left
+// Tenths of a millisecond.
+constexpr Time max_sleep = 1000;    // a signal's flag is seen within that
+constexpr Time max_poll_age = 500;  // half of the time in which a client's leaving is to be known
 constexpr Time time_units_per_ms = 10;
 constexpr std::int64_t nanoseconds_per_time_unit = 100'000;
 constexpr int stale_rest_ms = 1;
 constexpr std::size_t buffer_bytes = 64 * 1024;
 
 // A bound socket that never listens.
-class HeldPort final : public BoundSocket {
+class ReservedPort final : public BoundSocket {
  public:
-  HeldPort(SystemCalls& system, const Address& address)
+  ReservedPort(SystemCalls& system, const Address& address)
       : system_(system), socket_(bound_socket(system, address, SOCK_STREAM, {.shared = true})) {}
   Address address() const override { return local_address(system_, socket_); }
 
@@ -36,28 +37,28 @@
 
 Loop::Loop(SystemCalls& system) : system_(system), poller_(system), buffer_(buffer_bytes) {}
 
-// A fault in a handler is a fault of the program: it ends at once rather than go on with half a state.
+// An exception from a handler is a bug of the program: it ends at once rather than go on in an unknown state.
 void Loop::run() try {
-  act();
+  run_calls();
   while (!halted_) {
-    const ReadySet ready = look();
+    const ReadySet ready = poll_sources();
     rest_if_stale(ready);
     reading_clients_ = true;
-    serve(ready, true);
+    dispatch(ready, true);
     reading_clients_ = false;
     send_deferred();
-    serve(ready, false);
-    act();
+    dispatch(ready, false);
+    run_calls();
   }
 } catch (const std::exception& fault) {
   std::fprintf(stderr, "rushhill: fault in a handler: %s\n", fault.what());
   std::abort();
 }
 
-// What the calls hold may withdraw alarms and put off calls as it goes: they leave the loop's lists first.
+// What the calls own may cancel timers and post calls when destroyed: they leave the loop's lists first.
 void Loop::forget_all() {
-  const auto alarms = std::exchange(alarms_, {});
-  const auto soon = std::exchange(soon_, {});
+  const auto timers = std::exchange(timers_, {});
+  const auto posted = std::exchange(posted_, {});
   unregistered_.clear();
   deferred_.clear();
   every_turn_ = nullptr;
@@ -67,63 +68,66 @@
 
 Time Loop::now() const { return monotonic_ns() / nanoseconds_per_time_unit; }
 
-core::Timer Loop::at(Time when, Call call) { return alarms_.add(when, std::move(call)); }
-void Loop::cancel(core::Timer& alarm) { alarms_.cancel(alarm); }
-void Loop::post(Call call) { soon_.push_back(std::move(call)); }
+core::Timer Loop::at(Time when, Call call) { return timers_.add(when, std::move(call)); }
+void Loop::cancel(core::Timer& timer) { timers_.cancel(timer); }
+void Loop::post(Call call) { posted_.push_back(std::move(call)); }
 
-// All that can be read, or written. Where the process slept or stood still it looks again, since what came
-// meanwhile may not be among what it was told.
-ReadySet Loop::look() {
+// All that can be read or written. Where the process slept or was suspended it polls again, since what came
+// meanwhile may not have been reported.
+ReadySet Loop::poll_sources() {
   ReadySet ready;
   int timeout_ms = sleep_ms();
   bool all = false;
   looked_before_ = looked_at_;
-  while (!all || now() - looked_at_ > sight) {
+  while (!all || now() - looked_at_ > max_poll_age) {
     looked_at_ = now();
     const std::size_t before = ready.size();
-    const std::size_t named = poller_.wait(timeout_ms, ready);
-    all = named < Poller::most_named || ready.size() == before;
+    const std::size_t reported = poller_.wait(timeout_ms, ready);
+    all = reported < Poller::max_events || ready.size() == before;
     timeout_ms = 0;
   }
   return ready;
 }
 
-bool Loop::may_send() const { return !reading_clients_ && now() - looked_at_ <= sight; }
+bool Loop::may_send() const { return !reading_clients_ && now() - looked_at_ <= max_poll_age; }
 
-// One that is gone meanwhile, or no longer waits for it, is passed over.
-void Loop::serve(const ReadySet& ready, bool opened_by_peer) {
+// Sources that are gone meanwhile, or no longer wait for it, are passed over.
+void Loop::dispatch(const ReadySet& ready, bool opened_by_peer) {
   for (const auto& [id, found] : ready) {
-    const auto source = [&, id = id]() -> EventSource* {
-      const auto it = sources_.find(id);
-      return it == sources_.end() || it->second->opened_by_peer() != opened_by_peer ? nullptr : it->second;
-    };
-    if (EventSource* here = source(); found.readable && here != nullptr && here->interest_.readable)
-      here->on_readable();
-    if (EventSource* here = source(); found.writable && here != nullptr && here->interest_.writable)
-      here->on_writable();
+    EventSource* source = find_source(id, opened_by_peer);
+    if (found.readable && source != nullptr && source->interest_.readable) source->on_readable();
+    source = find_source(id, opened_by_peer);
+    if (found.writable && source != nullptr && source->interest_.writable) source->on_writable();
   }
 }
 
+// nullptr: it is gone, or is not of that kind.
+EventSource* Loop::find_source(RegistrationId id, bool opened_by_peer) const {
+  const auto it = sources_.find(id);
+  if (it == sources_.end() || it->second->opened_by_peer() != opened_by_peer) return nullptr;
+  return it->second;
+}
+
 void Loop::send_deferred() {
   for (const auto& deferred : std::exchange(deferred_, {})) {
     if (const auto stream = deferred.lock()) stream->send_deferred();
   }
 }
 
-void Loop::act() {
+void Loop::run_calls() {
   if (every_turn_) every_turn_();
-  alarms_.fire_due(now());
+  timers_.fire_due(now());
   // What these put off runs in the next iteration, so that a chain of them cannot starve the sockets.
-  for (const Call& call : std::exchange(soon_, {})) call();
+  for (const Call& call : std::exchange(posted_, {})) call();
 }
 
-// How long the loop may sleep: rounded up, so that nothing rings early or spins.
+// How long the loop may sleep: rounded up, so that no timer fires early and nothing spins.
 int Loop::sleep_ms() const {
-  if (!soon_.empty() || !deferred_.empty()) return 0;
-  const Time now_is = now();
-  const Time wake =
-      std::min(alarms_.next_deadline().value_or(now_is + longest_sleep), now_is + longest_sleep);
-  const Time left = std::max<Time>(wake - now_is, 0);
+  if (!posted_.empty() || !deferred_.empty()) return 0;
+  const Time start = now();
+  const Time latest = start + max_sleep;
+  const Time wake = std::min(timers_.next_deadline().value_or(latest), latest);
+  const Time left = std::max<Time>(wake - start, 0);
   return static_cast<int>((left + time_units_per_ms - 1) / time_units_per_ms);
 }
 
@@ -168,7 +172,8 @@
   }
 }
 
-// What is named and wanted by nobody was left by a call that failed: the loop must not spin on it.
+// A descriptor that is ready and that no source waits for was left by a call that failed: the loop must not
+// spin on it.
 void Loop::rest_if_stale(const ReadySet& ready) {
   const auto wanted = [this](const auto& item) {
     const auto it = sources_.find(item.first);
@@ -179,41 +184,42 @@
   if (!ready.empty() && std::ranges::none_of(ready, wanted)) system_.poll(nullptr, 0, stale_rest_ms);
 }
 
-std::shared_ptr<Stream> Loop::connect(const Address& address, StreamHandler& user) {
-  const auto stream = std::make_shared<SocketStream>(*this, user);
+std::shared_ptr<Stream> Loop::connect(const Address& address, StreamHandler& handler) {
+  const auto stream = std::make_shared<SocketStream>(*this, handler);
   stream->connect(address);
   return stream;
 }
 
-std::shared_ptr<Stream> Loop::adopt(const PendingConnection& arrival, StreamHandler& user) {
+std::shared_ptr<Stream> Loop::adopt(const PendingConnection& connection, StreamHandler& handler) {
   const auto stream =
-      std::make_shared<SocketStream>(*this, user, static_cast<const SocketArrival&>(arrival).take());
+      std::make_shared<SocketStream>(*this, handler, static_cast<const AcceptedSocket&>(connection).take());
   stream->establish();
   return stream;
 }
 
-std::unique_ptr<BoundSocket> Loop::listen(const Address& address, bool shared, AcceptHandler accepted) {
+std::unique_ptr<BoundSocket> Loop::listen(const Address& address, bool shared, AcceptHandler handler) {
   FileDescriptor socket = bound_socket(system_, address, SOCK_STREAM, {.shared = shared});
   start_listening(system_, socket);
-  return std::make_unique<SocketListener>(*this, std::move(socket), std::move(accepted));
+  return std::make_unique<SocketListener>(*this, std::move(socket), std::move(handler));
 }
 
-std::unique_ptr<BoundSocket> Loop::listen_inherited(int descriptor, AcceptHandler accepted) {
-  return std::make_unique<SocketListener>(*this, FileDescriptor(system_, descriptor), std::move(accepted));
+std::unique_ptr<BoundSocket> Loop::listen_inherited(int descriptor, AcceptHandler handler) {
+  return std::make_unique<SocketListener>(*this, FileDescriptor(system_, descriptor), std::move(handler));
 }
 
-std::unique_ptr<BoundSocket> Loop::open_datagrams(const Address& address, DatagramHandler heard) {
-  // Beside one that has it already: a router's earlier self, which hears nothing from then on.
+std::unique_ptr<BoundSocket> Loop::open_datagrams(const Address& address, DatagramHandler handler) {
+  // Beside a socket that has the address already: an earlier process of this router, which receives nothing
+  // from then on.
   return std::make_unique<DatagramSocket>(*this, bound_socket(system_, address, SOCK_DGRAM, {}),
-                                          std::move(heard));
+                                          std::move(handler));
 }
 
-std::unique_ptr<BoundSocket> Loop::open_inherited_datagrams(int descriptor, DatagramHandler heard) {
-  return std::make_unique<DatagramSocket>(*this, FileDescriptor(system_, descriptor), std::move(heard));
+std::unique_ptr<BoundSocket> Loop::open_inherited_datagrams(int descriptor, DatagramHandler handler) {
+  return std::make_unique<DatagramSocket>(*this, FileDescriptor(system_, descriptor), std::move(handler));
 }
 
 std::unique_ptr<BoundSocket> Loop::reserve(const Address& address) {
-  return std::make_unique<HeldPort>(system_, address);
+  return std::make_unique<ReservedPort>(system_, address);
 }
 
 }  // namespace rushhill::transport
--- a/src/transport/peer_links.cpp
+++ b/src/transport/peer_links.cpp
@@ -7,8 +7,10 @@
 namespace rushhill::transport {
 namespace {
 
-constexpr std::string_view mark = "rushhill-peer-1 ";  // then the sender's number, a line feed, the bytes
-constexpr std::size_t most_bytes = 256;                // of the module's message
+// A datagram: this, the sender's number in digits, a line feed, the message.
+constexpr std::string_view datagram_prefix = "rushhill-peer-1 ";
+constexpr std::string_view inherited_prefix = "fd:";
+constexpr std::size_t max_message_bytes = 256;
 
 std::vector<std::optional<Address>> parsed(const std::vector<std::string>& texts) {
   std::vector<std::optional<Address>> addresses;
@@ -18,38 +20,42 @@
   return addresses;
 }
 
-DatagramEndpoint opened(Reactor& reactor, const std::string& listen, transport::DatagramHandler heard) {
-  if (listen.starts_with("fd:")) return {reactor, std::stoi(listen.substr(3)), std::move(heard)};
-  return {reactor, numeric_address(listen), std::move(heard)};
+DatagramEndpoint open_endpoint(Reactor& reactor, const std::string& listen, DatagramHandler handler) {
+  if (listen.starts_with(inherited_prefix))
+    return {reactor, std::stoi(listen.substr(inherited_prefix.size())), std::move(handler)};
+  return {reactor, numeric_address(listen), std::move(handler)};
 }
 
 }  // namespace
 
-PeerLinks::PeerLinks(Reactor& reactor, const std::string& listen, int me,
-                     const std::vector<std::string>& addresses, Heard heard)
-    : me_(me), addresses_(parsed(addresses)), heard_(std::move(heard)),
-      datagrams_(opened(reactor, listen,
-                        [this](const Address& from, std::string_view bytes) { hear(from, bytes); })) {}
+PeerLinks::PeerLinks(Reactor& reactor, const std::string& listen, int own_number,
+                     const std::vector<std::string>& addresses, MessageHandler handler)
+    : own_number_(own_number), addresses_(parsed(addresses)), handler_(std::move(handler)),
+      datagrams_(open_endpoint(
+          reactor, listen, [this](const Address& from, std::string_view bytes) { receive(from, bytes); })) {}
 
 void PeerLinks::send(int router, const std::string& bytes) {
-  const std::string message = std::string(mark) + std::to_string(me_) + "\n" + bytes;
+  const std::string message = std::string(datagram_prefix) + std::to_string(own_number_) + "\n" + bytes;
   for (std::size_t i = 0; i < addresses_.size(); ++i) {
-    const bool meant = router < 0 ? static_cast<int>(i) != me_ : static_cast<int>(i) == router;
-    if (meant && addresses_[i] && !datagrams_.send(*addresses_[i], message)) ++dropped_;
+    const bool meant = router < 0 ? static_cast<int>(i) != own_number_ : static_cast<int>(i) == router;
+    const std::optional<Address>& address = addresses_[i];
+    if (meant && address && !datagrams_.send(*address, message)) ++dropped_;
   }
 }
 
 // A message counts only where it comes from the address of the router that it says it is from.
-void PeerLinks::hear(const Address& from, std::string_view bytes) {
+void PeerLinks::receive(const Address& from, std::string_view bytes) {
   const std::size_t end = bytes.find('\n');
-  if (!bytes.starts_with(mark) || end == std::string_view::npos || bytes.size() - end - 1 > most_bytes)
+  if (!bytes.starts_with(datagram_prefix) || end == std::string_view::npos ||
+      bytes.size() - end - 1 > max_message_bytes)
     return;
   std::size_t sender = 0;
   const char* last = bytes.data() + end;
-  const auto [stop, error] = std::from_chars(bytes.data() + mark.size(), last, sender);
+  const auto [stop, error] = std::from_chars(bytes.data() + datagram_prefix.size(), last, sender);
   if (error != std::errc{} || stop != last || sender >= addresses_.size()) return;
-  if (static_cast<int>(sender) == me_ || !addresses_[sender] || *addresses_[sender] != from) return;
-  heard_(static_cast<int>(sender), std::string(bytes.substr(end + 1)));
+  const std::optional<Address>& address = addresses_[sender];
+  if (static_cast<int>(sender) == own_number_ || !address || *address != from) return;
+  handler_(static_cast<int>(sender), std::string(bytes.substr(end + 1)));
 }
 
 }  // namespace rushhill::transport
--- a/src/transport/peer_links.h
+++ b/src/transport/peer_links.h
@@ -1,4 +1,4 @@
-// Short messages between routers as datagrams on loopback: bounded, and dropped rather than kept waiting.
+// Short messages between routers as datagrams that name their sender. Messages are bounded in size.
 #pragma once
 
 #include <functional>
@@ -12,21 +12,27 @@
 
 namespace rushhill::transport {
 
+// Sends to routers and receives from them. A message that cannot be sent at once is dropped.
 class PeerLinks final : public core::PeerMessenger {
  public:
-  using Heard = std::function<void(int router, const std::string& bytes)>;
-  // `addresses` by router number; an empty one is a router that cannot be told.
-  PeerLinks(Reactor& reactor, const std::string& listen, int me, const std::vector<std::string>& addresses,
-            Heard heard);
+  // Called with each message and the number of the router that sent it.
+  using MessageHandler = std::function<void(int router, const std::string& bytes)>;
+  // `listen`: an address, or `fd:` and the number of an inherited socket. `addresses` by router number; an
+  // empty one is a router that cannot be reached. Throws std::invalid_argument for an address that is not
+  // numeric.
+  PeerLinks(Reactor& reactor, const std::string& listen, int own_number,
+            const std::vector<std::string>& addresses, MessageHandler handler);
+  // To one router; `router` below 0: to all others.
   void send(int router, const std::string& bytes) override;
+  // Messages that the system did not take.
   std::uint64_t dropped() const { return dropped_; }
 
  private:
-  void hear(const Address& from, std::string_view bytes);
+  void receive(const Address& from, std::string_view bytes);
 
-  int me_;
+  int own_number_;
   std::vector<std::optional<Address>> addresses_;
-  Heard heard_;
+  MessageHandler handler_;
   DatagramEndpoint datagrams_;
   std::uint64_t dropped_ = 0;
 };
--- a/src/transport/poller.cpp
+++ b/src/transport/poller.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t readable_events = EPOLLIN | EPOLLERR | EPOLLHUP;
 constexpr std::uint32_t writable_events = EPOLLOUT | EPOLLERR | EPOLLHUP;
 
-constexpr int most_tries = 8;  // of a call that fails for a moment
+constexpr int max_tries = 8;  // of a call that fails for a moment
 
 }  // namespace
 
@@ -24,40 +24,41 @@
 
 bool Poller::add(int descriptor, RegistrationId id, Interest interest) {
   // One that could not be removed before is there still.
-  return control(EPOLL_CTL_ADD, descriptor, id, interest) ||
-         (errno == EEXIST && control(EPOLL_CTL_MOD, descriptor, id, interest));
+  return control(Operation::add, descriptor, interest, id) ||
+         (errno == EEXIST && control(Operation::update, descriptor, interest, id));
 }
 
 bool Poller::update(int descriptor, RegistrationId id, Interest interest) {
-  return control(EPOLL_CTL_MOD, descriptor, id, interest);
+  return control(Operation::update, descriptor, interest, id);
 }
 
 void Poller::remove(int descriptor) {
-  for (int tries = 0; tries < most_tries && !control(EPOLL_CTL_DEL, descriptor, 0, {}); ++tries) {}
+  for (int tries = 0; tries < max_tries && !control(Operation::remove, descriptor, {}, 0); ++tries) {}
 }
 
-bool Poller::control(int operation, int descriptor, RegistrationId id, Interest interest) {
+bool Poller::control(Operation operation, int descriptor, Interest interest, RegistrationId id) {
   epoll_event event{};
   if (interest.readable) event.events |= EPOLLIN;
   if (interest.writable) event.events |= EPOLLOUT;
   event.data.u64 = id;
-  return system_.epoll_ctl(descriptor_.number(), operation, descriptor, &event) == 0;
+  return system_.epoll_ctl(descriptor_.number(), static_cast<int>(operation), descriptor, &event) == 0;
 }
 
 std::size_t Poller::wait(int timeout_ms, ReadySet& ready) {
-  const auto most = static_cast<int>(events_.size());
-  int named = system_.epoll_wait(descriptor_.number(), events_.data(), most, timeout_ms);
-  // The wait is over, but what is ready has not been seen: whoever asks takes what is not named for quiet.
-  for (int tries = 1; named < 0 && errno == EINTR && tries < most_tries; ++tries)
-    named = system_.epoll_wait(descriptor_.number(), events_.data(), most, 0);
-  if (named < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
-  for (int i = 0; i < named; ++i) {
+  const auto max_reported = static_cast<int>(events_.size());
+  int reported = system_.epoll_wait(descriptor_.number(), events_.data(), max_reported, timeout_ms);
+  // The wait is over, but what is ready has not been seen: the caller takes what is not reported as not
+  // ready.
+  for (int tries = 1; reported < 0 && errno == EINTR && tries < max_tries; ++tries)
+    reported = system_.epoll_wait(descriptor_.number(), events_.data(), max_reported, 0);
+  if (reported < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
+  for (int i = 0; i < reported; ++i) {
     const epoll_event& event = events_[static_cast<std::size_t>(i)];
     Interest& found = ready[event.data.u64];
     found.readable |= (event.events & readable_events) != 0;
     found.writable |= (event.events & writable_events) != 0;
   }
-  return named < 0 ? 0 : static_cast<std::size_t>(named);
+  return reported < 0 ? 0 : static_cast<std::size_t>(reported);
 }
 
 }  // namespace rushhill::transport
--- a/src/transport/reactor.h
+++ b/src/transport/reactor.h
@@ -15,12 +15,13 @@
 // The machine's monotonic clock, the same for all processes, in nanoseconds.
 std::int64_t monotonic_ns();
 
+// What the loop provides; see above. Addresses that cannot be bound throw std::system_error.
 class Reactor : public core::TimerService {
  public:
   virtual void run() = 0;  // until halt()
   virtual void halt() = 0;
 
-  // The clock of records, the same for all that they tell of; and the calendar's.
+  // Nanoseconds: the clock of the event records, and the Unix time.
   virtual std::int64_t clock_ns() const = 0;
   virtual std::int64_t unix_ns() const = 0;
 
--- a/src/transport/server_pool.cpp
+++ b/src/transport/server_pool.cpp
@@ -101,7 +101,7 @@
   connection->connect(*endpoint->address, std::move(exchange));
 }
 
-// The last used connection that still stands; the others that are found closed go.
+// The last used connection that is still healthy; those found closed are removed.
 HttpConnection* ServerPool::take_idle(HttpEndpoint& endpoint) {
   while (!endpoint.idle.empty()) {
     HttpConnection* connection = endpoint.idle.back();
--- a/src/transport/socket_listener.h
+++ b/src/transport/socket_listener.h
@@ -1,6 +1,7 @@
 // A listening TCP socket of the event loop.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 
 #include "core/timer_service.h"
@@ -14,39 +15,50 @@
 class Loop;
 
 // A connection that was accepted and has no owner yet.
-class SocketArrival final : public PendingConnection {
+class AcceptedSocket final : public PendingConnection {
  public:
-  explicit SocketArrival(FileDescriptor socket) : socket_(std::move(socket)) {}
+  explicit AcceptedSocket(FileDescriptor socket) : socket_(std::move(socket)) {}
   void refuse() const override { socket_.close(); }
   FileDescriptor take() const { return std::move(socket_); }
 
  private:
-  mutable FileDescriptor
-      socket_;  // whoever accepts or refuses it is handed a PendingConnection that is const
+  // Mutable, as whoever adopts or refuses it is handed a const PendingConnection.
+  mutable FileDescriptor socket_;
 };
 
+// Accepts connections whenever the loop finds it readable. It must not outlive the loop.
 class SocketListener final : public BoundSocket, public EventSource {
  public:
-  SocketListener(Loop& loop, FileDescriptor socket, AcceptHandler accepted);
+  SocketListener(Loop& loop, FileDescriptor socket, AcceptHandler handler);
+  SocketListener(const SocketListener&) = delete;
+  SocketListener& operator=(const SocketListener&) = delete;
+  SocketListener(SocketListener&&) = delete;
+  SocketListener& operator=(SocketListener&&) = delete;
   ~SocketListener() override;
   Address address() const override;
   void accept_all() override;
-  void accept_while(std::function<bool()> room) override { room_ = std::move(room); }
+  void accept_while(std::function<bool()> has_capacity) override { has_capacity_ = std::move(has_capacity); }
 
  private:
   void on_readable() override;
-  // What came of taking the next connection.
-  enum class Taken { connection, none_waiting, no_room, lost_one, machine_lacks };
-  Taken take();
-  Taken next_waiting();
+  // What came of accepting the next connection.
+  enum class AcceptResult : std::uint8_t {
+    accepted,
+    queue_empty,
+    no_capacity,         // the predicate of accept_while() says so
+    connection_lost,     // one in the queue, or one call, has failed
+    resources_exhausted  // of this machine; the connection stays in the queue
+  };
+  AcceptResult accept();
+  AcceptResult next_waiting();
   void pause(Time span);
   void watch(bool on);
 
   Loop& loop_;
   FileDescriptor socket_;
-  AcceptHandler accepted_;
-  std::function<bool()> room_;
-  core::Timer pause_;
+  AcceptHandler handler_;
+  std::function<bool()> has_capacity_;
+  core::Timer pause_timer_;
   Backoff backoff_;
 };
 
--- a/src/transport/socket_stream.cpp
+++ b/src/transport/socket_stream.cpp
@@ -14,24 +14,25 @@
 namespace rushhill::transport {
 namespace {
 
-constexpr std::size_t most_an_iteration =
-    1024 * 1024;                   // bytes of one that came to us; all its open requests fit
-constexpr int keepalive_idle = 5;  // seconds without a word until the system asks whether the peer is there
-constexpr int keepalive_interval = 1;  // seconds between two such questions
-constexpr int keepalive_probes = 3;    // questions without an answer that end the connection
+// Bytes read in an iteration from a connection that a peer opened; all its open requests fit.
+constexpr std::size_t max_iteration_bytes = 1024 * 1024;
+constexpr int keepalive_idle_s = 5;      // without a byte, until the system probes whether the peer is there
+constexpr int keepalive_interval_s = 1;  // between two probes
+constexpr int keepalive_probes = 3;      // without an answer, which end the connection
 constexpr int milliseconds_per_second = 1000;
-constexpr int most_tries = 8;  // of a call that fails for a moment
+constexpr int max_tries = 8;  // of a call that a signal interrupts
 constexpr Time time_units_per_ms = 10;
-constexpr Time in_time = 200;  // tenths of a millisecond; what was read so soon has not stood unread
+constexpr Time negligible_age = 200;  // tenths of a millisecond; what is read so soon counts as read at once
 
 }  // namespace
 
-SocketStream::SocketStream(Loop& loop, StreamHandler& user) : loop_(loop), user_(&user) {}
+SocketStream::SocketStream(Loop& loop, StreamHandler& handler) : loop_(loop), handler_(&handler) {}
 
-SocketStream::SocketStream(Loop& loop, StreamHandler& user, FileDescriptor accepted)
-    : EventSource(true), loop_(loop), socket_(std::move(accepted)), user_(&user) {}
+SocketStream::SocketStream(Loop& loop, StreamHandler& handler, FileDescriptor accepted)
+    : EventSource(true), loop_(loop), socket_(std::move(accepted)), handler_(&handler) {}
 
-// The socket is made here: what fails for want of a descriptor is a loss like any other, and its own kind.
+// The socket is made here: a failure for lack of a descriptor is reported like any other loss, as its own
+// kind.
 void SocketStream::connect(const Address& address) {
   if (!begin_connect(address)) {
     const bool local = cannot_begin(errno);
@@ -52,7 +53,7 @@
          errno == EINTR;
 }
 
-// Told after a pause: whoever hears of it may try again at once, and must not spin.
+// Reported after a pause: the handler may try again at once, and must not spin.
 void SocketStream::fail_to_begin() {
   begin_pause_ = loop_.at(loop_.now() + loop_.connect_backoff().failed(),
                           [self = shared_from_this()] { self->lose(CloseReason::not_started); });
@@ -60,20 +61,20 @@
 
 void SocketStream::establish() {
   established_ = true;
-  came_after_ = loop_.looked_before();
+  arrived_after_ = loop_.looked_before();
   set_option(loop_.system(), socket_, IPPROTO_TCP, TCP_NODELAY, 1);
   set_reading(true);
 }
 
 void SocketStream::write(std::string_view bytes) {
   if (closed()) return;
-  out_ += bytes;
+  unsent_ += bytes;
   if (established_ && !wanted_.writable && !failed_) flush();
 }
 
 bool SocketStream::cancel_unsent(std::size_t from, std::size_t count) {
-  if (from < handed_over_ || from - handed_over_ + count > out_.size()) return false;
-  out_.erase(from - handed_over_, count);
+  if (from < handed_over_ || from - handed_over_ + count > unsent_.size()) return false;
+  unsent_.erase(from - handed_over_, count);
   return true;
 }
 
@@ -81,44 +82,60 @@
   deferred_ = false;
   if (closed() || failed_) return;
   flush();
-  if (out_.empty() && !closed()) user_->on_write_drained();
+  if (unsent_.empty() && !closed()) handler_->on_write_drained();
 }
 
 void SocketStream::flush() {
-  if (!opened_by_peer() && !out_.empty() && !loop_.may_send()) {
+  if (!opened_by_peer() && !unsent_.empty() && !loop_.may_send()) {
     if (!std::exchange(deferred_, true)) loop_.send_later(weak_from_this());
     return;
   }
-  while (!out_.empty() && !sending_paused_) {
-    const std::size_t part = std::min(out_.size(), loop_.most_at_once);
-    const auto sent = loop_.system().send(socket_.number(), out_.data(), part, MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (sent < 0) {
-      if (would_block(errno)) break;
-      if (out_of_memory(errno)) {
-        pause_sending();
-        break;
-      }
-      out_.clear();
-      failed_ = true;
-      // Not from within the user's own call to write().
-      loop_.post([self = shared_from_this()] { self->lose_when_read(); });
-      return;
-    }
+  if (!send_unsent()) return;
+  if (unsent_.empty()) unsent_ = {};  // an idle stream holds no memory for what it has sent
+  wait_for({.readable = wanted_.readable, .writable = !unsent_.empty()});
+  if (unsent_.empty() && finishing_) end_our_side();
+}
+
+// Hands over as much as the system takes. False: the connection has failed.
+bool SocketStream::send_unsent() {
+  while (!unsent_.empty() && !sending_paused_) {
+    const std::size_t part = std::min(unsent_.size(), loop_.most_at_once);
+    const auto sent =
+        loop_.system().send(socket_.number(), unsent_.data(), part, MSG_NOSIGNAL | MSG_DONTWAIT);
+    if (sent < 0) return survives_send_failure(errno);
     send_backoff_.succeeded();
     handed_over_ += static_cast<std::size_t>(sent);
-    out_.erase(0, static_cast<std::size_t>(sent));
-    const bool small_part = part < out_.size() && part < loop_.read_buffer().size();
+    unsent_.erase(0, static_cast<std::size_t>(sent));
+    const bool small_part = part < unsent_.size() && part < loop_.read_buffer().size();
     if (small_part) break;  // one at a time, for tests
   }
-  if (out_.empty()) out_ = {};  // an idle stream holds no memory for what it has sent
-  wait_for({.readable = wanted_.readable, .writable = !out_.empty()});
-  if (out_.empty() && finishing_) end_our_side();
+  return true;
+}
+
+bool SocketStream::survives_send_failure(int error) {
+  if (would_block(error)) return true;
+  if (out_of_memory(error)) {
+    pause_sending();
+    return true;
+  }
+  unsent_.clear();
+  failed_ = true;
+  // Not from within the handler's own call to write().
+  loop_.post([self = shared_from_this()] { self->lose_when_read(); });
+  return false;
+}
+
+// The handler is notified only where bytes had to wait.
+void SocketStream::flush_and_notify() {
+  const bool waited = !unsent_.empty();
+  flush();
+  if (waited && unsent_.empty() && !closed()) handler_->on_write_drained();
 }
 
 void SocketStream::set_reading(bool on) { wait_for({.readable = on, .writable = wanted_.writable}); }
 
-void SocketStream::wait_for(Interest wanted) {
-  wanted_ = wanted;
+void SocketStream::wait_for(Interest interest) {
+  wanted_ = interest;
   update_watch();
 }
 
@@ -147,15 +164,13 @@
 void SocketStream::resume_sending() {
   sending_paused_ = false;
   if (closed() || failed_) return;
-  const bool waited = !out_.empty();
-  flush();
-  if (waited && out_.empty() && !closed()) user_->on_write_drained();
+  flush_and_notify();
 }
 
-// A call that a signal interrupts is made again: what it would have told is not known else.
+// A call that a signal interrupts is made again: its result is not known otherwise.
 ssize_t SocketStream::receive(char* bytes, std::size_t count, int flags) {
   ssize_t got = -1;
-  for (int tries = 0; tries < most_tries; ++tries) {
+  for (int tries = 0; tries < max_tries; ++tries) {
     got = loop_.system().recv(socket_.number(), bytes, count, flags | MSG_DONTWAIT);
     if (got >= 0 || errno != EINTR) break;
   }
@@ -174,40 +189,40 @@
   return errno == EINTR || out_of_memory(errno) ? Peeked::bytes : Peeked::end;
 }
 
-std::size_t SocketStream::most_read() const {
+std::size_t SocketStream::max_read_bytes() const {
   return std::min(loop_.most_at_once, loop_.read_buffer().size());
 }
 
 void SocketStream::on_readable() {
   if (closed() || !established_) return;
   const auto self = shared_from_this();
-  const std::size_t most = most_read();
+  const std::size_t max_bytes = max_read_bytes();
   std::vector<char>& buffer = loop_.read_buffer();
   std::size_t read = 0;
   do {
-    note_unread_for();
-    const auto got = receive(buffer.data(), most, 0);
+    measure_unread_age();
+    const auto got = receive(buffer.data(), max_bytes, 0);
     if (got < 0 && would_block(errno)) return;
     if (got < 0 && out_of_memory(errno)) return pause_reading();
     if (got < 0) return lose(CloseReason::reset);
     if (got == 0) return lose(CloseReason::closed_by_peer);
     read_backoff_.succeeded();
     read += static_cast<std::size_t>(got);
-    user_->on_data({buffer.data(), static_cast<std::size_t>(got)});
-  } while (opened_by_peer() && !closed() && wanted_.readable && read < most_an_iteration);
+    handler_->on_data({buffer.data(), static_cast<std::size_t>(got)});
+  } while (opened_by_peer() && !closed() && wanted_.readable && read < max_iteration_bytes);
 }
 
-// Asked before the bytes are read, and only where the loop turned so late that they may have stood here. No
-// more than since the loop last looked, whatever the system says.
-void SocketStream::note_unread_for() {
+// Measured before the bytes are read, and only where the loop polled so late that they may have waited. No
+// longer than since the loop last polled, whatever the system says.
+void SocketStream::measure_unread_age() {
   if (!opened_by_peer()) return;
-  const Time came_after = std::min(loop_.looked_before(), came_after_.value_or(loop_.looked_before()));
-  came_after_.reset();
-  const Time at_most = loop_.now() - came_after;
-  unread_for_ = at_most > in_time ? std::min(since_last_data(), at_most) : 0;
+  const Time arrived_after = std::min(loop_.looked_before(), arrived_after_.value_or(loop_.looked_before()));
+  arrived_after_.reset();
+  const Time at_most = loop_.now() - arrived_after;
+  unread_age_ = at_most > negligible_age ? std::min(since_last_data(), at_most) : 0;
 }
 
-// By the system's account; 0 where it has none.
+// By the system; 0 where it does not know.
 Time SocketStream::since_last_data() const {
   tcp_info info{};
   socklen_t length = sizeof info;
@@ -221,12 +236,10 @@
   const auto self = shared_from_this();
   if (!established_) finish_connect();
   if (closed() || !established_) return;
-  const bool waited = !out_.empty();
-  flush();
-  if (waited && out_.empty() && !closed()) user_->on_write_drained();
+  flush_and_notify();
 }
 
-// Where even its error cannot be asked for, nothing has left on it all the same.
+// Where even its error cannot be read, nothing has left on it all the same.
 void SocketStream::finish_connect() {
   int error = 0;
   socklen_t length = sizeof error;
@@ -240,51 +253,51 @@
   loop_.connect_backoff().succeeded();
   established_ = true;
   set_reading(true);
-  user_->on_connected();
+  handler_->on_connected();
 }
 
 void SocketStream::lose(CloseReason why) {
   if (closed()) return;
-  StreamHandler* user = user_;
+  StreamHandler* handler = handler_;
   close();
-  user->on_closed(why);
+  handler->on_closed(why);
 }
 
 void SocketStream::lose_soon(CloseReason why) {
   loop_.post([self = shared_from_this(), why] { self->lose(why); });
 }
 
-// What the peer sent before it broke off stands to be read still, and may be all that is known of what it
-// did.
+// What the peer sent before it reset the connection can still be read, and may be all that is known of what
+// it did.
 void SocketStream::lose_when_read() {
-  const std::size_t most = most_read();
+  const std::size_t max_bytes = max_read_bytes();
   std::vector<char>& buffer = loop_.read_buffer();
   while (!closed() && wanted_.readable) {
-    note_unread_for();
-    const auto got = receive(buffer.data(), most, 0);
+    measure_unread_age();
+    const auto got = receive(buffer.data(), max_bytes, 0);
     if (got <= 0) break;
-    user_->on_data({buffer.data(), static_cast<std::size_t>(got)});
+    handler_->on_data({buffer.data(), static_cast<std::size_t>(got)});
   }
   lose(CloseReason::reset);
 }
 
 void SocketStream::shutdown_write() {
   if (closed() || std::exchange(finishing_, true)) return;
-  if (out_.empty() && established_) end_our_side();
+  if (unsent_.empty() && established_) end_our_side();
 }
 
 void SocketStream::close() {
   if (closed()) return;
   for (core::Timer* pause : {&read_pause_, &send_pause_, &begin_pause_}) loop_.cancel(*pause);
   wait_for({});
-  user_ = nullptr;
-  out_.clear();
+  handler_ = nullptr;
+  unsent_.clear();
   socket_.close();
 }
 
 void SocketStream::reset() {
   if (closed()) return;
-  const linger at_once{1, 0};
+  const linger at_once{.l_onoff = 1, .l_linger = 0};
   loop_.system().setsockopt(socket_.number(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
   close();
 }
@@ -293,11 +306,11 @@
   if (closed()) return;
   SystemCalls& system = loop_.system();
   set_option(system, socket_, SOL_SOCKET, SO_KEEPALIVE, 1);
-  set_option(system, socket_, IPPROTO_TCP, TCP_KEEPIDLE, keepalive_idle);
-  set_option(system, socket_, IPPROTO_TCP, TCP_KEEPINTVL, keepalive_interval);
+  set_option(system, socket_, IPPROTO_TCP, TCP_KEEPIDLE, keepalive_idle_s);
+  set_option(system, socket_, IPPROTO_TCP, TCP_KEEPINTVL, keepalive_interval_s);
   set_option(system, socket_, IPPROTO_TCP, TCP_KEEPCNT, keepalive_probes);
   // The same bound for what we have written and the peer has not taken.
-  const int silence_s = keepalive_idle + keepalive_probes * keepalive_interval;
+  const int silence_s = keepalive_idle_s + keepalive_probes * keepalive_interval_s;
   set_option(system, socket_, IPPROTO_TCP, TCP_USER_TIMEOUT, silence_s * milliseconds_per_second);
 }
 
--- a/src/transport/sockets.h
+++ b/src/transport/sockets.h
@@ -9,6 +9,7 @@
 
 namespace rushhill::transport {
 
+// How an address is bound.
 struct BindOptions {
   bool shared = false;  // with other sockets that share the port (SO_REUSEPORT)
 };
@@ -26,26 +27,26 @@
 // Whether a call failed only for now, with nothing to do but wait until the descriptor is ready again.
 bool would_block(int error);
 
-// Whether a call on an open connection failed for want of memory: the connection is as it was, and the call
+// Whether a call on an open connection failed for lack of memory: the connection is as it was, and the call
 // is made again after a pause.
 bool out_of_memory(int error);
 
-// Whether a connection could not be begun for want of something on this machine (a descriptor, memory, a
-// local port, a route, a permission): nothing has left, and it tells nothing of the peer.
+// Whether a connection could not be begun for lack of a resource on this machine (a descriptor, memory, a
+// local port, a route, a permission): nothing has left, and it says nothing of the peer.
 bool cannot_begin(int error);
 
-// Whether accept4() failed for want of something on this machine, with the connection still in the queue.
+// Whether accept4() failed for lack of a resource on this machine, with the connection still in the queue.
 // Any other failure is of one connection, which is gone, or of one call.
 bool cannot_accept(int error);
 
-// At a start, when nothing else waits: makes a call again, with rests, while it fails for want of something
-// on this machine, for half a second at most. Returns what the call returned last, as -1 with errno.
+// At a start, when nothing else waits: makes a call again, with rests, while it fails for lack of a
+// resource on this machine, for half a second at most. Returns what the call returned last, as -1 with errno.
 template <typename SystemCall>
 int try_for_a_moment(SystemCalls& system, SystemCall call) {
-  constexpr int most_tries = 50;
+  constexpr int max_tries = 50;
   constexpr int rest_ms = 10;
   int result = call();
-  for (int tries = 1; result < 0 && tries < most_tries && (cannot_accept(errno) || errno == EINTR); ++tries) {
+  for (int tries = 1; result < 0 && tries < max_tries && (cannot_accept(errno) || errno == EINTR); ++tries) {
     system.poll(nullptr, 0, rest_ms);
     result = call();
   }
--- a/src/transport/stream.h
+++ b/src/transport/stream.h
@@ -18,14 +18,15 @@
 class Reactor;
 class PendingConnection;
 
-// Why a stream was closed by something else than this process.
+// Why a stream was closed by anything but this process.
 enum class CloseReason : std::uint8_t {
   connect_failed,  // never established
   closed_by_peer,
   reset,       // reset by the peer, or failed
-  not_started  // for want of something on this machine: no byte has left, and it tells nothing of the peer
+  not_started  // for lack of a resource on this machine: no byte has left, and it says nothing of the peer
 };
 
+// Called by a stream; see above.
 class StreamHandler {
  public:
   StreamHandler() = default;
@@ -42,6 +43,7 @@
   virtual void on_closed(CloseReason reason) = 0;
 };
 
+// A connected byte stream. Bytes are written at once, or queued without bound until the system takes them.
 class Stream {
  public:
   static std::shared_ptr<Stream> connect(Reactor& reactor, const Address& address, StreamHandler& handler);
--- a/src/transport/system_calls.cpp
+++ b/src/transport/system_calls.cpp
@@ -4,6 +4,11 @@
 #include <unistd.h>
 
 namespace rushhill::transport {
+namespace {
+
+constexpr std::int64_t nanoseconds_per_second = 1'000'000'000;
+
+}  // namespace
 
 int SystemCalls::socket(int domain, int type, int protocol) { return ::socket(domain, type, protocol); }
 int SystemCalls::bind(int descriptor, const sockaddr* address, socklen_t length) {
@@ -56,7 +61,7 @@
 std::int64_t SystemCalls::unix_ns() {
   timespec now{};
   clock_gettime(CLOCK_REALTIME, &now);
-  return static_cast<std::int64_t>(now.tv_sec) * 1'000'000'000 + now.tv_nsec;
+  return static_cast<std::int64_t>(now.tv_sec) * nanoseconds_per_second + now.tv_nsec;
 }
 
 SystemCalls& SystemCalls::real() {
--- a/src/transport/system_calls.h
+++ b/src/transport/system_calls.h
@@ -13,11 +13,14 @@
 
 namespace rushhill::transport {
 
+// Makes the calls; a test's own class overrides them.
 class SystemCalls {
  public:
   SystemCalls() = default;
   SystemCalls(const SystemCalls&) = delete;
   SystemCalls& operator=(const SystemCalls&) = delete;
+  SystemCalls(SystemCalls&&) = delete;
+  SystemCalls& operator=(SystemCalls&&) = delete;
   virtual ~SystemCalls() = default;
 
   virtual int socket(int domain, int type, int protocol);
@@ -42,10 +45,10 @@
   virtual int epoll_ctl(int poller, int operation, int descriptor, epoll_event* event);
   virtual int epoll_wait(int poller, epoll_event* events, int most, int timeout_ms);
 
-  // The calendar's clock, which may be stepped; in nanoseconds since 1970.
+  // Unix time in nanoseconds; it may be stepped.
   virtual std::int64_t unix_ns();
 
-  // The calls themselves, for all who ask for no others.
+  // The calls of the operating system itself.
   static SystemCalls& real();
 };
 
--- a/src/upstream/line_connection.cpp
+++ b/src/upstream/line_connection.cpp
@@ -18,9 +18,10 @@
 }  // namespace
 
 LineConnection::LineConnection(transport::Reactor& reactor, LineConnectionOwner& owner,
-                               LineEndpoint& endpoint, const transport::Address& address,
-                               const LineConnectionLimits& limits)
-    : reactor_(reactor), owner_(owner), endpoint_(endpoint), limits_(limits), reader_(limits.answers) {
+                               LineEndpoint& endpoint, const LineConnectionLimits& limits)
+    : reactor_(reactor), owner_(owner), endpoint_(endpoint), limits_(limits), reader_(limits.answers) {}
+
+void LineConnection::connect(const transport::Address& address) {
   stream_ = Stream::connect(reactor_, address, *this);
   timer_ = reactor_.at(reactor_.now() + limits_.connect_timeout,
                        [this] { fail(AttemptOutcome::connect_failed, Unsent::fails); });
@@ -35,7 +36,7 @@
   closed_ = true;
   reactor_.cancel(timer_);
   reactor_.cancel(renewal_timer_);
-  stream_->close();
+  if (stream_) stream_->close();
 }
 
 bool LineConnection::usable_for(const LineExchange& exchange) const {
--- a/src/upstream/line_connection.h
+++ b/src/upstream/line_connection.h
@@ -74,7 +74,7 @@
   virtual void answer_unreadable(const LineConnection& connection) = 0;
 };
 
-// One connection, opened by its constructor. An endpoint's answers are believed by their ids alone, so an id
+// One connection. An endpoint's answers are believed by their ids alone, so an id
 // is never twice on the same connection: a second answer, or one that was under way when its attempt was
 // cancelled, meets no later attempt. Owned by its endpoint; may outlive the pool, and calls nothing but the
 // reactor then.
@@ -83,7 +83,7 @@
                              public std::enable_shared_from_this<LineConnection> {
  public:
   LineConnection(transport::Reactor& reactor, LineConnectionOwner& owner, LineEndpoint& endpoint,
-                 const transport::Address& address, const LineConnectionLimits& limits);
+                 const LineConnectionLimits& limits);
   LineConnection(const LineConnection&) = delete;
   LineConnection& operator=(const LineConnection&) = delete;
   LineConnection(LineConnection&&) = delete;
@@ -100,6 +100,8 @@
   // Whether an idle connection is still open with nothing to be read, or is being established.
   bool healthy() const { return !established_ || stream_->peek() == transport::Stream::Peeked::nothing; }
 
+  // Opens the connection. Exchanges may be sent from then on; they leave once it is established.
+  void connect(const transport::Address& address);
   void send(LineExchange exchange);
   // Gives an attempt up; nothing is reported of it.
   void cancel(const transport::AttemptKey& attempt);
--- a/src/upstream/line_pool.cpp
+++ b/src/upstream/line_pool.cpp
@@ -129,12 +129,13 @@
 LineConnection* LinePool::open_connection(LineEndpoint& endpoint, const transport::Address& address) {
   LineConnectionOwner& owner = *this;
   const auto connection = std::make_shared<LineConnection>(
-      reactor(), owner, endpoint, address,
+      reactor(), owner, endpoint,
       LineConnectionLimits{.exchanges = static_cast<std::size_t>(bounds_.requests_per_connection),
                            .connect_timeout = bounds_.connect_limit,
                            .idle_timeout = bounds_.idle,
                            .answers = bounds_.answers});
   add(connection);
+  connection->connect(address);
   return connection.get();
 }
 
