--- a/src/command/main.cpp
+++ b/src/command/main.cpp
@@ -198,7 +198,7 @@
 }
 
 int check(const std::string& path) {
-  const deployment::Program program = deployment::read_file(path);
+  const deployment::DeploymentConfiguration program = deployment::read_file(path);
   for (const std::string& line : program.in_force) std::cout << line << '\n';
   return 0;
 }
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -53,19 +53,21 @@
 
 }  // namespace
 
-int serve(const deployment::Program& program, const std::string& tally_path) {
+int serve(const deployment::DeploymentConfiguration& configuration, const std::string& tally_path) {
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGTERM, on_signal);
   std::signal(SIGINT, on_signal);
-  log::EventLog diary(program.log_json ? log::Form::json : log::Form::people, program.log_least,
-                      "router-" + std::to_string(program.module.router_number));
-  const std::uint64_t seed =
-      program.seed != 0 ? program.seed : static_cast<std::uint64_t>(std::random_device{}()) << 20U;
-  const auto faulty_calls = faulty_system_calls(program.module.router_number, diary);
+  log::EventLog diary(configuration.log_json ? log::Form::json : log::Form::people,
+                      configuration.least_log_level,
+                      "router-" + std::to_string(configuration.routing.router_number));
+  const std::uint64_t seed = configuration.seed != 0
+                                 ? configuration.seed
+                                 : static_cast<std::uint64_t>(std::random_device{}()) << 20U;
+  const auto faulty_calls = faulty_system_calls(configuration.routing.router_number, diary);
   transport::Loop reactor(faulty_calls ? *faulty_calls : transport::SystemCalls::real());
-  deployment::Program counted = program;
+  deployment::DeploymentConfiguration counted = configuration;
   counted.descriptors = transport::descriptors_left(0);
-  const router::StorageAccess storage = storage_access(reactor, program.module.router_number, diary);
+  const router::StorageAccess storage = storage_access(reactor, configuration.routing.router_number, diary);
   router::RouterProcess router(reactor, counted, seed, diary, storage);
   std::cout << "ready " << router.address().toString() << std::endl;
   reactor.every_turn([&] {
--- a/src/deployment/deployment_file.cpp
+++ b/src/deployment/deployment_file.cpp
@@ -128,76 +128,76 @@
   std::function<void(Target&, const std::string&)> set;
 };
 
-const std::vector<Key<Program>>& keys() {
-  using P = Program;
+const std::vector<Key<DeploymentConfiguration>>& keys() {
+  using P = DeploymentConfiguration;
   using S = const std::string&;
-  static const std::vector<Key<Program>> all{
+  static const std::vector<Key<DeploymentConfiguration>> all{
       {"router", "number", "0",
-       [](P& p, S v) { p.module.router_number = static_cast<int>(whole_in(v, 0, 9999)); }},
+       [](P& p, S v) { p.routing.router_number = static_cast<int>(whole_in(v, 0, 9999)); }},
       {"router", "routers", "1",
-       [](P& p, S v) { p.module.routers = static_cast<int>(whole_in(v, 1, 10000)); }},
-      {"router", "location", "", [](P& p, S v) { p.module.location = v.empty() ? v : name(v); }},
-      {"router", "tick", "20ms", [](P& p, S v) { p.module.tick = to_duration(time_above_0(v)); }},
+       [](P& p, S v) { p.routing.routers = static_cast<int>(whole_in(v, 1, 10000)); }},
+      {"router", "location", "", [](P& p, S v) { p.routing.location = v.empty() ? v : name(v); }},
+      {"router", "tick", "20ms", [](P& p, S v) { p.routing.tick = to_duration(time_above_0(v)); }},
       {"router", "seed", "0",
        [](P& p, S v) {
          p.seed = static_cast<std::uint64_t>(whole_in(v, 0, std::numeric_limits<std::int64_t>::max()));
        }},
       // Keys that are only checked stand for facts that no decision needs.
       {"rules", "answer-grace", "16ms", [](P&, S v) { time(v); }},
-      {"rules", "drain-grace", "2s", [](P& p, S v) { p.module.drain_grace = to_duration(time(v)); }},
+      {"rules", "drain-grace", "2s", [](P& p, S v) { p.routing.drain_grace = to_duration(time(v)); }},
       {"rules", "ask-every", "10s", [](P&, S v) { time_above_0(v); }},
       {"rules", "fall-multiple", "2",
-       [](P& p, S v) { p.module.slow_start.budget_multiple = number_in(v, 1, 100); }},
+       [](P& p, S v) { p.routing.slow_start.budget_multiple = number_in(v, 1, 100); }},
       {"rules", "fall-span", "1500ms",
-       [](P& p, S v) { p.module.slow_start.budget_span = to_duration(time_above_0(v)); }},
+       [](P& p, S v) { p.routing.slow_start.budget_span = to_duration(time_above_0(v)); }},
       {"rules", "cold-share", "0.16",
-       [](P& p, S v) { p.module.slow_start.initial_capacity = number_in(v, 0.001, 1); }},
+       [](P& p, S v) { p.routing.slow_start.initial_capacity = number_in(v, 0.001, 1); }},
       {"rules", "cold-span", "16s",
-       [](P& p, S v) { p.module.slow_start.warm_up_span = to_duration(time_above_0(v)); }},
-      {"rules", "load-window", "0", [](P& p, S v) { p.module.load_budget.window = to_duration(time(v)); }},
-      {"rules", "load-free", "0", [](P& p, S v) { p.module.load_budget.free_loads = number_in(v, 0, 1e6); }},
+       [](P& p, S v) { p.routing.slow_start.warm_up_span = to_duration(time_above_0(v)); }},
+      {"rules", "load-window", "0", [](P& p, S v) { p.routing.load_budget.window = to_duration(time(v)); }},
+      {"rules", "load-free", "0", [](P& p, S v) { p.routing.load_budget.free_loads = number_in(v, 0, 1e6); }},
       {"rules", "loads-per-event", "0",
-       [](P& p, S v) { p.module.load_budget.loads_per_request = number_in(v, 0, 1e3); }},
+       [](P& p, S v) { p.routing.load_budget.loads_per_request = number_in(v, 0, 1e3); }},
       {"permissions", "shots", "5",
-       [](P& p, S v) { p.module.retries.attempt_limit = static_cast<int>(whole_in(v, 1, 100)); }},
+       [](P& p, S v) { p.routing.retries.attempt_limit = static_cast<int>(whole_in(v, 1, 100)); }},
       {"permissions", "open", "20000",
-       [](P& p, S v) { p.module.open_request_limit = static_cast<int>(whole_in(v, 1, 1'000'000)); }},
-      {"permissions", "call-off", "yes", [](P& p, S v) { p.module.retries.cancel_attempts = flag(v); }},
-      {"permissions", "second-copies", "no", [](P& p, S v) { p.module.retries.hedging = flag(v); }},
-      {"permissions", "probing", "yes", [](P& p, S v) { p.module.reports.probes = flag(v); }},
-      {"permissions", "peers", "no", [](P& p, S v) { p.module.reports.gossip = flag(v); }},
-      {"permissions", "retry-advice", "yes", [](P& p, S v) { p.module.retries.retry_after = flag(v); }},
+       [](P& p, S v) { p.routing.open_request_limit = static_cast<int>(whole_in(v, 1, 1'000'000)); }},
+      {"permissions", "call-off", "yes", [](P& p, S v) { p.routing.retries.cancel_attempts = flag(v); }},
+      {"permissions", "second-copies", "no", [](P& p, S v) { p.routing.retries.hedging = flag(v); }},
+      {"permissions", "probing", "yes", [](P& p, S v) { p.routing.reports.probes = flag(v); }},
+      {"permissions", "peers", "no", [](P& p, S v) { p.routing.reports.gossip = flag(v); }},
+      {"permissions", "retry-advice", "yes", [](P& p, S v) { p.routing.retries.retry_after = flag(v); }},
       {"permissions", "longest-retry-advice", "500ms",
-       [](P& p, S v) { p.module.retries.longest_retry_after = to_duration(time(v)); }},
+       [](P& p, S v) { p.routing.retries.longest_retry_after = to_duration(time(v)); }},
       {"permissions", "over-share-worth", "1",
-       [](P& p, S v) { p.module.over_quota_value = number_in(v, 0, 1); }},
-      {"functions", "orders", "yes", [](P& p, S v) { p.module.copies.prewarm = flag(v); }},
+       [](P& p, S v) { p.routing.over_quota_value = number_in(v, 0, 1); }},
+      {"functions", "orders", "yes", [](P& p, S v) { p.routing.copies.prewarm = flag(v); }},
       {"functions", "when-missing", "load",
        [](P& p, S v) {
-         p.module.copies.missing_is_answered = word<bool>(v, {{"load", false}, {"miss", true}});
+         p.routing.copies.missing_is_answered = word<bool>(v, {{"load", false}, {"miss", true}});
        }},
-      {"functions", "tells-warm", "yes", [](P& p, S v) { p.module.copies.state_is_reported = flag(v); }},
+      {"functions", "tells-warm", "yes", [](P& p, S v) { p.routing.copies.state_is_reported = flag(v); }},
       {"functions", "tells-crowd", "yes", [](P&, S v) { flag(v); }},
       {"functions", "keep-alive", "10s",
-       [](P& p, S v) { p.module.copies.keep_alive = to_duration(time_above_0(v)); }},
+       [](P& p, S v) { p.routing.copies.keep_alive = to_duration(time_above_0(v)); }},
       {"functions", "order-limit", "10s",
-       [](P& p, S v) { p.module.copies.prewarm_timeout = to_duration(time_above_0(v)); }},
+       [](P& p, S v) { p.routing.copies.prewarm_timeout = to_duration(time_above_0(v)); }},
       {"functions", "memory-price", "0", [](P&, S v) { number_in(v, 0, 1); }},
       {"functions", "crossing-price", "0",
-       [](P& p, S v) { p.module.prices.cross_location = number_in(v, 0, 1); }},
-      {"functions", "fetch-price", "0", [](P& p, S v) { p.module.prices.load = number_in(v, 0, 1); }},
+       [](P& p, S v) { p.routing.prices.cross_location = number_in(v, 0, 1); }},
+      {"functions", "fetch-price", "0", [](P& p, S v) { p.routing.prices.load = number_in(v, 0, 1); }},
       {"servers", "reports", "answers",
        [](P& p, S v) {
-         p.module.reports.load_reports =
+         p.routing.reports.load_reports =
              word<const char*>(v, {{"answers", "answers"}, {"probe", "probe"}, {"none", "none"}});
        }},
       {"servers", "connect-limit", "250ms",
-       [](P& p, S v) { p.module.connect_timeout = to_duration(time_above_0(v)); }},
+       [](P& p, S v) { p.routing.connect_timeout = to_duration(time_above_0(v)); }},
       {"servers", "connection-idle", "15s",
-       [](P& p, S v) { p.module.connection_idle_timeout = to_duration(time_above_0(v)); }},
+       [](P& p, S v) { p.routing.connection_idle_timeout = to_duration(time_above_0(v)); }},
       {"servers", "connections", "256",
-       [](P& p, S v) { p.links.connections = static_cast<int>(whole_in(v, 1, 65536)); }},
-      {"servers", "reply", "1MiB", [](P& p, S v) { p.links.reply = bytes(v); }},
+       [](P& p, S v) { p.server_connections.connections = static_cast<int>(whole_in(v, 1, 65536)); }},
+      {"servers", "reply", "1MiB", [](P& p, S v) { p.server_connections.reply = bytes(v); }},
       {"http", "listen", "127.0.0.1:8080", [](P& p, S v) { p.http.listen = where(v); }},
       {"http", "connections", "20000",
        [](P& p, S v) { p.http.connections = static_cast<int>(whole_in(v, 1, 1'000'000)); }},
@@ -205,7 +205,7 @@
       {"http", "batch", "100", [](P& p, S v) { p.http.batch = static_cast<int>(whole_in(v, 1, 10000)); }},
       {"http", "request-within", "10s", [](P& p, S v) { p.http.head_within = time_above_0(v); }},
       {"http", "idle", "60s", [](P& p, S v) { p.http.idle = time_above_0(v); }},
-      {"http", "wind-up", "5s", [](P& p, S v) { p.http.wind_up = time(v); }},
+      {"http", "wind-up", "5s", [](P& p, S v) { p.http.drain_timeout = time(v); }},
       {"http", "weight", "1", [](P& p, S v) { p.http.weight = number_in(v, 0.001, 1000); }},
       {"mqtt", "address", "", [](P& p, S v) { p.mqtt.address = where_or_none(v); }},
       {"mqtt", "client", "rushhill", [](P& p, S v) { p.mqtt.client = name(v); }},
@@ -225,29 +225,30 @@
          if (!v.empty() && !mqtt::topic_valid(v)) throw Fault("'" + v + "' is no topic");
          p.mqtt.dead_letter = v;
        }},
-      {"roster", "address", "", [](P& p, S v) { p.roster.address = where_or_none(v); }},
-      {"roster", "remembered", "", [](P& p, S v) { p.roster.remembered = v; }},
-      {"roster", "retry", "500ms", [](P& p, S v) { p.roster.retry = time_above_0(v); }},
-      {"roster", "pushed", "yes", [](P& p, S v) { p.module.endpoints_on_request = !flag(v); }},
+      {"roster", "address", "", [](P& p, S v) { p.discovery.address = where_or_none(v); }},
+      {"roster", "remembered", "", [](P& p, S v) { p.discovery.remembered = v; }},
+      {"roster", "retry", "500ms", [](P& p, S v) { p.discovery.retry = time_above_0(v); }},
+      {"roster", "pushed", "yes", [](P& p, S v) { p.routing.endpoints_on_request = !flag(v); }},
       {"peers", "listen", "", [](P& p, S v) { p.peers.listen = where_or_none(v); }},
       {"replica", "listen", "",
        [](P& p, S v) {
          if (v.starts_with("fd:")) throw Fault("'" + v + "' is no address");
-         p.replica.listen = where_or_none(v);
+         p.replication.listen = where_or_none(v);
        }},
-      {"replica", "deployment", "rushhill", [](P& p, S v) { p.replica.deployment = name(v); }},
+      {"replica", "deployment", "rushhill", [](P& p, S v) { p.replication.deployment = name(v); }},
       {"replica", "held-by", "0",
-       [](P& p, S v) { p.replica.held_by = static_cast<int>(whole_in(v, 0, 100)); }},
-      {"replica", "held-within", "0.2", [](P& p, S v) { p.replica.held_within = number_in(v, 0.01, 0.9); }},
-      {"replica", "mark-life", "60s", [](P& p, S v) { p.replica.mark_life = time_above_0(v); }},
+       [](P& p, S v) { p.replication.held_by = static_cast<int>(whole_in(v, 0, 100)); }},
+      {"replica", "held-within", "0.2",
+       [](P& p, S v) { p.replication.held_within = number_in(v, 0.01, 0.9); }},
+      {"replica", "mark-life", "60s", [](P& p, S v) { p.replication.mark_life = time_above_0(v); }},
       {"replica", "most-marks", "100000",
-       [](P& p, S v) { p.replica.most_marks = static_cast<std::size_t>(whole_in(v, 1, 100'000'000)); }},
+       [](P& p, S v) { p.replication.most_marks = static_cast<std::size_t>(whole_in(v, 1, 100'000'000)); }},
       {"log", "least", "info",
        [](P& p, S v) {
-         p.log_least = word<core::Level>(v, {{"debug", core::Level::debug},
-                                             {"info", core::Level::info},
-                                             {"warning", core::Level::warning},
-                                             {"error", core::Level::error}});
+         p.least_log_level = word<core::Level>(v, {{"debug", core::Level::debug},
+                                                   {"info", core::Level::info},
+                                                   {"warning", core::Level::warning},
+                                                   {"error", core::Level::error}});
        }},
       {"log", "form", "people",
        [](P& p, S v) {
@@ -321,7 +322,7 @@
       {"mqtt-topic", "qos", "1", [](T& t, S v) { t.qos = static_cast<int>(whole_in(v, 0, 2)); }},
       {"mqtt-topic", "event-type", "", [](T& t, S v) { t.event_type = v; }},
       {"mqtt-topic", "function", "", [](T& t, S v) { t.function = v; }},
-      {"mqtt-topic", "customer", "", [](T& t, S v) { t.customer = v; }},
+      {"mqtt-topic", "customer", "", [](T& t, S v) { t.tenant = v; }},
       {"mqtt-topic", "weight", "1", [](T& t, S v) { t.weight = number_in(v, 0.001, 1000); }},
   };
   return all;
@@ -337,33 +338,33 @@
  public:
   Reading(std::string path, std::string_view text) : path_(std::move(path)), rest_(text) {}
 
-  Program run() {
+  DeploymentConfiguration run() {
     ini_parse_stream(&Reading::next_line, this, &Reading::take, this);
-    Program program;
-    fixed(program);
+    DeploymentConfiguration configuration;
+    fixed(configuration);
     for (const auto& [section, written] : sections_) {
       const int line = section_lines_.at(section);
       const auto gap = section.find(' ');
       const std::string kind = section.substr(0, gap);
       if (gap != std::string::npos && kind == "traffic") {
-        traffic(program, section, named(line, section, gap), written);
+        traffic(configuration, section, named(line, section, gap), written);
       } else if (gap != std::string::npos && kind == "customer") {
         Tenant customer;
         customer.name = named(line, section, gap);
-        fill(section, line, customer_keys(), customer, written, program);
-        program.module.tenants.push_back(customer);
+        fill(section, line, customer_keys(), customer, written, configuration);
+        configuration.routing.tenants.push_back(customer);
       } else if (gap != std::string::npos && kind == "mqtt-topic") {
         MqttTopic topic;
         topic.name = named(line, section, gap);
-        fill(section, line, topic_keys(), topic, written, program);
-        program.mqtt.topics.push_back(topic);
+        fill(section, line, topic_keys(), topic, written, configuration);
+        configuration.mqtt.topics.push_back(topic);
       } else if (gap != std::string::npos && kind == "kind") {
         const std::string of = named(line, section, gap);
-        kind_memory(program, section, written);
+        kind_memory(configuration, section, written);
       } else if (section == "peers") {
-        routers(program.peers.addresses, program.module.routers, written);
+        routers(configuration.peers.addresses, configuration.routing.routers, written);
       } else if (section == "replica") {
-        routers(program.replica.addresses, program.module.routers, written);
+        routers(configuration.replication.addresses, configuration.routing.routers, written);
       } else if (std::ranges::none_of(keys(),
                                       [&, &of = section](const auto& key) { return of == key.section; })) {
         fault(line, "[" + section + "]",
@@ -372,11 +373,12 @@
               "traffic NAME, customer NAME, kind NAME, mqtt-topic NAME");
       }
     }
-    program.module.load_budget.restored_after_restart =
-        !program.replica.listen.empty() && program.module.load_budget.window > Duration::zero();
-    if (faults_.empty()) together(program);
+    configuration.routing.load_budget.restored_after_restart =
+        !configuration.replication.listen.empty() &&
+        configuration.routing.load_budget.window > Duration::zero();
+    if (faults_.empty()) together(configuration);
     if (!faults_.empty()) throw BadFile(std::move(faults_));
-    return program;
+    return configuration;
   }
 
  private:
@@ -456,8 +458,8 @@
 
   template <typename Target>
   void fill(const std::string& section, int line, const std::vector<Key<Target>>& table, Target& target,
-            const Section& written, Program& program, const char* only = nullptr) {
-    program.in_force.push_back("[" + section + "]");
+            const Section& written, DeploymentConfiguration& configuration, const char* only = nullptr) {
+    configuration.in_force.push_back("[" + section + "]");
     for (const Key<Target>& key : table) {
       if (only != nullptr && std::string_view(only) != key.section) continue;
       const auto it = written.find(key.name);
@@ -468,7 +470,7 @@
       const std::string value = it == written.end() ? key.otherwise : it->second.value;
       try {
         key.set(target, value);
-        program.in_force.push_back(std::string(key.name) + " = " + value);
+        configuration.in_force.push_back(std::string(key.name) + " = " + value);
       } catch (const Fault& wrong) {
         fault(it == written.end() ? line : it->second.line, key.name, wrong.what());
       }
@@ -482,7 +484,7 @@
     }
   }
 
-  void fixed(Program& program) {
+  void fixed(DeploymentConfiguration& configuration) {
     std::vector<std::string> order;
     for (const auto& key : keys()) {
       if (std::ranges::find(order, key.section) == order.end()) order.emplace_back(key.section);
@@ -490,18 +492,18 @@
     static const Section nothing;
     for (const std::string& section : order) {
       const auto it = sections_.find(section);
-      fill(section, 0, keys(), program, it == sections_.end() ? nothing : it->second, program,
+      fill(section, 0, keys(), configuration, it == sections_.end() ? nothing : it->second, configuration,
            section.c_str());
     }
   }
 
-  void traffic(Program& program, const std::string& section, const std::string& type,
+  void traffic(DeploymentConfiguration& configuration, const std::string& section, const std::string& type,
                const Section& written) {
     TypeSection row;
     row.type.name = type;
     const int line = section_lines_.at(section);
     const std::size_t before = faults_.size();
-    fill(section, line, type_keys(), row, written, program);
+    fill(section, line, type_keys(), row, written, configuration);
     if (faults_.size() > before) return;
     const auto at = [&](const char* key) {
       const auto it = written.find(key);
@@ -509,36 +511,38 @@
     };
     if (row.type.latency_objective > row.type.deadline_span)
       fault(at("due"), "due", "is longer than the hard limit");
-    if (row.type.deadline_span <= 2 * program.module.tick)
+    if (row.type.deadline_span <= 2 * configuration.routing.tick)
       fault(at("hard-limit"), "hard-limit",
             "is not longer than two ticks: rule 1 (one final answer in time) could not be kept");
     if (row.type.deadline_span > to_duration(hour))
       fault(at("hard-limit"), "hard-limit", "is longer than an hour");
-    if (row.type.retry_safety == RetrySafety::keyed && row.type.deduplication_span <= program.module.tick)
+    if (row.type.retry_safety == RetrySafety::keyed &&
+        row.type.deduplication_span <= configuration.routing.tick)
       fault(
           at("memory-span"), "memory-span",
           "of a numbered type is not longer than the tick: rule 2 (no effect twice) forbids resending then, "
           "so write effect = at-most-once");
     const std::string event_type = row.event_type.empty() ? type : row.event_type;
-    if (!program.type_of_event.emplace(event_type, type).second)
+    if (!configuration.class_of_event_type.emplace(event_type, type).second)
       fault(at("event-type"), "event-type", "'" + event_type + "' belongs to two traffic types");
-    if (row.marks != replica::MarkLevel::none && program.replica.listen.empty())
+    if (row.marks != replica::MarkLevel::none && configuration.replication.listen.empty())
       fault(at("marks"), "marks", "are told or held, but [replica] has no listen");
     if (row.marks != replica::MarkLevel::none && row.type.retry_safety == RetrySafety::idempotent)
       fault(at("marks"), "marks", "of a reissuable type bring nothing: it may run twice");
     if (row.marks != replica::MarkLevel::none &&
-        to_duration(program.replica.mark_life) <= row.type.deadline_span)
+        to_duration(configuration.replication.mark_life) <= row.type.deadline_span)
       fault(line_of("replica", "mark-life"), "mark-life", "is not longer than the hard limit of " + type);
-    if (row.marks != replica::MarkLevel::none) program.replica.marks[type] = row.marks;
-    program.module.request_classes.push_back(row.type);
+    if (row.marks != replica::MarkLevel::none) configuration.replication.marks[type] = row.marks;
+    configuration.routing.request_classes.push_back(row.type);
   }
 
   // Checked only: no decision needs it.
-  void kind_memory(Program& program, const std::string& section, const Section& written) {
+  void kind_memory(DeploymentConfiguration& configuration, const std::string& section,
+                   const Section& written) {
     double memory = 0;
     const std::vector<Key<double>> table{
         {"kind", "memory-mb", nullptr, [](double& m, const std::string& v) { m = number_in(v, 1, 1e9); }}};
-    fill(section, section_lines_.at(section), table, memory, written, program);
+    fill(section, section_lines_.at(section), table, memory, written, configuration);
   }
 
   // router-0 = 127.0.0.1:9100 and so on.
@@ -564,12 +568,12 @@
   }
 
   // What is right alone and wrong together.
-  void together(const Program& program) {
-    const RoutingConfiguration& d = program.module;
+  void together(const DeploymentConfiguration& configuration) {
+    const RoutingConfiguration& d = configuration.routing;
     if (d.router_number >= d.routers)
       fault(line_of("router", "number"), "number", "is not below routers, " + std::to_string(d.routers));
     if (d.request_classes.empty()) fault(0, "[traffic NAME]", "is missing: no event could be taken");
-    if (d.reports.gossip && program.peers.listen.empty())
+    if (d.reports.gossip && configuration.peers.listen.empty())
       fault(line_of("permissions", "peers"), "peers", "is yes but [peers] has no listen");
     if (d.load_budget.window > Duration::zero() && !d.copies.prewarm)
       fault(line_of("rules", "load-window"), "load-window", "rations orders, but [functions] orders is no");
@@ -582,18 +586,20 @@
             "is miss, but without orders nothing would ever be loaded");
     if (d.reports.load_reports == "probe" && !d.reports.probes)
       fault(line_of("servers", "reports"), "reports", "come with probes, but [permissions] probing is no");
-    if (program.replica.held_by >= std::max(d.routers, 1))
+    if (configuration.replication.held_by >= std::max(d.routers, 1))
       fault(line_of("replica", "held-by"), "held-by",
             "is more than there are other routers: no marks could be held");
-    const bool any_held = std::ranges::any_of(
-        program.replica.marks, [](const auto& type) { return type.second == replica::MarkLevel::held; });
-    if (any_held && program.replica.held_by == 0 && (d.routers < 2 || d.routers > replica::most_meeting))
+    const bool any_held = std::ranges::any_of(configuration.replication.marks, [](const auto& type) {
+      return type.second == replica::MarkLevel::held;
+    });
+    if (any_held && configuration.replication.held_by == 0 &&
+        (d.routers < 2 || d.routers > replica::most_meeting))
       fault(line_of("replica", "held-by"), "held-by",
             "must be told: only 2 to " + std::to_string(replica::most_meeting) +
                 " routers can have every two takings of an event meet");
-    if (!program.mqtt.topics.empty() && program.mqtt.address.empty())
+    if (!configuration.mqtt.topics.empty() && configuration.mqtt.address.empty())
       fault(line_of("mqtt", "address"), "address", "of the broker is missing in [mqtt], but topics are told");
-    if (!program.mqtt.address.empty() && program.mqtt.topics.empty())
+    if (!configuration.mqtt.address.empty() && configuration.mqtt.topics.empty())
       fault(line_of("mqtt", "address"), "address", "of a broker is told, but no [mqtt-topic NAME]");
     double shares = 0;
     for (const Tenant& customer : d.tenants) shares += customer.share;
@@ -622,9 +628,11 @@
 BadFile::BadFile(std::vector<std::string> faults)
     : std::runtime_error(joined(faults)), faults_(std::move(faults)) {}
 
-Program read_text(const std::string& path, std::string_view text) { return Reading(path, text).run(); }
+DeploymentConfiguration read_text(const std::string& path, std::string_view text) {
+  return Reading(path, text).run();
+}
 
-Program read_file(const std::string& path) {
+DeploymentConfiguration read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   const std::string text{std::istreambuf_iterator<char>(in), {}};
   if (!in.is_open() || in.bad()) throw BadFile({path + ":0: file: cannot be read"});
--- a/src/deployment/deployment_file.h
+++ b/src/deployment/deployment_file.h
@@ -24,7 +24,7 @@
   std::vector<std::string> faults_;
 };
 
-struct HttpFrontage {
+struct HttpConfiguration {
   std::string listen{};  // an address with a port, or fd:N
   int connections = 0;
   std::uint64_t body = 0;  // bytes
@@ -32,27 +32,27 @@
   double weight = 1;       // beside the MQTT topics
   Time head_within = 0;    // from the first byte of a request to the last
   Time idle = 0;
-  Time wind_up = 0;  // after a stop was asked for
+  Time drain_timeout = 0;  // after a stop was asked for
 };
 
-struct ServerLinks {
+struct ServerConnectionConfiguration {
   int connections = 0;      // to one server
   std::uint64_t reply = 0;  // bytes
 };
 
-struct RosterLink {
+struct DiscoveryConfiguration {
   std::string address{};     // of the roster's source; empty: none
   std::string remembered{};  // file that holds the last complete list; empty: none
   Time retry = 0;
 };
 
-struct PeerLinks {
+struct PeerConfiguration {
   std::string listen{};
   std::vector<std::string> addresses{};  // by router number; this router's own place is not used
 };
 
 // What routers hold together, exchanged between them; no listen: nothing is.
-struct ReplicaLinks {
+struct ReplicationConfiguration {
   std::string listen{};
   std::string deployment{};                           // routers of another are refused
   std::vector<std::string> addresses{};               // by router number; this router's own place is not used
@@ -67,11 +67,11 @@
 struct MqttTopic {
   std::string name{}, filter{}, group{};  // of a shared subscription; empty: none
   int qos = 1;
-  std::string event_type{}, function{}, customer{};  // empty: as the event tells
+  std::string event_type{}, function{}, tenant{};  // empty: as the event tells
   double weight = 1;
 };
 
-struct MqttLinks {
+struct MqttConfiguration {
   std::string address{};  // empty: no broker
   std::string client{};
   int version = 5;  // 4: 3.1.1
@@ -83,23 +83,23 @@
 };
 
 // Everything that is told at start.
-struct Program {
-  RoutingConfiguration module{};
+struct DeploymentConfiguration {
+  RoutingConfiguration routing{};
   std::uint64_t seed = 0;       // 0: drawn at start
   std::size_t descriptors = 0;  // that are free at start; 0: not counted
-  HttpFrontage http{};
-  ServerLinks links{};
-  RosterLink roster{};
-  PeerLinks peers{};
-  ReplicaLinks replica{};
-  MqttLinks mqtt{};
-  core::Level log_least = core::Level::info;
+  HttpConfiguration http{};
+  ServerConnectionConfiguration server_connections{};
+  DiscoveryConfiguration discovery{};
+  PeerConfiguration peers{};
+  ReplicationConfiguration replication{};
+  MqttConfiguration mqtt{};
+  core::Level least_log_level = core::Level::info;
   bool log_json = false;
-  std::map<std::string, std::string> type_of_event{};  // the event's type attribute to traffic type
-  std::vector<std::string> in_force{};                 // the whole file with every default, a line each
+  std::map<std::string, std::string> class_of_event_type{};  // the event's type attribute to traffic type
+  std::vector<std::string> in_force{};                       // the whole file with every default, a line each
 };
 
-Program read_file(const std::string& path);                         // throws BadFile
-Program read_text(const std::string& path, std::string_view text);  // throws BadFile
+DeploymentConfiguration read_file(const std::string& path);                         // throws BadFile
+DeploymentConfiguration read_text(const std::string& path, std::string_view text);  // throws BadFile
 
 }  // namespace rushhill::deployment
--- a/src/emulator/emulation.cpp
+++ b/src/emulator/emulation.cpp
@@ -60,10 +60,10 @@
   const std::string text = standin::deployment_of(
       day_, static_cast<int>(number), seat.http->address().toString(), roster_.address().toString(),
       seat.peers->address().toString(), peers, "", replicas);
-  const deployment::Program program =
+  const deployment::DeploymentConfiguration configuration =
       deployment::read_text("router-" + std::to_string(number) + ".ini", text);
   const std::uint64_t seed = day_.seed * 1'000'003 + number * 1'009 + ++seat.lives;
-  seat.router = std::make_unique<router::RouterProcess>(network_, program, seed, quiet_);
+  seat.router = std::make_unique<router::RouterProcess>(network_, configuration, seed, quiet_);
 }
 
 void Emulation::stop(std::size_t number) {
--- a/src/frontends/mqtt_front.cpp
+++ b/src/frontends/mqtt_front.cpp
@@ -74,7 +74,7 @@
   }
   if (!rule.event_type.empty()) event.type = rule.event_type;
   if (!rule.function.empty()) event.others["function"] = filled(rule.function, levels);
-  if (!rule.customer.empty()) event.others["customer"] = filled(rule.customer, levels);
+  if (!rule.tenant.empty()) event.others["customer"] = filled(rule.tenant, levels);
   return event;
 }
 
@@ -548,7 +548,7 @@
 };
 
 MqttFront::MqttFront(transport::Reactor& reactor, core::Gateway& gateway, const core::RequestReader& intake,
-                     core::EventLog& diary, const deployment::MqttLinks& links, std::uint64_t seed)
+                     core::EventLog& diary, const deployment::MqttConfiguration& links, std::uint64_t seed)
     : reactor_(reactor), gateway_(gateway), intake_(intake), diary_(diary), links_(links) {
   double weights = 0;
   for (const deployment::MqttTopic& rule : links.topics) weights += rule.weight;
--- a/src/frontends/mqtt_front.h
+++ b/src/frontends/mqtt_front.h
@@ -23,7 +23,7 @@
 class MqttFront {
  public:
   MqttFront(transport::Reactor& reactor, core::Gateway& gateway, const core::RequestReader& intake,
-            core::EventLog& diary, const deployment::MqttLinks& links, std::uint64_t seed);
+            core::EventLog& diary, const deployment::MqttConfiguration& links, std::uint64_t seed);
   ~MqttFront();
   MqttFront(const MqttFront&) = delete;
   MqttFront& operator=(const MqttFront&) = delete;
@@ -39,7 +39,7 @@
   core::Gateway& gateway_;
   const core::RequestReader& intake_;
   core::EventLog& diary_;
-  deployment::MqttLinks links_;
+  deployment::MqttConfiguration links_;
   MqttTally tally_;
   bool winding_up_ = false;
   std::vector<std::unique_ptr<Session>> sessions_;
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -35,22 +35,22 @@
 // Descriptors that no client and no server gets: the listeners', the roster's, the broker's for each topic,
 // the links' between routers, the file's of the remembered list or of the counts, and one of a client that is
 // refused. The log's is open before any is counted.
-std::size_t reserve(const deployment::Program& program) {
+std::size_t reserve(const deployment::DeploymentConfiguration& configuration) {
   constexpr std::size_t listener_file_and_refused = 3;
-  const bool links = !program.replica.listen.empty();
-  return listener_file_and_refused + (program.module.reports.gossip ? 1 : 0) +
-         (program.roster.address.empty() ? 0 : 1) +
-         (program.mqtt.address.empty() ? 0 : program.mqtt.topics.size()) +
-         (links ? 2 + most_links_of(program) : 0);
+  const bool links = !configuration.replication.listen.empty();
+  return listener_file_and_refused + (configuration.routing.reports.gossip ? 1 : 0) +
+         (configuration.discovery.address.empty() ? 0 : 1) +
+         (configuration.mqtt.address.empty() ? 0 : configuration.mqtt.topics.size()) +
+         (links ? 2 + most_links_of(configuration) : 0);
 }
-transport::DescriptorShares shares_of(const deployment::Program& program) {
-  if (program.descriptors == 0) return {};
-  return transport::share_descriptors(program.descriptors, reserve(program));
+transport::DescriptorShares shares_of(const deployment::DeploymentConfiguration& configuration) {
+  if (configuration.descriptors == 0) return {};
+  return transport::share_descriptors(configuration.descriptors, reserve(configuration));
 }
-deployment::Program bounded(deployment::Program program) {
-  const auto clients = static_cast<int>(std::min<std::size_t>(shares_of(program).clients, 1'000'000));
-  if (clients > 0) program.http.connections = std::min(program.http.connections, clients);
-  return program;
+deployment::DeploymentConfiguration bounded(deployment::DeploymentConfiguration configuration) {
+  const auto clients = static_cast<int>(std::min<std::size_t>(shares_of(configuration).clients, 1'000'000));
+  if (clients > 0) configuration.http.connections = std::min(configuration.http.connections, clients);
+  return configuration;
 }
 
 membership::RosterWord whole_list(const membership::Remembered& remembered) {
@@ -65,83 +65,87 @@
 
 }  // namespace
 
-RouterProcess::RouterProcess(transport::Reactor& reactor, const deployment::Program& program,
-                             std::uint64_t seed, core::EventLog& diary, const StorageAccess& storage)
-    : reactor_(reactor), program_(bounded(program)), server_connections_(shares_of(program).servers),
-      diary_(diary), pool_(reactor,
-                           {.router = program.module.router_number,
-                            .connections = program.links.connections,
-                            .total = server_connections_,
-                            .connect_limit = to_ticks(program.module.connect_timeout),
-                            .idle = to_ticks(program.module.connection_idle_timeout),
-                            .reply = program.links.reply},
-                           diary),
-      peers_(!program.module.reports.gossip
+RouterProcess::RouterProcess(transport::Reactor& reactor,
+                             const deployment::DeploymentConfiguration& configuration, std::uint64_t seed,
+                             core::EventLog& diary, const StorageAccess& storage)
+    : reactor_(reactor), configuration_(bounded(configuration)),
+      server_connections_(shares_of(configuration).servers), diary_(diary),
+      pool_(reactor,
+            {.router = configuration.routing.router_number,
+             .connections = configuration.server_connections.connections,
+             .total = server_connections_,
+             .connect_limit = to_ticks(configuration.routing.connect_timeout),
+             .idle = to_ticks(configuration.routing.connection_idle_timeout),
+             .reply = configuration.server_connections.reply},
+            diary),
+      peers_(!configuration.routing.reports.gossip
                  ? nullptr
-                 : std::make_unique<transport::PeerLinks>(
-                       reactor, program.peers.listen, program.module.router_number, program.peers.addresses,
-                       [this](int router, const std::string& bytes) {
-                         gateway_.gossip_received(router, bytes);
-                       })),
-      shared_(program.replica.listen.empty()
+                 : std::make_unique<transport::PeerLinks>(reactor, configuration.peers.listen,
+                                                          configuration.routing.router_number,
+                                                          configuration.peers.addresses,
+                                                          [this](int router, const std::string& bytes) {
+                                                            gateway_.gossip_received(router, bytes);
+                                                          })),
+      shared_(configuration.replication.listen.empty()
                   ? nullptr
                   : std::make_unique<SharedState>(
-                        reactor, program, seed, diary,
+                        reactor, configuration, seed, diary,
                         [this](double orders) { gateway_.load_budget_restored(orders); },
                         [this](RequestId event, core::AdmissionVerdict how) {
                           gateway_.admission_decided(event, how);
                         })),
-      roster_(program.roster.address.empty()
+      roster_(configuration.discovery.address.empty()
                   ? nullptr
                   : std::make_unique<membership::RosterClient>(
-                        reactor, transport::numeric_address(program.roster.address),
-                        program.module.router_number, program.roster.retry, seed, diary,
+                        reactor, transport::numeric_address(configuration.discovery.address),
+                        configuration.routing.router_number, configuration.discovery.retry, seed, diary,
                         [this](EndpointListForm form, const std::vector<core::EndpointListEntry>& entries) {
                           gateway_.endpoints_updated(form, entries);
                           if (form == EndpointListForm::failed) return;
                           front_.ready(true);
                           if (remembered_list_) remembered_list_->changed();
                         })),
-      remembered_list_(!roster_ || program.roster.remembered.empty()
+      remembered_list_(!roster_ || configuration.discovery.remembered.empty()
                            ? nullptr
                            : std::make_unique<RememberedEndpointList>(
-                                 reactor, diary, storage, program.roster.remembered, seed,
+                                 reactor, diary, storage, configuration.discovery.remembered, seed,
                                  [this] {
                                    return EndpointListSnapshot{.list = whole_list(roster_->remembered()),
                                                                .wall_offset = starts_as_told};
                                  })),
-      gateway_(program.module, seed,
+      gateway_(configuration.routing, seed,
                {.clock = reactor,
                 .upstream = pool_,
                 .peers = peers_ ? static_cast<core::PeerMessenger&>(*peers_) : no_peers,
                 .endpoint_lists = roster_ ? static_cast<core::EndpointListSource&>(*roster_) : no_roster,
                 .log = diary,
                 .deduplication = shared_.get()}),
-      intake_(program.module, program.type_of_event),
+      intake_(configuration.routing, configuration.class_of_event_type),
       front_(reactor, gateway_, intake_, diary,
-             {.connections = program_.http.connections,
-              .body = program.http.body,
-              .batch = program.http.batch,
-              .request_within = program.http.head_within,
-              .idle = program.http.idle,
-              .weight = program.http.weight,
-              .come_back = program.module.retries.retry_after
-                               ? to_ticks(program.module.retries.longest_retry_after)
+             {.connections = configuration_.http.connections,
+              .body = configuration.http.body,
+              .batch = configuration.http.batch,
+              .request_within = configuration.http.head_within,
+              .idle = configuration.http.idle,
+              .weight = configuration.http.weight,
+              .come_back = configuration.routing.retries.retry_after
+                               ? to_ticks(configuration.routing.retries.longest_retry_after)
                                : 0}) {
   pool_.report_to(gateway_);
   if (shared_) front_.standing([this] { return shared_->standing(); });
   if (remembered_list_) front_.more_metrics([this] { return to_prometheus(remembered_list_->writes()); });
   membership::RosterWord recalled =
-      read_remembered_list(*storage.files, program.roster.remembered, starts_as_told, diary);
+      read_remembered_list(*storage.files, configuration.discovery.remembered, starts_as_told, diary);
   membership::StartTimeTranslator unfollowed;
   membership::StartTimeTranslator& start_times = roster_ ? roster_->start_times() : unfollowed;
   start_times.translate_snapshot(membership::read_clocks(reactor), membership::latest_start(recalled.entries),
                                  recalled.form, recalled.entries);
   gateway_.endpoints_updated(recalled.form, recalled.entries);
-  if (roster_ && !program.module.endpoints_on_request) roster_->watch(true);
-  if (!program.mqtt.address.empty())
-    mqtt_ = std::make_unique<frontends::MqttFront>(reactor, gateway_, intake_, diary, program.mqtt, seed);
-  const std::string& where = program.http.listen;
+  if (roster_ && !configuration.routing.endpoints_on_request) roster_->watch(true);
+  if (!configuration.mqtt.address.empty())
+    mqtt_ =
+        std::make_unique<frontends::MqttFront>(reactor, gateway_, intake_, diary, configuration.mqtt, seed);
+  const std::string& where = configuration.http.listen;
   address_ = where.starts_with("fd:") ? front_.listen_inherited(std::stoi(where.substr(3)))
                                       : front_.listen(transport::numeric_address(where), true);
   diary.write(Level::info, "serving", {{"address", address_.toString()}, {"seed", std::to_string(seed)}});
@@ -151,7 +155,7 @@
 
 void RouterProcess::wind_up(std::function<void()> ended) {
   if (winding_up()) return;
-  end_by_ = reactor_.now() + std::max<Time>(program_.http.wind_up, 1);
+  end_by_ = reactor_.now() + std::max<Time>(configuration_.http.drain_timeout, 1);
   diary_.write(Level::info, "winding up", {{"open", std::to_string(gateway_.open_requests())}});
   front_.wind_up();
   if (mqtt_) mqtt_->wind_up();
@@ -171,7 +175,7 @@
   const core::Counters& tally = gateway_.tally();
   rusage used{};
   getrusage(RUSAGE_SELF, &used);
-  return nlohmann::json{{"router", program_.module.router_number},
+  return nlohmann::json{{"router", configuration_.routing.router_number},
                         {"taken", tally.accepted},
                         {"honoured", tally.succeeded},
                         {"shed", tally.rejected},
--- a/src/router/router_process.h
+++ b/src/router/router_process.h
@@ -24,8 +24,8 @@
 class RouterProcess {
  public:
   // Listens at once; throws where an address cannot be had.
-  RouterProcess(transport::Reactor& reactor, const deployment::Program& program, std::uint64_t seed,
-                core::EventLog& diary, const StorageAccess& storage = {});
+  RouterProcess(transport::Reactor& reactor, const deployment::DeploymentConfiguration& configuration,
+                std::uint64_t seed, core::EventLog& diary, const StorageAccess& storage = {});
   ~RouterProcess();
   RouterProcess(const RouterProcess&) = delete;
   RouterProcess& operator=(const RouterProcess&) = delete;
@@ -45,7 +45,8 @@
   void wait_for_end(const std::function<void()>& ended);
 
   transport::Reactor& reactor_;
-  const deployment::Program program_;     // with no more connections than there are descriptors for
+  const deployment::DeploymentConfiguration
+      configuration_;                     // with no more connections than there are descriptors for
   const std::size_t server_connections_;  // 0: no bound
   core::EventLog& diary_;
   transport::ServerPool pool_;
--- a/src/router/shared_state.cpp
+++ b/src/router/shared_state.cpp
@@ -19,25 +19,28 @@
 
 Time ration_life(Time window) { return window + window / 100 + drift; }
 
-Time mark_life(const deployment::ReplicaLinks& of) { return of.mark_life + of.mark_life / 100 + drift; }
+Time mark_life(const deployment::ReplicationConfiguration& of) {
+  return of.mark_life + of.mark_life / 100 + drift;
+}
 
 // So many that two takings of one event, each with its holders, have a router in common.
-int others_of(const deployment::Program& program) {
-  return program.replica.held_by > 0 ? program.replica.held_by : program.module.routers / 2;
+int others_of(const deployment::DeploymentConfiguration& configuration) {
+  return configuration.replication.held_by > 0 ? configuration.replication.held_by
+                                               : configuration.routing.routers / 2;
 }
 
-replica::Bounds bounds_of(const deployment::Program& program) {
-  const auto routers = static_cast<std::size_t>(std::max(program.module.routers, 1));
+replica::Bounds bounds_of(const deployment::DeploymentConfiguration& configuration) {
+  const auto routers = static_cast<std::size_t>(std::max(configuration.routing.routers, 1));
   replica::Bounds bounds;
   bounds.life.fill(word_life);
   bounds.life[static_cast<std::size_t>(replica::Kind::ration)] =
-      ration_life(to_ticks(program.module.load_budget.window));
+      ration_life(to_ticks(configuration.routing.load_budget.window));
   bounds.own.fill(own_words);
   bounds.together.fill(own_words * routers);
   const auto marks = static_cast<std::size_t>(replica::Kind::mark);
-  bounds.life[marks] = mark_life(program.replica);
-  bounds.own[marks] = program.replica.most_marks;
-  bounds.together[marks] = program.replica.most_marks * routers;
+  bounds.life[marks] = mark_life(configuration.replication);
+  bounds.own[marks] = configuration.replication.most_marks;
+  bounds.together[marks] = configuration.replication.most_marks * routers;
   bounds.streams = replica::kinds * routers * lives_kept;
   bounds.horizon = 2 * *std::ranges::max_element(bounds.life);
   return bounds;
@@ -52,27 +55,29 @@
 
 }  // namespace
 
-std::size_t most_links_of(const deployment::Program& program) {
-  const int routers = program.module.routers;
+std::size_t most_links_of(const deployment::DeploymentConfiguration& configuration) {
+  const int routers = configuration.routing.routers;
   return replicating::most_links(routers, routers <= replica::most_meeting);
 }
 
-SharedState::SharedState(transport::Reactor& reactor, const deployment::Program& program, std::uint64_t seed,
+SharedState::SharedState(transport::Reactor& reactor,
+                         const deployment::DeploymentConfiguration& configuration, std::uint64_t seed,
                          core::EventLog& diary, RationKnown known, Marked marked)
-    : reactor_(reactor), diary_(diary), told_(program.replica), routers_(program.module.routers),
-      others_(others_of(program)), window_(to_ticks(program.module.load_budget.window)), born_(reactor.now()),
+    : reactor_(reactor), diary_(diary), told_(configuration.replication),
+      routers_(configuration.routing.routers), others_(others_of(configuration)),
+      window_(to_ticks(configuration.routing.load_budget.window)), born_(reactor.now()),
       known_(std::move(known)), marked_(std::move(marked)),
-      copy_({program.module.router_number, incarnation_of(seed, reactor.clock_ns())}, bounds_of(program),
-            *this),
+      copy_({configuration.routing.router_number, incarnation_of(seed, reactor.clock_ns())},
+            bounds_of(configuration), *this),
       marks_(copy_, routers_, others_, *this),
       links_(reactor,
-             {.listen = program.replica.listen,
-              .addresses = program.replica.addresses,
-              .hello = {.deployment = program.replica.deployment,
-                        .name = "router-" + std::to_string(program.module.router_number),
+             {.listen = configuration.replication.listen,
+              .addresses = configuration.replication.addresses,
+              .hello = {.deployment = configuration.replication.deployment,
+                        .name = "router-" + std::to_string(configuration.routing.router_number),
                         .writer = copy_.me()},
               .everybody = routers_ <= replica::most_meeting,
-              .most_links = most_links_of(program),
+              .most_links = most_links_of(configuration),
               .heard = [this] { marks_.heard(); }},
              copy_, diary) {
   ration_known_ = window_ <= 0;
--- a/src/router/shared_state.h
+++ b/src/router/shared_state.h
@@ -17,7 +17,7 @@
 namespace rushhill::router {
 
 // Links to and from other routers, at most.
-std::size_t most_links_of(const deployment::Program& program);
+std::size_t most_links_of(const deployment::DeploymentConfiguration& configuration);
 
 class SharedState final : public core::DeduplicationLog, replica::Findings, replica::Taker {
  public:
@@ -25,8 +25,8 @@
   using Marked = std::function<void(RequestId event, core::AdmissionVerdict how)>;
   // Listens at once; throws where the address cannot be had. `known` is called once, where orders are
   // rationed; `marked` for each event that waits for its mark.
-  SharedState(transport::Reactor& reactor, const deployment::Program& program, std::uint64_t seed,
-              core::EventLog& diary, RationKnown known, Marked marked);
+  SharedState(transport::Reactor& reactor, const deployment::DeploymentConfiguration& configuration,
+              std::uint64_t seed, core::EventLog& diary, RationKnown known, Marked marked);
   ~SharedState() override;
 
   bool prepare_prewarm() override;
@@ -53,7 +53,7 @@
 
   transport::Reactor& reactor_;
   core::EventLog& diary_;
-  const deployment::ReplicaLinks told_;
+  const deployment::ReplicationConfiguration told_;
   const int routers_, others_;  // in all; that must hold a mark
   const Time window_, born_;
   RationKnown known_;
--- a/tests/deployment/deployment_file_test.cpp
+++ b/tests/deployment/deployment_file_test.cpp
@@ -110,19 +110,20 @@
 }
 
 TEST(DeploymentFile, WhatIsInForceIsAFileThatMeansTheSame) {
-  const Program first = read_text("f", type + "[customer a]\nshare = 0.25\n[router]\ntick = 33ms\n");
+  const DeploymentConfiguration first =
+      read_text("f", type + "[customer a]\nshare = 0.25\n[router]\ntick = 33ms\n");
   std::string printed;
   for (const std::string& line : first.in_force) printed += line + "\n";
-  const Program second = read_text("g", printed);
+  const DeploymentConfiguration second = read_text("g", printed);
   EXPECT_EQ(first.in_force, second.in_force);
-  EXPECT_EQ(second.module.tick, 330);
-  EXPECT_EQ(second.module.tenants.at(0).share, 0.25);
-  EXPECT_EQ(second.module.request_classes.at(0).latency_objective, 7'500);
+  EXPECT_EQ(second.routing.tick, 330);
+  EXPECT_EQ(second.routing.tenants.at(0).share, 0.25);
+  EXPECT_EQ(second.routing.request_classes.at(0).latency_objective, 7'500);
 }
 
 TEST(DeploymentFile, ATrafficTypeThatTellsNoEffectIsOfTheStrictestKind) {
   EXPECT_EQ(
-      read_text("f", "[traffic a]\ndue = 1s\nhard-limit = 2s\n").module.request_classes.at(0).retry_safety,
+      read_text("f", "[traffic a]\ndue = 1s\nhard-limit = 2s\n").routing.request_classes.at(0).retry_safety,
       RetrySafety::at_most_once);
 }
 
--- a/tests/fuzz/deployment_fuzz.cpp
+++ b/tests/fuzz/deployment_fuzz.cpp
@@ -11,7 +11,7 @@
   using namespace rushhill;
   const std::string text(reinterpret_cast<const char*>(data), size);
   try {
-    const deployment::Program first = deployment::read_text("f", text);
+    const deployment::DeploymentConfiguration first = deployment::read_text("f", text);
     std::string printed;
     for (const std::string& line : first.in_force) printed += line + "\n";
     if (deployment::read_text("g", printed).in_force != first.in_force) std::abort();
