--- a/tests/deployment/deployment_file_test.cpp
+++ b/tests/deployment/deployment_file_test.cpp
@@ -116,9 +116,9 @@
   for (const std::string& line : first.in_force) printed += line + "\n";
   const DeploymentConfiguration second = read_text("g", printed);
   EXPECT_EQ(first.in_force, second.in_force);
-  EXPECT_EQ(second.routing.tick, 330);
+  EXPECT_EQ(second.routing.tick, to_duration(330));
   EXPECT_EQ(second.routing.tenants.at(0).share, 0.25);
-  EXPECT_EQ(second.routing.request_classes.at(0).latency_objective, 7'500);
+  EXPECT_EQ(second.routing.request_classes.at(0).latency_objective, to_duration(7'500));
 }
 
 TEST(DeploymentFile, ATrafficTypeThatTellsNoEffectIsOfTheStrictestKind) {
