--- a/src/frontends/mqtt_front.h
+++ b/src/frontends/mqtt_front.h
@@ -11,6 +11,7 @@
 #include "core/gateway.h"
 #include "core/intake.h"
 #include "deployment/deployment_file.h"
+#include "mqtt/packets.h"
 #include "transport/reactor.h"
 
 namespace rushhill::frontends {
--- a/tests/deployment/ini_file_test.cpp
+++ b/tests/deployment/ini_file_test.cpp
@@ -20,7 +20,7 @@
 
 TEST(IniFile, LinesThatCannotBeReadAreFaultsAndTheRestIsRead) {
   FaultCollector faults("f");
-  const std::string text("x = 1\n[a]\n y = 1\nz\nw = \0\nv = 1\nv = 2\n", 36);
+  const std::string text("x = 1\n[a]\n y = 1\nz\nw = \0\nv = 1\nv = 2\n", 37);
   const Sections sections = read_sections(text, faults);
   ASSERT_EQ(faults.faults().size(), 5U);
   EXPECT_EQ(to_text(faults.faults()[0]), "f:1: x: stands before the first [section]");
@@ -31,6 +31,15 @@
   EXPECT_EQ(sections.at("a").entries.size(), 1U);
 }
 
+// inih skips the mark, so it finds a head where the line does not begin with one.
+TEST(IniFile, ASectionBehindAByteOrderMarkIsOneLikeOthers) {
+  FaultCollector faults("f");
+  const Sections sections = read_sections("\xEF\xBB\xBF[a=b]\nx = 1\n", faults);
+  ASSERT_TRUE(sections.contains("a=b"));
+  EXPECT_GT(sections.at("a=b").line, 0);
+  EXPECT_EQ(line_of(sections, {"a=b", "x"}), 2);
+}
+
 TEST(IniFile, FaultsBeyondFiftyAreDropped) {
   FaultCollector faults("f");
   std::string text;
