--- a/src/command/node.cpp
+++ b/src/command/node.cpp
@@ -15,41 +15,64 @@
 namespace rushhill::command {
 namespace {
 
-volatile std::sig_atomic_t asked_to_end = 0, asked_to_read = 0;
-void on_end(int) { asked_to_end = 1; }
-void on_read(int) { asked_to_read = 1; }
+constexpr const char* configuration_file_variable = "PROXY_CONFIG";
 
-}  // namespace
+volatile std::sig_atomic_t stop_requested = 0;
+volatile std::sig_atomic_t reload_requested = 0;
+void on_stop_signal(int /*number*/) { stop_requested = 1; }
+void on_reload_signal(int /*number*/) { reload_requested = 1; }
 
-int node() {
-  // Before anything else: a signal that comes early is kept until the loop runs.
+void handle_signals() {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGTERM, on_end);
-  std::signal(SIGINT, on_end);
-  std::signal(SIGHUP, on_read);
-  const char* path = std::getenv("PROXY_CONFIG");
+  std::signal(SIGTERM, on_stop_signal);
+  std::signal(SIGINT, on_stop_signal);
+  std::signal(SIGHUP, on_reload_signal);
+}
+
+std::string configuration_path() {
+  const char* path = std::getenv(configuration_file_variable);
   if (path == nullptr)
     throw std::invalid_argument("PROXY_CONFIG is not set: it names the configuration file");
-  node::Configuration told = node::read_configuration_file(path);
-  log::EventLog diary(log::Form::people, core::Level::info, told.name.empty() ? "node" : told.name);
+  return path;
+}
+
+void log_end(core::EventLog& event_log, node::Node& router) {
+  event_log.write(
+      core::Level::info, "ended",
+      {{"open", std::to_string(router.gateway().open_requests())},
+       {"requests", frontends::to_text(router.front().counts())},
+       {"attempts_after_cancel", std::to_string(router.gateway().tally().attempts_after_cancel)}});
+}
+
+ExitCode run_node() {
+  handle_signals();  // before anything else: a signal that comes early is kept until the loop runs
+  const std::string path = configuration_path();
+  node::Configuration configuration = node::read_configuration_file(path);
+  log::EventLog event_log(log::Form::people, core::Level::info,
+                          configuration.name.empty() ? "node" : configuration.name);
   transport::Loop reactor;
-  told.sockets = transport::descriptors_left(told.sockets);
-  node::Node router(reactor, told, diary);
-  node::Reloader reloader(reactor, path, diary,
+  configuration.sockets = transport::descriptors_left(configuration.sockets);
+  node::Node router(reactor, configuration, event_log);
+  node::Reloader reloader(reactor, path, event_log,
                           [&](const node::Configuration& changed) { router.reconfigure(changed); });
   reactor.every_turn([&] {
-    if (asked_to_end != 0) router.wind_up([&] { reactor.halt(); });
-    if (asked_to_read == 0) return;
-    asked_to_read = 0;
+    if (stop_requested != 0) router.wind_up([&] { reactor.halt(); });
+    if (reload_requested == 0) return;
+    reload_requested = 0;
     reloader.reload();
   });
   reactor.run();
-  diary.write(core::Level::info, "ended",
-              {{"open", std::to_string(router.gateway().open_requests())},
-               {"requests", frontends::to_text(router.front().counts())},
-               {"attempts_after_cancel", std::to_string(router.gateway().tally().attempts_after_cancel)}});
+  log_end(event_log, router);
   reactor.forget_all();
-  return 0;
+  return ExitCode::success;
+}
+
+}  // namespace
+
+Command add_node(CLI::App& app) {
+  CLI::App* node_app = app.add_subcommand(
+      "node", "run one router on the platform until SIGTERM, as the file that PROXY_CONFIG names tells");
+  return {.app = node_app, .run = run_node, .descriptors = DescriptorLimit::kept};
 }
 
 }  // namespace rushhill::command
--- a/src/command/node.h
+++ b/src/command/node.h
@@ -1,9 +1,10 @@
-// `rushhill node`: one router on the platform, in the foreground until SIGTERM.
+// `rushhill node`: one router on the platform, in the foreground until SIGTERM; SIGHUP reloads its file.
 #pragma once
 
+#include "command/command.h"
+
 namespace rushhill::command {
 
-// The exit code; throws what main turns into a plain line.
-int node();
+Command add_node(CLI::App& app);
 
 }  // namespace rushhill::command
--- a/src/command/send.h
+++ b/src/command/send.h
@@ -1,16 +1,10 @@
-// `rushhill send`: one event by hand.
+// `rushhill send`: one event by hand. Its answer is printed.
 #pragma once
 
-#include <string>
+#include "command/command.h"
 
 namespace rushhill::command {
 
-struct Sending {
-  std::string to{}, type{}, function{}, customer{}, id{}, source = "/rushhill/send", data{};
-  int within_ms = 5000;
-};
-
-// Prints the answer; 0 honoured, 1 not, 4 no answer.
-int send(const Sending& sending);
+Command add_send(CLI::App& app);
 
 }  // namespace rushhill::command
--- a/src/command/serve.h
+++ b/src/command/serve.h
@@ -1,11 +1,10 @@
-// `rushhill serve`: one router, one process, one thread.
+// `rushhill serve`: one router, one process, one thread, until SIGTERM.
 #pragma once
 
-#include "deployment/deployment_file.h"
+#include "command/command.h"
 
 namespace rushhill::command {
 
-// Until a signal asks for the end; 0 when all was wound up in time, 3 when events were still open then.
-int serve(const deployment::DeploymentConfiguration& configuration, const std::string& tally_path);
+Command add_serve(CLI::App& app);
 
 }  // namespace rushhill::command
