--- a/src/frontends/eviction.h
+++ b/src/frontends/eviction.h
@@ -1,4 +1,4 @@
-// Which connection a front closes to take another one, where it holds as many as it may.
+// Which connection a full frontend closes to accept another one.
 #pragma once
 
 #include <algorithm>
@@ -8,103 +8,107 @@
 #include <utility>
 #include <vector>
 
-#include "core/timer_service.h"
+#include "frontends/connection_activity.h"
 
 namespace rushhill::frontends {
 
-// What a connection is held for; what stands first goes first, and of equal ones the one that has been so for
-// longest. One with a request that awaits its answer never goes.
-enum class Holding { nothing, idle, half_request, just_come, unread_answer };
-struct Rank {
-  Holding holding = Holding::idle;
-  Time since = 0;
-};
-
-constexpr Time come_for =
-    500;  // tenths of a millisecond; its first request, or the rest of one, is on its way
-constexpr Time unread_for = 2'000;     // likewise; an answer is still being read
-constexpr Time looked_again = 100;     // likewise; all were at work
-constexpr Time refused_after = 3'000;  // likewise; as long as all are at work, what comes stands in the queue
-constexpr Time remembered_for = 500;   // likewise; what a scan found, as long as a silent one has just come
-constexpr std::size_t scan_factor = 8;       // connections scanned for each that goes, however many there are
-constexpr std::size_t passing_factor = 256;  // likewise, where all that could go have just come or are read
-constexpr std::size_t spare_candidates = 16;  // known beyond that, as some may have been written to
+// Times in tenths of a millisecond.
+constexpr Time unread_answer_grace = 2'000;  // an answer is still being read for so long
+constexpr Time rescan_interval = 100;        // after a scan that found nothing to evict
+constexpr Time refuse_after = 3'000;         // full for so long, new connections are refused
+constexpr Time candidates_valid_for = 500;   // a silent client's connection is found that soon
+constexpr std::size_t scan_factor = 8;       // connections scanned for each candidate, however many there are
+constexpr std::size_t reluctant_factor = 256;  // likewise, where all candidates are in grace or being read
+constexpr std::size_t spare_candidates = 16;   // beyond that, as some may have become active again
 
-// Connection: holds(now), nothing where it is at work, and untouched(), whether nothing stands to be read.
+// Chooses the connections to evict. `Connection` has eviction_rank(now), nothing where an answer is owed, and
+// has_no_unread_input(), whether nothing has come on it that has not been read.
 template <typename Connection>
 class Eviction {
  public:
-  // Whether what stands in the listener's queue is to be taken: where the front holds as many as it may, one
-  // goes for it. While none can go it waits there; where that lasts it is taken, to be refused.
-  template <typename Connections, typename Forget>
-  bool room(const Connections& connections, std::size_t most, Time now, const Forget& forget) {
-    if (connections.size() >= most) {
-      const auto gone = next(connections, now);
-      if (!gone) {
+  // `limit`: connections that the frontend may hold.
+  explicit Eviction(std::size_t limit) : limit_(limit) {}
+
+  // Whether a connection that waits in the listener's queue is to be accepted. In a full frontend one is
+  // evicted for it by a call of `evict`. While none can be evicted it waits in the queue; where that lasts,
+  // it is to be accepted, and refused.
+  template <typename Connections, typename Evict>
+  bool make_room(const Connections& connections, Time now, const Evict& evict) {
+    if (connections.size() >= limit_) {
+      const auto evicted = next(connections, now);
+      if (!evicted) {
         if (full_since_ == 0) full_since_ = now;
-        return now - full_since_ >= refused_after;
+        return now - full_since_ >= refuse_after;
       }
-      forget(*gone);
+      evict(*evicted);
     }
     full_since_ = 0;
     return true;
   }
 
  private:
-  // Where there are many the next few are found in one scan, so that a flood at the limit costs a turn of the
-  // loop no more where the limit is high.
+  using Candidate = std::pair<EvictionRank, std::weak_ptr<Connection>>;
+
+  // One scan finds the next few, so that a flood of connections at a high limit costs an iteration of the
+  // loop no more than at a low one.
   template <typename Connections>
   std::shared_ptr<Connection> next(const Connections& connections, Time now) {
-    if (now - scanned_at_ >= remembered_for) candidates_.clear();
-    if (auto connection = take(now)) return connection;
-    if (now < look_at_) return nullptr;
+    if (now - scanned_at_ >= candidates_valid_for) candidates_.clear();
+    if (auto connection = pop_candidate(now)) return connection;
+    if (now < next_scan_at_) return nullptr;
     scan(connections, now);
-    auto connection = take(now);
-    forget_passing(connections.size() / passing_factor);
-    if (!connection) look_at_ = now + looked_again;
+    auto connection = pop_candidate(now);
+    drop_reluctant(connections.size() / reluctant_factor);
+    if (!connection) next_scan_at_ = now + rescan_interval;
     return connection;
   }
   template <typename Connections>
   void scan(const Connections& connections, Time now) {
     scanned_at_ = now;
     for (const auto& [key, connection] : connections) {
-      const std::optional<Rank> rank = connection->holds(now);
-      if (rank && (rank->holding != Holding::unread_answer || now - rank->since >= unread_for))
+      const std::optional<EvictionRank> rank = connection->eviction_rank(now);
+      if (rank && (rank->held_for != HeldFor::unread_answer || now - rank->since >= unread_answer_grace))
         candidates_.emplace_back(*rank, connection);
     }
     const std::size_t wanted = 1 + connections.size() / scan_factor + spare_candidates;
     const std::size_t known = std::min(wanted, candidates_.size());
-    std::ranges::partial_sort(candidates_, candidates_.begin() + offset(known), goes_earlier);
+    std::ranges::partial_sort(candidates_, candidates_.begin() + offset(known), is_evicted_before);
     candidates_.resize(known);
     std::ranges::reverse(candidates_);
   }
-  // Who has just come, or still reads, goes only where nobody else can, which holds for the next few at most.
-  void forget_passing(std::size_t few) {
-    const auto settled = static_cast<std::size_t>(std::ranges::count_if(
-        candidates_, [](const Candidate& one) { return one.first.holding < Holding::just_come; }));
+  // A connection in its grace period, or whose answer is being read, is evicted only where no other can be;
+  // that holds for the next few at most.
+  void drop_reluctant(std::size_t few) {
+    const auto settled =
+        static_cast<std::size_t>(std::ranges::count_if(candidates_, [](const Candidate& candidate) {
+          return candidate.first.held_for < HeldFor::grace_period;
+        }));
     const std::size_t kept = std::min(std::max(few, settled), candidates_.size());
     candidates_.erase(candidates_.begin(), candidates_.end() - offset(kept));
   }
-  // The first to go stands at the back. One that has been used since it was looked at stays.
-  std::shared_ptr<Connection> take(Time now) {
+  // The next to be evicted stands at the back. One that has been used since the scan stays open.
+  std::shared_ptr<Connection> pop_candidate(Time now) {
     while (!candidates_.empty()) {
       const auto [rank, candidate] = candidates_.back();
       candidates_.pop_back();
       auto connection = candidate.lock();
-      const auto still = connection ? connection->holds(now) : std::nullopt;
-      if (still && still->since == rank.since && connection->untouched()) return connection;
+      const auto current = connection ? connection->eviction_rank(now) : std::nullopt;
+      if (current && current->since == rank.since && connection->has_no_unread_input()) return connection;
     }
     return nullptr;
   }
 
-  using Candidate = std::pair<Rank, std::weak_ptr<Connection>>;
-  static bool goes_earlier(const Candidate& a, const Candidate& b) {
-    return std::pair(a.first.holding, a.first.since) < std::pair(b.first.holding, b.first.since);
+  static bool is_evicted_before(const Candidate& left, const Candidate& right) {
+    return std::pair(left.first.held_for, left.first.since) <
+           std::pair(right.first.held_for, right.first.since);
   }
   static std::ptrdiff_t offset(std::size_t count) { return static_cast<std::ptrdiff_t>(count); }
 
+  std::size_t limit_;
   std::vector<Candidate> candidates_;
-  Time scanned_at_ = 0, look_at_ = 0, full_since_ = 0;
+  Time scanned_at_ = 0;
+  Time next_scan_at_ = 0;
+  Time full_since_ = 0;  // 0: not full
 };
 
 }  // namespace rushhill::frontends
--- a/src/frontends/fastcgi_front.h
+++ b/src/frontends/fastcgi_front.h
@@ -1,8 +1,7 @@
-// The platform's clients over FastCGI: turns requests into events for the core and outcomes into answers.
-// Decides nothing about servers. `docs/platform.md` is what is spoken.
+// The platform's clients over FastCGI: hands their requests to the gateway and answers with the outcomes.
+// Decides nothing about servers. docs/platform.md describes the protocol.
 #pragma once
 
-#include <map>
 #include <memory>
 #include <set>
 #include <string>
@@ -10,72 +9,64 @@
 #include "core/event_log.h"
 #include "core/gateway.h"
 #include "fastcgi/records.h"
-#include "frontends/eviction.h"
+#include "frontends/connection_table.h"
 #include "frontends/request_accounting.h"
-#include "routing/configuration.h"
-#include "transport/listener.h"
-#include "transport/numbered.h"
 
 namespace rushhill::frontends {
 
+// What a FastCGI frontend's clients may use.
 struct FastCgiRules {
   std::size_t connections = 256;    // at once
   std::size_t unread = 256 * 1024;  // bytes of answers that a client has not read
   fastcgi::Bounds bounds{};
 };
 
-// What a request says of its event, or why it can't be one: the HTTP status and the reason.
-struct Asked {
-  RoutingRequest told{};
-  events::CloudEvent message{};
-  int status = 0;  // 0: it can be taken
-  std::string reason{};
-};
-Asked read_request(const RoutingConfiguration& deployment, fastcgi::Request request);
-
+// The FastCGI frontend of one router. What it is handed has to outlive it.
 class FastCgiFront {
  public:
-  FastCgiFront(transport::Reactor& reactor, core::Gateway& gateway, core::EventLog& diary,
+  FastCgiFront(transport::Reactor& reactor, core::Gateway& gateway, core::EventLog& log,
                const FastCgiRules& rules);
   ~FastCgiFront();
   FastCgiFront(const FastCgiFront&) = delete;
   FastCgiFront& operator=(const FastCgiFront&) = delete;
+  FastCgiFront(FastCgiFront&&) = delete;
+  FastCgiFront& operator=(FastCgiFront&&) = delete;
 
+  // Accepts connections at the address (port 0: the system chooses); returns where it listens.
   transport::Address listen(const transport::Address& address);
-  void ready(bool on) { ready_ = on; }  // what /alive says
-  // Takes what has come to the listener until now, and closes it.
+  // What the health check is answered.
+  void ready(bool on) { ready_ = on; }
+  // Accepts what has come to the listener until now, and closes it.
   void stop_listening();
   std::size_t connections() const { return connections_.size(); }
   const RequestCounts& counts() const { return counts_; }
-  std::size_t open_requests() const;  // counted over the connections: whole, and no answer written
-  // Whether nothing of a request stands half read or unread, and every answer has left.
+  // Complete requests without an answer, counted over the connections.
+  std::size_t open_requests() const;
+  // Whether no request stands partly read or unread, and every answer has been handed to the system.
   bool all_sent() const;
-  // Every request read from now on is answered by then, with less time than it asks for where need be.
+  // Every request read from now on is answered by that moment, with less time than it asks for where need be.
   void answer_by(Time moment) { answer_by_ = moment; }
-  // Ends our side of every connection; they go as their clients end theirs.
+  // Ends this side of every connection; each closes once its client has ended the other.
   void finish();
 
  private:
   class Connection;
-  void accept(const transport::PendingConnection& arrival);
-  void forget(Connection& connection, ConnectionEnd end);
-  void sweep();
-  // What is left of the time that a request asks for, which came so long ago.
-  Time time_left(Time told, Time age) const;
+  // Closes connections whose time is up, and again after a period.
+  void close_timed_out();
+  // What is left of the time that a request asks for, which came `age` ago.
+  Duration time_left(Duration requested, Time age) const;
 
   transport::Reactor& reactor_;
   core::Gateway& gateway_;
-  core::EventLog& diary_;
+  core::EventLog& log_;
   FastCgiRules rules_;
   admission::Shares::Source source_;
   RequestCounts counts_;  // outlives the connections
   bool ready_ = false;
-  std::unique_ptr<transport::Listener> listener_;
-  std::map<Connection*, std::shared_ptr<Connection>, transport::ByNumber> connections_;
-  Eviction<Connection> eviction_;
-  std::set<std::string> open_ids_;
-  core::Timer alarm_;
-  Time answer_by_ = 0;  // 0: no end is in sight
+  std::set<std::string> open_ids_;  // of all connections' open requests
+  core::Timer sweep_timer_;
+  Time answer_by_ = 0;                       // 0: no end is in sight
+  ConnectionTable<Connection> connections_;  // last: closes them with the rest still there
 };
 
 }  // namespace rushhill::frontends
--- a/src/frontends/request_accounting.h
+++ b/src/frontends/request_accounting.h
@@ -27,7 +27,7 @@
 std::string to_text(const RequestCounts& counts);
 
 // Who ended a connection.
-enum class ConnectionEnd { by_client, by_gateway };
+enum class ConnectionEnd : std::uint8_t { by_client, by_gateway };
 
 // The requests of one connection. Answers leave in the order in which they were written, so an answer is out
 // once the system has taken as many bytes as the connection's output held when it was written.
@@ -36,7 +36,11 @@
   explicit ConnectionRequests(RequestCounts& totals) : totals_(totals) {}
   ConnectionRequests(const ConnectionRequests&) = delete;
   ConnectionRequests& operator=(const ConnectionRequests&) = delete;
+  ConnectionRequests(ConnectionRequests&&) = delete;
+  ConnectionRequests& operator=(ConnectionRequests&&) = delete;
+  ~ConnectionRequests() = default;
 
+  // One request has been read, or refused before that with an answer of its own.
   void taken();
   // One request without an answer so far was cancelled by its client.
   void cancelled();
@@ -44,9 +48,10 @@
   void answer_written(std::size_t output_end);
   // The system has taken so many bytes of the connection's output.
   void handed_over(std::size_t bytes);
-  // The connection is over, to be told once at its end: what has not been handed over never will be.
+  // The connection has ended, to be called once: what has not been handed over never will be.
   void ended(ConnectionEnd end, std::size_t bytes_handed_over);
 
+  // Requests for which no answer has been written.
   std::size_t unanswered() const { return unanswered_; }
 
  private:
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -125,9 +125,9 @@
               .request_within = program.http.head_within,
               .idle = program.http.idle,
               .weight = program.http.weight,
-              .come_back = program.module.retries.retry_after
-                               ? to_ticks(program.module.retries.longest_retry_after)
-                               : 0}) {
+              .retry_after = program.module.retries.retry_after
+                                 ? to_ticks(program.module.retries.longest_retry_after)
+                                 : 0}) {
   pool_.report_to(gateway_);
   if (shared_) front_.standing([this] { return shared_->standing(); });
   if (remembered_list_) front_.more_metrics([this] { return to_prometheus(remembered_list_->writes()); });
@@ -153,7 +153,7 @@
   if (winding_up()) return;
   end_by_ = reactor_.now() + std::max<Time>(program_.http.wind_up, 1);
   diary_.write(Level::info, "winding up", {{"open", std::to_string(gateway_.open_requests())}});
-  front_.wind_up();
+  front_.start_draining();
   if (mqtt_) mqtt_->wind_up();
   if (remembered_list_) remembered_list_->flush();
   wait_for_end(ended);
