--- a/src/frontends/fastcgi_connection.cpp
+++ b/src/frontends/fastcgi_connection.cpp
@@ -41,9 +41,9 @@
   if (std::exchange(closed_, true)) return;
   requests_.ended(end, stream_->handed_over_bytes());
   stream_->close();
-  for (const auto& [event, request] : std::exchange(open_, {})) {
+  for (const auto& [request_id, request] : std::exchange(open_, {})) {
     front_.open_ids_.erase(request.id);
-    front_.gateway_.client_cancelled(event, request.unread);
+    front_.gateway_.client_cancelled(request_id, request.unread);
   }
 }
 
@@ -158,13 +158,13 @@
     return answer(exchange,
                   {.status = 409, .reason_phrase = "Bad Request", .body = "X-Job-Id is open already"});
   }
-  const auto event =
+  const auto request_id =
       front_.gateway_.accept(front_.source_, *this, request.routing, std::move(request.message));
-  if (!event) {
+  if (!request_id) {
     reader_.ended(exchange.number);
     return answer_overloaded(exchange);
   }
-  open_.emplace(*event, OpenRequest{exchange, id});
+  open_.emplace(*request_id, OpenRequest{exchange, id});
   front_.open_ids_.insert(id);
 }
 
@@ -210,10 +210,10 @@
   const auto it =
       std::ranges::find_if(open_, [&](const auto& item) { return item.second.exchange.number == number; });
   if (it == open_.end()) return false;
-  const RequestId event = it->first;
-  const OpenRequest request = take_open(event);
+  const RequestId request_id = it->first;
+  const OpenRequest request = take_open(request_id);
   requests_.cancelled();
-  front_.gateway_.client_cancelled(event, request.unread);
+  front_.gateway_.client_cancelled(request_id, request.unread);
   if (!closed_) write(fastcgi::end_request(number, Ended::complete, 1), request.exchange.keep);
   return true;
 }
@@ -236,31 +236,31 @@
   unreadable_ = true;
 }
 
-void FastCgiFront::Connection::attempt_started(RequestId event) {
-  const auto it = open_.find(event);
+void FastCgiFront::Connection::attempt_started(RequestId request_id) {
+  const auto it = open_.find(request_id);
   if (it == open_.end() || stream_->peek() == Stream::Peeked::nothing) return;
   ++it->second.unread;
   counts_unread_ = true;
 }
 void FastCgiFront::Connection::reset_unread() {
   counts_unread_ = false;
-  for (auto& [event, request] : open_) request.unread = 0;
+  for (auto& [request_id, request] : open_) request.unread = 0;
 }
 
-void FastCgiFront::Connection::succeeded(RequestId event, events::CloudEvent answer) {
-  answer_open(event, {.body = answer.data});
+void FastCgiFront::Connection::succeeded(RequestId request_id, events::CloudEvent answer) {
+  answer_open(request_id, {.body = answer.data});
 }
-void FastCgiFront::Connection::rejected(RequestId event, Time retry_after) {
+void FastCgiFront::Connection::rejected(RequestId request_id, Time retry_after) {
   answer_open(
-      event,
+      request_id,
       {.status = 503, .reason_phrase = "Service Unavailable", .extra_fields = wait_field(retry_after)});
 }
-void FastCgiFront::Connection::failed(RequestId event) {
-  answer_open(event, {.status = 504, .reason_phrase = "Gateway Timeout"});
+void FastCgiFront::Connection::failed(RequestId request_id) {
+  answer_open(request_id, {.status = 504, .reason_phrase = "Gateway Timeout"});
 }
 
-FastCgiFront::Connection::OpenRequest FastCgiFront::Connection::take_open(RequestId event) {
-  const auto it = open_.find(event);
+FastCgiFront::Connection::OpenRequest FastCgiFront::Connection::take_open(RequestId request_id) {
+  const auto it = open_.find(request_id);
   OpenRequest request = std::move(it->second);
   open_.erase(it);
   reader_.ended(request.exchange.number);
@@ -268,8 +268,8 @@
   return request;
 }
 
-void FastCgiFront::Connection::answer_open(RequestId event, const CgiResponse& response) {
-  const OpenRequest request = take_open(event);
+void FastCgiFront::Connection::answer_open(RequestId request_id, const CgiResponse& response) {
+  const OpenRequest request = take_open(request_id);
   answer(request.exchange, response);
 }
 void FastCgiFront::Connection::answer(const Exchange& exchange, const CgiResponse& response) {
--- a/src/frontends/fastcgi_connection.h
+++ b/src/frontends/fastcgi_connection.h
@@ -77,10 +77,10 @@
   void broken(const char* why) override;
 
   // core::Client
-  void attempt_started(RequestId event) override;
-  void succeeded(RequestId event, events::CloudEvent answer) override;
-  void rejected(RequestId event, Time retry_after) override;
-  void failed(RequestId event) override;
+  void attempt_started(RequestId request_id) override;
+  void succeeded(RequestId request_id, events::CloudEvent answer) override;
+  void rejected(RequestId request_id, Time retry_after) override;
+  void failed(RequestId request_id) override;
 
   void start_received();
   void start(fastcgi::Number number, fastcgi::Request request);
@@ -91,9 +91,9 @@
   bool cancel_open(fastcgi::Number number);
   // Every attempt so far is known to have started with nothing unread before its client's leaving.
   void reset_unread();
-  OpenRequest take_open(RequestId event);
+  OpenRequest take_open(RequestId request_id);
 
-  void answer_open(RequestId event, const CgiResponse& response);
+  void answer_open(RequestId request_id, const CgiResponse& response);
   void answer(const Exchange& exchange, const CgiResponse& response);
   void answer_overloaded(const Exchange& exchange);
   // Writes the complete answer of one request.
--- a/src/frontends/http_exchange.cpp
+++ b/src/frontends/http_exchange.cpp
@@ -24,8 +24,8 @@
 }
 
 void HttpFront::Exchange::cancel() {
-  for (const auto& [event, row] : std::exchange(open_, {}))
-    front_.gateway_.client_cancelled(event, std::exchange(unread_, 0));
+  for (const auto& [request_id, row] : std::exchange(open_, {}))
+    front_.gateway_.client_cancelled(request_id, std::exchange(unread_, 0));
 }
 
 void HttpFront::Exchange::on_input_read() {
@@ -81,9 +81,9 @@
 }
 
 void HttpFront::Exchange::start_one(events::CloudEvent message) {
-  const auto event = accept(std::move(message));
-  if (!event) return connection_.answer(no_room());
-  open_[*event] = 0;
+  const auto request_id = accept(std::move(message));
+  if (!request_id) return connection_.answer(no_room());
+  open_[*request_id] = 0;
 }
 
 void HttpFront::Exchange::start_batch(std::vector<events::CloudEvent> messages) {
@@ -91,9 +91,9 @@
   for (events::CloudEvent& message : messages) {
     const HttpBatch::Row row = batch_->add(message);
     try {
-      const auto event = accept(std::move(message));
-      if (event) {
-        open_[*event] = row;
+      const auto request_id = accept(std::move(message));
+      if (request_id) {
+        open_[*request_id] = row;
       } else {
         batch_->set_problem(row, no_room());
       }
@@ -114,45 +114,47 @@
                      front_.rules_.retry_after);
 }
 
-void HttpFront::Exchange::succeeded(RequestId event, events::CloudEvent reply) {
+void HttpFront::Exchange::succeeded(RequestId request_id, events::CloudEvent reply) {
   if (!batch_) {
-    open_.erase(event);
+    open_.erase(request_id);
     transport::HttpResponse response{.status = 200, .headers = events::to_headers(reply)};
     response.body = std::move(reply.data);
     return connection_.answer(std::move(response));
   }
-  const auto it = open_.find(event);
+  const auto it = open_.find(request_id);
   if (it == open_.end()) return;
   batch_->set_reply(it->second, reply);
   open_.erase(it);
   answer_complete_batch();
 }
 
-void HttpFront::Exchange::rejected(RequestId event, Time retry_after) {
+void HttpFront::Exchange::rejected(RequestId request_id, Time retry_after) {
   const Problem problem{
       .status = 503, .outcome = "shed", .detail = "the event was not run; it may be sent again"};
-  put_problem(event, to_response(problem, retry_after), retry_after);
+  put_problem(request_id, to_response(problem, retry_after), retry_after);
 }
-void HttpFront::Exchange::duplicate(RequestId event) {
-  put_problem(event, to_response({.status = 409,
-                                  .outcome = "abandoned",
-                                  .harmless_to_repeat = false,
-                                  .detail = "this event was taken before, here or by another router, and may "
-                                            "have run"}));
+void HttpFront::Exchange::duplicate(RequestId request_id) {
+  put_problem(request_id,
+              to_response({.status = 409,
+                           .outcome = "abandoned",
+                           .harmless_to_repeat = false,
+                           .detail = "this event was taken before, here or by another router, and may "
+                                     "have run"}));
 }
-void HttpFront::Exchange::failed(RequestId event) {
-  put_problem(event, to_response({.status = 504,
-                                  .outcome = "abandoned",
-                                  .harmless_to_repeat = false,
-                                  .detail = "given up without an answer; the event may have run"}));
+void HttpFront::Exchange::failed(RequestId request_id) {
+  put_problem(request_id, to_response({.status = 504,
+                                       .outcome = "abandoned",
+                                       .harmless_to_repeat = false,
+                                       .detail = "given up without an answer; the event may have run"}));
 }
 
-void HttpFront::Exchange::put_problem(RequestId event, transport::HttpResponse response, Time retry_after) {
+void HttpFront::Exchange::put_problem(RequestId request_id, transport::HttpResponse response,
+                                      Time retry_after) {
   if (!batch_) {
-    open_.erase(event);
+    open_.erase(request_id);
     return connection_.answer(std::move(response));
   }
-  const auto it = open_.find(event);
+  const auto it = open_.find(request_id);
   if (it == open_.end()) return;
   batch_->set_problem(it->second, response, retry_after);
   open_.erase(it);
--- a/src/frontends/http_exchange.h
+++ b/src/frontends/http_exchange.h
@@ -29,11 +29,11 @@
   // Something that stood unread has been read.
   void on_input_read();
 
-  void attempt_started(RequestId event) override;
-  void succeeded(RequestId event, events::CloudEvent reply) override;
-  void rejected(RequestId event, Time retry_after) override;
-  void duplicate(RequestId event) override;
-  void failed(RequestId event) override;
+  void attempt_started(RequestId request_id) override;
+  void succeeded(RequestId request_id, events::CloudEvent reply) override;
+  void rejected(RequestId request_id, Time retry_after) override;
+  void duplicate(RequestId request_id) override;
+  void failed(RequestId request_id) override;
 
  private:
   void answer_health(const transport::HttpRequest& request, const std::string& path);
@@ -45,7 +45,7 @@
   // Nothing: the gateway has no room. Throws events::BadEvent.
   std::optional<RequestId> accept(events::CloudEvent message);
   transport::HttpResponse no_room() const;
-  void put_problem(RequestId event, transport::HttpResponse response, Time retry_after = 0);
+  void put_problem(RequestId request_id, transport::HttpResponse response, Time retry_after = 0);
   void answer_complete_batch();
 
   HttpFront& front_;
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -154,7 +154,7 @@
   end_by_ = reactor_.now() + std::max<Time>(program_.http.wind_up, 1);
   diary_.write(Level::info, "winding up", {{"open", std::to_string(gateway_.open_requests())}});
   front_.start_draining();
-  if (mqtt_) mqtt_->wind_up();
+  if (mqtt_) mqtt_->start_draining();
   if (remembered_list_) remembered_list_->flush();
   wait_for_end(ended);
 }
--- a/tests/frontends/mqtt_front_test.cpp
+++ b/tests/frontends/mqtt_front_test.cpp
@@ -354,7 +354,7 @@
   Packet alone = message("alone");
   alone.properties.response_topic.reset();
   broker.publish(alone);
-  ASSERT_TRUE(pump.until([&] { return tally().tried_again >= 2; }));
+  ASSERT_TRUE(pump.until([&] { return tally().retried >= 2; }));
   EXPECT_TRUE(broker.acknowledged().empty());
   router->gateway().endpoints_updated(EndpointListForm::snapshot, {{{.id = "s"}, server.address()}});
   ASSERT_TRUE(acknowledged(1));
@@ -419,7 +419,8 @@
   ASSERT_TRUE(pump.until([&] { return !peer.seen.empty(); }));
   peer.stream->close();
   ASSERT_TRUE(acknowledged(2));
-  EXPECT_TRUE(pump.until([&] { return tally().dead == 1; }));  // a rule's binary mode meets a bare payload
+  EXPECT_TRUE(
+      pump.until([&] { return tally().dead_lettered == 1; }));  // a rule's binary mode meets a bare payload
 }
 
 }  // namespace
