--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -128,9 +128,9 @@
               .request_within = configuration.http.head_within,
               .idle = configuration.http.idle,
               .weight = configuration.http.weight,
-              .come_back = configuration.routing.retries.retry_after
-                               ? to_ticks(configuration.routing.retries.longest_retry_after)
-                               : 0}) {
+              .retry_after = configuration.routing.retries.retry_after
+                                 ? to_ticks(configuration.routing.retries.longest_retry_after)
+                                 : 0}) {
   pool_.report_to(gateway_);
   if (shared_) front_.standing([this] { return shared_->standing(); });
   if (remembered_list_) front_.more_metrics([this] { return to_prometheus(remembered_list_->writes()); });
@@ -157,8 +157,8 @@
   if (winding_up()) return;
   end_by_ = reactor_.now() + std::max<Time>(configuration_.http.drain_timeout, 1);
   diary_.write(Level::info, "winding up", {{"open", std::to_string(gateway_.open_requests())}});
-  front_.wind_up();
-  if (mqtt_) mqtt_->wind_up();
+  front_.start_draining();
+  if (mqtt_) mqtt_->start_draining();
   if (remembered_list_) remembered_list_->flush();
   wait_for_end(ended);
 }
