--- a/src/admission/deliveries.h
+++ b/src/admission/deliveries.h
@@ -12,7 +12,7 @@
 
 namespace rushhill::admission {
 
-enum class Outcome { honoured, shed, abandoned };
+enum class Outcome { succeeded, rejected, failed };
 
 class Deliveries {
  public:
--- a/src/admission/shares.h
+++ b/src/admission/shares.h
@@ -17,8 +17,14 @@
 
   Source add(double weight);
   bool may_take(Source source) const;
-  void took(Source source) { ++sources_[source].open, ++open_; }
-  void ended(Source source) { --sources_[source].open, --open_; }
+  void took(Source source) {
+    ++sources_[source].open;
+    ++open_;
+  }
+  void ended(Source source) {
+    --sources_[source].open;
+    --open_;
+  }
 
   std::size_t part(Source source) const;
   std::size_t open(Source source) const { return sources_[source].open; }
--- a/src/admission/tries.cpp
+++ b/src/admission/tries.cpp
@@ -13,7 +13,7 @@
 // that was abandoned may have run; one that was shed has not.
 bool may_repeat(Outcome outcome, RetrySafety effect) {
   if (effect == RetrySafety::idempotent) return true;
-  return effect == RetrySafety::at_most_once && outcome == Outcome::shed;
+  return effect == RetrySafety::at_most_once && outcome == Outcome::rejected;
 }
 
 }  // namespace
--- a/src/command/node.cpp
+++ b/src/command/node.cpp
@@ -56,7 +56,7 @@
   node::Reloader reloader(reactor, path, event_log,
                           [&](const node::Configuration& changed) { router.reconfigure(changed); });
   reactor.every_turn([&] {
-    if (stop_requested != 0) router.wind_up([&] { reactor.halt(); });
+    if (stop_requested != 0) router.start_draining([&] { reactor.halt(); });
     if (reload_requested == 0) return;
     reload_requested = 0;
     reloader.reload();
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -60,7 +60,7 @@
   router::RouterProcess router(reactor, configuration, seed, event_log, storage);
   print_ready(router.address().toString());
   reactor.every_turn([&] {
-    if (stop_requested != 0) router.wind_up([&] { reactor.halt(); });
+    if (stop_requested != 0) router.start_draining([&] { reactor.halt(); });
   });
   if (faulty_calls) start_failing(*faulty_calls);
   reactor.run();
--- a/src/core/attempt_execution.h
+++ b/src/core/attempt_execution.h
@@ -2,11 +2,11 @@
 // routing policy. Part of the gateway; docs/program.md, "The core".
 #pragma once
 
-#include "core/decision_module.h"
+#include "core/counters.h"
 #include "core/deferred_calls.h"
 #include "core/event_log.h"
+#include "core/policy_runner.h"
 #include "core/request_table.h"
-#include "core/tally.h"
 #include "core/timer_service.h"
 #include "core/upstream_transport.h"
 
--- a/src/core/server_addresses.cpp
+++ b/src/core/endpoint_addresses.cpp
@@ -1,4 +1,4 @@
-#include "core/server_addresses.h"
+#include "core/endpoint_addresses.h"
 
 namespace rushhill::core {
 
@@ -8,7 +8,7 @@
   for (const EndpointListEntry& entry : entries) {
     listed[entry.endpoint.id] = entry.endpoint.state == EndpointState::removed ? "" : entry.address;
   }
-  if (form == EndpointListForm::snapshot || form == EndpointListForm::cached) {
+  if (form == EndpointListForm::complete || form == EndpointListForm::cached) {
     for (const auto& [endpoint, address] : addresses_) listed.try_emplace(endpoint, "");
   }
   return listed;
--- a/src/core/server_call_execution.cpp
+++ b/src/core/endpoint_call_execution.cpp
@@ -1,4 +1,4 @@
-#include "core/server_call_execution.h"
+#include "core/endpoint_call_execution.h"
 
 #include "routing/routing_policy.h"
 
--- a/src/core/server_call_execution.h
+++ b/src/core/endpoint_call_execution.h
@@ -5,11 +5,11 @@
 
 #include <utility>
 
-#include "core/decision_module.h"
+#include "core/counters.h"
 #include "core/deduplication_log.h"
 #include "core/deferred_calls.h"
 #include "core/outstanding_calls.h"
-#include "core/tally.h"
+#include "core/policy_runner.h"
 #include "core/timer_service.h"
 #include "core/upstream_transport.h"
 
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -42,7 +42,7 @@
 
 // Events from the front ends, service discovery, the peers and the deduplication log.
 
-RetrySafety Gateway::effect_of(const std::string& request_class) const {
+RetrySafety Gateway::retry_safety_of(const std::string& request_class) const {
   const auto it = std::ranges::find(configuration_.request_classes, request_class, &RequestClass::name);
   return it == configuration_.request_classes.end() ? RetrySafety::at_most_once : it->retry_safety;
 }
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -10,18 +10,18 @@
 
 #include "core/attempt_execution.h"
 #include "core/client.h"
-#include "core/decision_module.h"
+#include "core/counters.h"
 #include "core/deduplication_log.h"
 #include "core/deferred_calls.h"
+#include "core/endpoint_addresses.h"
+#include "core/endpoint_call_execution.h"
 #include "core/endpoint_list_source.h"
 #include "core/event_log.h"
 #include "core/peer_messenger.h"
+#include "core/policy_runner.h"
 #include "core/request_lifecycle.h"
 #include "core/request_table.h"
-#include "core/server_addresses.h"
-#include "core/server_call_execution.h"
 #include "core/source_room.h"
-#include "core/tally.h"
 #include "core/timer_service.h"
 #include "core/upstream_transport.h"
 #include "routing/routing_policy.h"
@@ -53,7 +53,7 @@
   // Whether the source should hand over a request now.
   bool has_room(admission::Shares::Source source) { return room_.has_room(ports_.clock.now(), source); }
   // Of the requests of a class; at most once for a class that is not configured.
-  RetrySafety effect_of(const std::string& request_class) const;
+  RetrySafety retry_safety_of(const std::string& request_class) const;
 
   // Accepts a request whose function, class and times the front end has read, and returns the id that it gets
   // here; nothing where the source has no room. The client's answer never comes before this returns.
--- a/src/core/intake.cpp
+++ b/src/core/request_reader.cpp
@@ -1,4 +1,4 @@
-#include "core/intake.h"
+#include "core/request_reader.h"
 
 #include <charconv>
 #include <utility>
--- a/src/deployment/request_class_section.cpp
+++ b/src/deployment/request_class_section.cpp
@@ -36,7 +36,7 @@
 
 replica::MarkLevel mark_level(Text text) {
   return one_of<replica::MarkLevel>(text, {{"none", replica::MarkLevel::none},
-                                           {"told", replica::MarkLevel::told},
+                                           {"told", replica::MarkLevel::announced},
                                            {"held", replica::MarkLevel::held}});
 }
 
--- a/src/emulator/emulation.cpp
+++ b/src/emulator/emulation.cpp
@@ -68,7 +68,7 @@
 
 void Emulation::stop(std::size_t number) {
   if (!seats_[number].router) return;
-  seats_[number].router->wind_up([this, number] { network_.post([this, number] { leave(number); }); });
+  seats_[number].router->start_draining([this, number] { network_.post([this, number] { leave(number); }); });
 }
 
 void Emulation::leave(std::size_t number) {
--- a/src/frontends/http_front.h
+++ b/src/frontends/http_front.h
@@ -8,7 +8,7 @@
 
 #include "core/event_log.h"
 #include "core/gateway.h"
-#include "core/intake.h"
+#include "core/request_reader.h"
 #include "frontends/connection_table.h"
 #include "frontends/request_accounting.h"
 #include "transport/http.h"
--- a/src/frontends/mqtt_answer.cpp
+++ b/src/frontends/mqtt_answer.cpp
@@ -26,7 +26,7 @@
   const char* name = name_of(outcome.outcome);
   nlohmann::json body{{"type", std::string("urn:rushhill:problem:") + name},
                       {"outcome", name},
-                      {"harmless_to_repeat", outcome.outcome == Outcome::shed}};
+                      {"harmless_to_repeat", outcome.outcome == Outcome::rejected}};
   if (outcome.retry_after > 0) body["retry_after_ms"] = whole_ms(outcome.retry_after);
   answer.properties.content_type = "application/problem+json";
   answer.payload = body.dump();
@@ -36,11 +36,11 @@
 
 const char* name_of(Outcome outcome) {
   switch (outcome) {
-    case Outcome::honoured:
+    case Outcome::succeeded:
       return "honoured";
-    case Outcome::shed:
+    case Outcome::rejected:
       return "shed";
-    case Outcome::abandoned:
+    case Outcome::failed:
       return "abandoned";
   }
   return "";
@@ -48,7 +48,7 @@
 
 mqtt::Packet to_answer(const std::string& topic, MqttOutcome outcome) {
   mqtt::Packet answer{.type = mqtt::Type::publish, .topic = topic};
-  if (outcome.outcome == Outcome::honoured) {
+  if (outcome.outcome == Outcome::succeeded) {
     fill_reply(answer, std::move(outcome.reply));
   } else {
     fill_problem(answer, outcome);
--- a/src/frontends/mqtt_answer.h
+++ b/src/frontends/mqtt_answer.h
@@ -15,7 +15,7 @@
 
 // How a message ended.
 struct MqttOutcome {
-  admission::Outcome outcome = admission::Outcome::shed;
+  admission::Outcome outcome = admission::Outcome::rejected;
   Time retry_after = 0;        // tenths of a millisecond; 0: no advice
   events::CloudEvent reply{};  // of a message that succeeded
 };
--- a/src/frontends/mqtt_session.cpp
+++ b/src/frontends/mqtt_session.cpp
@@ -48,7 +48,7 @@
 
 void MqttFront::Session::start_draining() {
   const auto retries = std::exchange(retries_, {});
-  for (const auto& [at, delivery] : retries) give_up(*delivery, {.outcome = Outcome::shed});
+  for (const auto& [at, delivery] : retries) give_up(*delivery, {.outcome = Outcome::rejected});
   leave_if_done();
 }
 
@@ -145,7 +145,8 @@
 }
 
 void MqttFront::Session::start(const MqttDeliveryPointer& delivery, const Packet& packet) {
-  if (packet.dup && front_.gateway_.effect_of(delivery->request.request_class) == RetrySafety::at_most_once)
+  if (packet.dup &&
+      front_.gateway_.retry_safety_of(delivery->request.request_class) == RetrySafety::at_most_once)
     return refuse_redelivery(delivery, packet);
   if (delivery->packet_id == 0) return submit(delivery);
   delivery->queued = true;
@@ -155,8 +156,8 @@
 }
 
 void MqttFront::Session::refuse_redelivery(const MqttDeliveryPointer& delivery, const Packet& packet) {
-  deliveries_.ended(reactor_.now(), delivery->message_key, Outcome::abandoned);
-  publisher_.answer(*delivery, {.outcome = Outcome::abandoned});
+  deliveries_.ended(reactor_.now(), delivery->message_key, Outcome::failed);
+  publisher_.answer(*delivery, {.outcome = Outcome::failed});
   ++front_.tally_.dead_lettered;
   publisher_.send({.payload = packet.payload,
                    .topic = packet.topic,
@@ -188,29 +189,27 @@
   delivery->request.time_left = to_duration(delivery->deadline - reactor_.now());
   if (delivery->request.time_left <= front_.gateway_.configuration().tick) {
     ++front_.tally_.expired;
-    return give_up(*delivery, {.outcome = Outcome::shed});
+    return give_up(*delivery, {.outcome = Outcome::rejected});
   }
   const auto request_id = front_.gateway_.accept(source_, *this, delivery->request, delivery->event);
-  if (!request_id) return give_up(*delivery, {.outcome = Outcome::shed});
+  if (!request_id) return give_up(*delivery, {.outcome = Outcome::rejected});
   submitted_[*request_id] = delivery;
 }
 
 void MqttFront::Session::succeeded(RequestId request_id, events::CloudEvent reply) {
-  conclude(request_id, {.outcome = Outcome::honoured, .reply = std::move(reply)});
+  conclude(request_id, {.outcome = Outcome::succeeded, .reply = std::move(reply)});
 }
 void MqttFront::Session::rejected(RequestId request_id, Time retry_after) {
-  conclude(request_id, {.outcome = Outcome::shed, .retry_after = retry_after});
-}
-void MqttFront::Session::failed(RequestId request_id) {
-  conclude(request_id, {.outcome = Outcome::abandoned});
+  conclude(request_id, {.outcome = Outcome::rejected, .retry_after = retry_after});
 }
+void MqttFront::Session::failed(RequestId request_id) { conclude(request_id, {.outcome = Outcome::failed}); }
 
 void MqttFront::Session::conclude(RequestId request_id, MqttOutcome outcome) {
   const auto it = submitted_.find(request_id);
   if (it == submitted_.end()) return;
   const MqttDeliveryPointer delivery = std::move(it->second);
   submitted_.erase(it);
-  if (outcome.outcome == Outcome::honoured) {
+  if (outcome.outcome == Outcome::succeeded) {
     tries_.forget(delivery->message_key);
     end(*delivery, std::move(outcome));
   } else if (const auto at = retry_at(*delivery, outcome)) {
@@ -228,7 +227,7 @@
 std::optional<Time> MqttFront::Session::retry_at(const MqttDelivery& delivery, const MqttOutcome& outcome) {
   if (delivery.response_topic || delivery.packet_id == 0 || front_.draining_) return std::nullopt;
   return tries_.again(reactor_.now(), delivery.message_key, outcome.outcome,
-                      front_.gateway_.effect_of(delivery.request.request_class), delivery.deadline,
+                      front_.gateway_.retry_safety_of(delivery.request.request_class), delivery.deadline,
                       outcome.retry_after);
 }
 void MqttFront::Session::set_retry_timer() {
--- a/src/membership/board_client.cpp
+++ b/src/membership/board_client.cpp
@@ -16,7 +16,7 @@
 constexpr Time longest_pause = 4'800;  // which leaves several tries in the 2 s after which news count as told
 
 EndpointListForm form_of(const Notice& notice) {
-  return notice.whole ? EndpointListForm::snapshot : EndpointListForm::delta;
+  return notice.whole ? EndpointListForm::complete : EndpointListForm::delta;
 }
 
 }  // namespace
--- a/src/membership/roster_client.cpp
+++ b/src/membership/roster_client.cpp
@@ -87,7 +87,7 @@
 
 void RosterClient::take(RosterWord word) {
   remembered_.hear(word);
-  if (!std::exchange(heard_any_, true) && word.form == EndpointListForm::snapshot) {
+  if (!std::exchange(heard_any_, true) && word.form == EndpointListForm::complete) {
     start_times_.translate_snapshot(read_clocks(reactor_), latest_start(word.entries), word.form,
                                     word.entries);
   } else {
--- a/src/membership/roster_words.cpp
+++ b/src/membership/roster_words.cpp
@@ -76,7 +76,7 @@
   RosterWord word;
   const std::string form = text(object, "form", nullptr);
   if (form != "complete" && form != "changes") throw Fault("field 'form' is neither complete nor changes");
-  word.form = form == "complete" ? EndpointListForm::snapshot : EndpointListForm::delta;
+  word.form = form == "complete" ? EndpointListForm::complete : EndpointListForm::delta;
   word.revision = static_cast<std::int64_t>(number(object, "revision", 0, 0, 9e15));
   const auto servers = object.find("servers");
   if (servers == object.end() || !servers->is_array()) throw Fault("field 'servers' is not a list");
--- a/src/membership/roster_words.h
+++ b/src/membership/roster_words.h
@@ -11,7 +11,7 @@
 namespace rushhill::membership {
 
 struct RosterWord {
-  EndpointListForm form = EndpointListForm::snapshot;
+  EndpointListForm form = EndpointListForm::complete;
   std::int64_t revision = 0;
   std::vector<core::EndpointListEntry> entries{};
   std::vector<std::string> remarks{};  // what was mended on reading: a server named twice, and the like
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -99,7 +99,7 @@
   board_->move_to(transport::numeric_address(changed.board));
 }
 
-void Node::wind_up(std::function<void()> ended) {
+void Node::start_draining(std::function<void()> ended) {
   if (end_by_ != 0) return;
   const Time now = reactor_.now();
   const Time killed_by = now + std::min(longest_limit_, longest_counted) + killed_after;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -34,7 +34,7 @@
   // discovery has not told yet. All else stays as it was at the start, and the log says so where it differs.
   void reconfigure(const Configuration& changed);
   // Goes on through the span in which requests still come, then ends once all is answered.
-  void wind_up(std::function<void()> ended);
+  void start_draining(std::function<void()> ended);
 
  private:
   void wait_for_end(const std::function<void()>& ended);
--- a/src/replica/marks.cpp
+++ b/src/replica/marks.cpp
@@ -28,7 +28,7 @@
   if (copy_.stage(mark) >= Stage::taken) return Taking::known;
   const std::uint64_t number = copy_.take_event(now, mark);
   if (number == 0) return Taking::full;
-  if (level == MarkLevel::told || others_ <= 0) return Taking::go;
+  if (level == MarkLevel::announced || others_ <= 0) return Taking::go;
   // A copy that forgets (the tests' build has one) may take the same again under the same number.
   if (!waiting_.emplace(number, Waiting{event, by}).second) return Taking::known;
   by_.emplace(by, number);
--- a/src/replica/state.h
+++ b/src/replica/state.h
@@ -27,8 +27,8 @@
 // How a traffic type's marks are kept; docs/replication.md says what each promises.
 enum class MarkLevel {
   none,
-  told,  // sent to the others before the first shot, not waited for
-  held   // so many others have it before the first shot
+  announced,  // sent to the others before the first shot, not waited for
+  held        // so many others have it before the first shot
 };
 
 // Routers that all exchange their copies with one another, so that a mark can be held by more than half.
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -55,7 +55,7 @@
 
 membership::RosterWord whole_list(const membership::Remembered& remembered) {
   membership::RosterWord list = remembered.whole();
-  list.form = EndpointListForm::snapshot;
+  list.form = EndpointListForm::complete;
   return list;
 }
 
@@ -153,8 +153,8 @@
 
 RouterProcess::~RouterProcess() = default;
 
-void RouterProcess::wind_up(std::function<void()> ended) {
-  if (winding_up()) return;
+void RouterProcess::start_draining(std::function<void()> ended) {
+  if (draining()) return;
   end_by_ = reactor_.now() + std::max<Time>(configuration_.http.drain_timeout, 1);
   diary_.write(Level::info, "winding up", {{"open", std::to_string(gateway_.open_requests())}});
   front_.start_draining();
--- a/src/router/router_process.h
+++ b/src/router/router_process.h
@@ -8,7 +8,7 @@
 
 #include "core/event_log.h"
 #include "core/gateway.h"
-#include "core/intake.h"
+#include "core/request_reader.h"
 #include "deployment/deployment_file.h"
 #include "frontends/http_front.h"
 #include "frontends/mqtt_front.h"
@@ -36,8 +36,8 @@
   frontends::MqttFront* mqtt() { return mqtt_.get(); }  // none: no broker
 
   // Takes nothing more and calls `ended` once nothing is open, or when the told time is up.
-  void wind_up(std::function<void()> ended);
-  bool winding_up() const { return end_by_ != 0; }
+  void start_draining(std::function<void()> ended);
+  bool draining() const { return end_by_ != 0; }
   // The counts as one line of JSON.
   std::string tally() const;
 
--- a/src/routing/endpoint_selector.cpp
+++ b/src/routing/endpoint_selector.cpp
@@ -27,7 +27,11 @@
   function.copies.link(parts_.endpoints, selections_);
   const EstimateKey key{.request_class = *tracked.class_estimate, .function = function.times};
   Selection selection{
-      .now = now, .tracked = tracked, .function = function, .expected = parts_.estimates.expected_times(key)};
+      .now = now,
+      .tracked = tracked,
+      .function = function,
+      .expected = parts_.estimates.expected_times(key),
+  };
   selection.copy_stands = any_copy_stands(selection);
   EndpointRecord* const preferred = best_preferred(selection);
   return preferred != nullptr ? preferred : best_permitted(selection);
--- a/src/routing/latency_estimates.cpp
+++ b/src/routing/latency_estimates.cpp
@@ -31,7 +31,10 @@
 ClassEstimate& LatencyEstimates::of_class(const std::string& name) {
   if (const auto found = classes_.find(name); found != classes_.end()) return found->second;
   const RequestClass unknown{
-      .name = name, .latency_objective = unknown_objective, .retry_safety = RetrySafety::at_most_once};
+      .name = name,
+      .latency_objective = unknown_objective,
+      .retry_safety = RetrySafety::at_most_once,
+  };
   return classes_.try_emplace(name, first_estimate(unknown)).first->second;
 }
 
--- a/src/routing/types.h
+++ b/src/routing/types.h
@@ -64,7 +64,7 @@
 // How a message of the endpoint list is to be read.
 enum class EndpointListForm : std::uint8_t {
   delta,     // only the endpoints that changed
-  snapshot,  // all endpoints there are
+  complete,  // all endpoints there are
   cached,    // all endpoints of the last list that was stored, which may be old
   failed     // service discovery did not answer
 };
--- a/src/scale/costs.cpp
+++ b/src/scale/costs.cpp
@@ -135,7 +135,7 @@
   HollowServers servers(network, sizes.servers, sizes.functions);
   NoPeers none;
   HollowRouter router(deployment_of(sizes), servers, none, 1);
-  router.gateway().endpoints_updated(EndpointListForm::snapshot, servers.list());
+  router.gateway().endpoints_updated(EndpointListForm::complete, servers.list());
   Calls calls(sizes, 1);
   RequestId number = 0;
   double next = static_cast<double>(network.now());
@@ -158,9 +158,9 @@
   NoPeers none;
   HollowRouter router(deployment_of({.servers = static_cast<int>(size)}), servers, none, 1);
   const std::vector<core::EndpointListEntry> list = servers.list();
-  router.gateway().endpoints_updated(EndpointListForm::snapshot, list);
+  router.gateway().endpoints_updated(EndpointListForm::complete, list);
   return metered(counter, repeats, [&] {
-    for (int i = 0; i < repeats; ++i) router.gateway().endpoints_updated(EndpointListForm::snapshot, list);
+    for (int i = 0; i < repeats; ++i) router.gateway().endpoints_updated(EndpointListForm::complete, list);
   });
 }
 
@@ -451,10 +451,10 @@
 std::vector<Cost> all_costs() {
   const Sizes usual{};
   const Sizes in_turn{.servers = 64, .even = true};
-  const char* const pick = "Decider::event, pick, rank_homes: src/decide.cpp";
-  const char* const house = "Decider::keep_house: src/decide.cpp";
-  const char* const list = "Decider::roster, forget_copies, rank_homes: src/decide.cpp";
-  const char* const memory = "Function::homes, Server, Entry: src/decide.cpp";
+  const char* const pick = "RoutingPolicy::request_received, EndpointSelector, Placement: src/routing";
+  const char* const house = "PeriodicMaintenance: src/routing";
+  const char* const list = "RoutingPolicy::endpoints_updated, WarmIndex, Placement: src/routing";
+  const char* const memory = "FunctionRecord, EndpointRecord, BelievedCopy: src/routing";
   const char* const board = "BoardClient, read_line: src/membership";
   const char* const roster = "RosterClient, read_word, Remembered: src/membership";
   const char* const peers = "BarePeers: src/transport/bare_peers.cpp";
@@ -525,7 +525,7 @@
                  [=](double n, Counter& c) {
                    return memory_cost(with(with(in_turn, &Sizes::servers, 250), &Sizes::functions, n), c);
                  }});
-  all.push_back({"module.probe-messages-by-servers", "Decider::ask_load, probe_ended: src/decide.cpp",
+  all.push_back({"module.probe-messages-by-servers", "EndpointMonitor: src/routing",
                  "second, whole fleet", "servers", "load reports by probe and peers permitted", servers,
                  small_servers, [=](double n, Counter& c) {
                    Sizes sizes = with(usual, &Sizes::servers, n);
--- a/src/scale/hollow.cpp
+++ b/src/scale/hollow.cpp
@@ -123,7 +123,7 @@
 
 void HollowModule::whole_list() {
   lists.begin();
-  router_->endpoints_updated(to_timestamp(now_), EndpointListForm::snapshot, list_);
+  router_->endpoints_updated(to_timestamp(now_), EndpointListForm::complete, list_);
   lists.end();
 }
 void HollowModule::change(int server) {
--- a/src/scale/hollow.h
+++ b/src/scale/hollow.h
@@ -60,7 +60,7 @@
   bool even_;
 };
 
-// The module behind decide.h. Servers answer after a fixed work and load what they lack.
+// The routing policy behind its interface. Servers answer after a fixed work and load what they lack.
 class HollowModule final : private RoutingHost {
  public:
   HollowModule(const Sizes& sizes, Counter& counter, std::uint64_t seed = 1);
--- a/src/scale/size.cpp
+++ b/src/scale/size.cpp
@@ -58,7 +58,7 @@
     deployment.connect_timeout = to_duration(connect_limit);
     auto made =
         std::make_unique<HollowRouter>(deployment, servers, no_peers, static_cast<std::uint64_t>(++lives));
-    made->gateway().endpoints_updated(EndpointListForm::snapshot, list());
+    made->gateway().endpoints_updated(EndpointListForm::complete, list());
     return made;
   }
   // As discovery tells it, which may be late.
--- a/tests/admission/taking_test.cpp
+++ b/tests/admission/taking_test.cpp
@@ -57,15 +57,15 @@
   Deliveries deliveries(100, 10);
   EXPECT_EQ(deliveries.meet(1, "a"), Deliveries::Meeting::fresh);
   EXPECT_EQ(deliveries.meet(2, "a"), Deliveries::Meeting::joins);
-  deliveries.ended(3, "a", Outcome::shed);
+  deliveries.ended(3, "a", Outcome::rejected);
   EXPECT_EQ(deliveries.meet(4, "a"), Deliveries::Meeting::answered);
-  EXPECT_EQ(deliveries.outcome("a"), Outcome::shed);
+  EXPECT_EQ(deliveries.outcome("a"), Outcome::rejected);
   EXPECT_EQ(deliveries.meet(103, "a"), Deliveries::Meeting::fresh);  // its span is over
 }
 
 TEST(Deliveries, WhatIsRememberedIsBoundedAndTheOldestGoFirst) {
   Deliveries deliveries(1'000'000, 10);
-  for (int i = 0; i < 100; ++i) deliveries.ended(i, std::to_string(i), Outcome::honoured);
+  for (int i = 0; i < 100; ++i) deliveries.ended(i, std::to_string(i), Outcome::succeeded);
   EXPECT_EQ(deliveries.known(), 10U);
   EXPECT_EQ(deliveries.meet(100, "99"), Deliveries::Meeting::answered);
   EXPECT_EQ(deliveries.meet(100, "1"), Deliveries::Meeting::fresh);
@@ -80,31 +80,31 @@
 
 TEST(Tries, WhatIsGivenUpRestsLongerEachTimeAndEndsAtTheToldCount) {
   Tries tries(3, 100);
-  EXPECT_EQ(tries.again(0, "m", Outcome::shed, RetrySafety::idempotent, 100'000, 0), Time{1'000});
-  EXPECT_EQ(tries.again(1'000, "m", Outcome::abandoned, RetrySafety::idempotent, 100'000, 0), Time{3'000});
+  EXPECT_EQ(tries.again(0, "m", Outcome::rejected, RetrySafety::idempotent, 100'000, 0), Time{1'000});
+  EXPECT_EQ(tries.again(1'000, "m", Outcome::failed, RetrySafety::idempotent, 100'000, 0), Time{3'000});
   EXPECT_EQ(tries.made("m"), 2);
-  EXPECT_EQ(tries.again(3'000, "m", Outcome::shed, RetrySafety::idempotent, 100'000, 0), std::nullopt);
+  EXPECT_EQ(tries.again(3'000, "m", Outcome::rejected, RetrySafety::idempotent, 100'000, 0), std::nullopt);
   EXPECT_EQ(tries.made("m"), 3);
 }
 
 TEST(Tries, TheCoresTimeToComeBackIsKeptAndNothingIsTriedPastItsTime) {
   Tries tries(10, 100);
-  EXPECT_EQ(tries.again(50, "m", Outcome::shed, RetrySafety::idempotent, 100'000, 7'000), Time{7'050});
-  EXPECT_EQ(tries.again(7'050, "m", Outcome::shed, RetrySafety::idempotent, 14'000, 7'000), std::nullopt);
+  EXPECT_EQ(tries.again(50, "m", Outcome::rejected, RetrySafety::idempotent, 100'000, 7'000), Time{7'050});
+  EXPECT_EQ(tries.again(7'050, "m", Outcome::rejected, RetrySafety::idempotent, 14'000, 7'000), std::nullopt);
 }
 
 TEST(Tries, WhatMayHaveRunOrBelongsToItsGroupIsNeverTriedAgain) {
   Tries tries(10, 100);
-  EXPECT_EQ(tries.again(0, "a", Outcome::abandoned, RetrySafety::at_most_once, 100'000, 0), std::nullopt);
-  EXPECT_NE(tries.again(0, "b", Outcome::shed, RetrySafety::at_most_once, 100'000, 0), std::nullopt);
-  EXPECT_EQ(tries.again(0, "c", Outcome::shed, RetrySafety::keyed, 100'000, 0), std::nullopt);
-  EXPECT_EQ(tries.again(0, "d", Outcome::abandoned, RetrySafety::keyed, 100'000, 0), std::nullopt);
+  EXPECT_EQ(tries.again(0, "a", Outcome::failed, RetrySafety::at_most_once, 100'000, 0), std::nullopt);
+  EXPECT_NE(tries.again(0, "b", Outcome::rejected, RetrySafety::at_most_once, 100'000, 0), std::nullopt);
+  EXPECT_EQ(tries.again(0, "c", Outcome::rejected, RetrySafety::keyed, 100'000, 0), std::nullopt);
+  EXPECT_EQ(tries.again(0, "d", Outcome::failed, RetrySafety::keyed, 100'000, 0), std::nullopt);
 }
 
 TEST(Tries, WhatIsCountedIsBoundedAndTheOldestGoFirst) {
   Tries tries(5, 2);
   for (const char* mark : {"a", "b", "c"})
-    tries.again(0, mark, Outcome::shed, RetrySafety::idempotent, 100'000, 0);
+    tries.again(0, mark, Outcome::rejected, RetrySafety::idempotent, 100'000, 0);
   EXPECT_EQ(tries.made("a"), 0);
   EXPECT_EQ(tries.made("c"), 1);
   tries.forget("c");
--- a/tests/benchmark/routing_benchmark.cpp
+++ b/tests/benchmark/routing_benchmark.cpp
@@ -19,14 +19,14 @@
 // Answers every attempt; fires what the module asked to be woken for.
 class Answering final : public RoutingHost {
  public:
-  void send_attempt(RequestId event, const EndpointId& server, Time) override {
+  void send_attempt(RequestId event, const EndpointId& server, Duration) override {
     shots.push_back({now, event, server});
   }
   void cancel_attempt(RequestId, int) override {}
-  void reject(RequestId, Time) override { ++given_up; }
+  void reject(RequestId, Duration) override { ++given_up; }
   void fail(RequestId) override { ++given_up; }
-  void set_timer(std::int64_t token, Time at) override {
-    if (token == 0) housekeeping = at;  // events end long before their limit
+  void set_timer(std::int64_t token, Timestamp at) override {
+    if (token == 0) housekeeping = to_ticks(at);  // events end long before their limit
   }
   void probe(const EndpointId&) override {}
   void close_idle(const EndpointId&) override {}
@@ -50,21 +50,21 @@
 void one_event(benchmark::State& state) {
   RoutingConfiguration deployment;
   deployment.routers = 10;
-  deployment.tick = 10;
+  deployment.tick = to_duration(10);
   deployment.retries.attempt_limit = 3;
   deployment.copies.state_is_reported = true;
-  deployment.copies.keep_alive = 120'000;
-  deployment.slow_start.warm_up_span = 160'000;
-  deployment.slow_start.budget_span = 15'000;
+  deployment.copies.keep_alive = to_duration(120'000);
+  deployment.slow_start.warm_up_span = to_duration(160'000);
+  deployment.slow_start.budget_span = to_duration(15'000);
   deployment.request_classes = {{.name = "lookup",
-                                 .latency_objective = 7'500,
-                                 .deadline_span = 25'000,
+                                 .latency_objective = to_duration(7'500),
+                                 .deadline_span = to_duration(25'000),
                                  .retry_safety = RetrySafety::idempotent}};
   Answering host;
   const auto router = make_routing_policy(deployment, 7, host);
   std::vector<Endpoint> fleet;
   for (int i = 0; i < state.range(0); ++i) fleet.push_back({.id = "box-" + std::to_string(i), .rating = 2});
-  router->endpoints_updated(host.now, EndpointListForm::snapshot, fleet);
+  router->endpoints_updated(to_timestamp(host.now), EndpointListForm::complete, fleet);
 
   std::vector<std::string> names;
   for (int i = 0; i < functions; ++i) names.push_back("ward-" + std::to_string(i));
@@ -72,21 +72,23 @@
   RequestId id = 0;
   const auto turn = [&] {
     host.now += pause;
-    if (host.housekeeping != 0 && host.now >= host.housekeeping) router->timer_fired(host.now, 0);
+    if (host.housekeeping != 0 && host.now >= host.housekeeping)
+      router->timer_fired(to_timestamp(host.now), 0);
     while (next < host.shots.size() && host.shots[next].sent + answer_after <= host.now) {
       const Answering::Out out = host.shots[next++];
-      router->attempt_ended(host.now, {.request = out.event,
-                                       .endpoint = out.server,
-                                       .final = true,
-                                       .taken = answer_after,
-                                       .copy_state = CopyState::loaded});
+      router->attempt_ended(to_timestamp(host.now), {.request = out.event,
+                                                     .endpoint = out.server,
+                                                     .final = true,
+                                                     .taken = to_duration(answer_after),
+                                                     .copy_state = CopyState::loaded});
     }
     if (next > 10'000) host.shots.erase(host.shots.begin(), host.shots.begin() + 10'000), next -= 10'000;
     // By Zipf's law, without a random number: the golden ratio's steps fill the unit interval evenly.
     const double even = std::fmod(static_cast<double>(++id) * 0.6180339887498949, 1.0);
     const auto which = static_cast<std::size_t>(std::pow(functions, even)) - 1;
     router->request_received(
-        host.now, {.id = id, .request_class = "lookup", .function = names[which], .time_left = 25'000});
+        to_timestamp(host.now),
+        {.id = id, .request_class = "lookup", .function = names[which], .time_left = to_duration(25'000)});
   };
   for (int i = 0; i < 20'000; ++i) turn();  // until it knows its fleet
   for (auto _ : state) turn();
--- a/tests/core/server_addresses_test.cpp
+++ b/tests/core/endpoint_addresses_test.cpp
@@ -1,5 +1,5 @@
 // Which addresses a server list changes.
-#include "core/server_addresses.h"
+#include "core/endpoint_addresses.h"
 
 #include <gtest/gtest.h>
 
@@ -25,7 +25,7 @@
 
 TEST_F(ServerAddressesTest, AWholeListMakesTheServersItLeavesOutUnreachable) {
   const Map expected{{"a", ""}, {"b", "127.0.0.1:2"}};
-  EXPECT_EQ(addresses.listed(EndpointListForm::snapshot, {{{.id = "b"}, "127.0.0.1:2"}}), expected);
+  EXPECT_EQ(addresses.listed(EndpointListForm::complete, {{{.id = "b"}, "127.0.0.1:2"}}), expected);
   EXPECT_EQ(addresses.listed(EndpointListForm::cached, {{{.id = "b"}, "127.0.0.1:2"}}), expected);
 }
 
@@ -42,7 +42,7 @@
   EXPECT_TRUE(addresses.set("a", ""));
   EXPECT_FALSE(addresses.set("a", "")) << "forgotten already";
   EXPECT_FALSE(addresses.set("never seen", ""));
-  EXPECT_EQ(addresses.listed(EndpointListForm::snapshot, {}), (Map{{"b", ""}}));
+  EXPECT_EQ(addresses.listed(EndpointListForm::complete, {}), (Map{{"b", ""}}));
 }
 
 }  // namespace
--- a/tests/core/server_call_execution_test.cpp
+++ b/tests/core/endpoint_call_execution_test.cpp
@@ -1,5 +1,5 @@
 // Probes and orders to load: sent, measured, and reported to the decision module.
-#include "core/server_call_execution.h"
+#include "core/endpoint_call_execution.h"
 
 #include "core/parts_fixture.h"
 
--- a/tests/core/gateway_test.cpp
+++ b/tests/core/gateway_test.cpp
@@ -76,7 +76,7 @@
     for (int i = 0; i < servers; ++i)
       entries.push_back(
           {{.id = std::string(1, static_cast<char>('a' + i))}, "127.0.0.1:" + std::to_string(9000 + i)});
-    gateway->endpoints_updated(EndpointListForm::snapshot, entries);
+    gateway->endpoints_updated(EndpointListForm::complete, entries);
   }
   RequestId event(const std::string& type = "lookup") {
     const auto id = gateway->accept(source, told,
@@ -386,7 +386,7 @@
 
 TEST_F(GatewayStory, ServersThatLeaveTheListAreReachedNoMore) {
   start();
-  gateway->endpoints_updated(EndpointListForm::snapshot, {{{.id = "b"}, "127.0.0.1:9001"}});
+  gateway->endpoints_updated(EndpointListForm::complete, {{{.id = "b"}, "127.0.0.1:9001"}});
   EXPECT_EQ(told.addresses.at("a"), "");
   EXPECT_EQ(told.addresses.at("b"), "127.0.0.1:9001");
   gateway->endpoints_updated(EndpointListForm::delta, {{{.id = "b"}, "127.0.0.1:9777"}});
@@ -434,7 +434,7 @@
       EndpointListForm::delta,
       {{{.id = "b", .state = EndpointState::draining}, "127.0.0.1:9001"}, {{.id = "c"}, "127.0.0.1:9002"}});
   EXPECT_EQ(told.recalled, std::vector<EndpointId>{"b"});
-  gateway->endpoints_updated(EndpointListForm::snapshot, {{{.id = "c"}, "127.0.0.1:9002"}});
+  gateway->endpoints_updated(EndpointListForm::complete, {{{.id = "c"}, "127.0.0.1:9002"}});
   EXPECT_EQ(told.recalled, (std::vector<EndpointId>{"b", "a", "b"}))
       << "what a whole list leaves out is gone";
 }
--- a/tests/core/idle_close_test.cpp
+++ b/tests/core/idle_close_test.cpp
@@ -96,7 +96,7 @@
     source = gateway->add_source(1);
     std::vector<EndpointListEntry> list{{{.id = "one"}, one.address()}};
     if (servers == 2) list.push_back({{.id = "other"}, other.address()});
-    gateway->endpoints_updated(EndpointListForm::snapshot, list);
+    gateway->endpoints_updated(EndpointListForm::complete, list);
     for (const EndpointListEntry& entry : list) carrier->probe(entry.endpoint.id, second);
     ASSERT_TRUE(pump.until([&] { return answered == servers; }));
     pump.pass(50);
--- a/tests/events/cloudevent_test.cpp
+++ b/tests/events/cloudevent_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "core/intake.h"
+#include "core/request_reader.h"
 
 namespace rushhill::events {
 namespace {
--- a/tests/fake_host.h
+++ b/tests/fake_host.h
@@ -78,7 +78,7 @@
     router = make_routing_policy(deployment, seed, host);
     std::vector<Endpoint> list;
     for (int i = 0; i < servers; ++i) list.push_back({.id = std::string(1, static_cast<char>('a' + i))});
-    router->endpoints_updated(to_timestamp(now), EndpointListForm::snapshot, list);
+    router->endpoints_updated(to_timestamp(now), EndpointListForm::complete, list);
   }
   void change(const Endpoint& server) {
     router->endpoints_updated(to_timestamp(now), EndpointListForm::delta, {server});
--- a/tests/frontends/front_story.h
+++ b/tests/frontends/front_story.h
@@ -53,7 +53,7 @@
           "content-type: application/json\r\ncontent-length: " +
           std::to_string(data.size()) + "\r\n\r\n" + data);
     };
-    router.gateway().endpoints_updated(EndpointListForm::snapshot, {{{.id = "s"}, server.address()}});
+    router.gateway().endpoints_updated(EndpointListForm::complete, {{{.id = "s"}, server.address()}});
   }
   RawPeer& connect() {
     clients.push_back(std::make_unique<RawPeer>(reactor, router.address()));
--- a/tests/frontends/http_front_test.cpp
+++ b/tests/frontends/http_front_test.cpp
@@ -141,7 +141,7 @@
 }
 
 TEST_F(FrontStory, WithNobodyToSendToAnEventIsShedAndMayBeRepeated) {
-  router.gateway().endpoints_updated(EndpointListForm::snapshot, {});
+  router.gateway().endpoints_updated(EndpointListForm::complete, {});
   RawPeer& client = connect();
   client.stream->write(request("s"));
   ASSERT_TRUE(pump.until([&] { return count(client.seen) == 1; }));
@@ -156,7 +156,7 @@
   client.stream->write(request("w"));
   ASSERT_TRUE(pump.until([&] { return !shot.empty(); }));
   bool over = false;
-  router.wind_up([&] { over = true; });
+  router.start_draining([&] { over = true; });
   RawPeer& late = connect();
   ASSERT_TRUE(pump.until([&] { return late.ended; }));
   server.peers.front()->stream->write(
@@ -174,7 +174,7 @@
  protected:
   FrontLeavingStory() {
     answering = false;
-    router.gateway().endpoints_updated(EndpointListForm::snapshot,
+    router.gateway().endpoints_updated(EndpointListForm::complete,
                                        {{{.id = "s"}, server.address()}, {{.id = "t"}, server.address()}});
   }
   static void leave(Visitor& visitor) {
@@ -323,7 +323,7 @@
     EXPECT_TRUE(pump.until([&] { return visitor.read(), visitor.ended; }));
   }
   void told_to_end() {
-    router.wind_up([this] { over = true; });
+    router.start_draining([this] { over = true; });
   }
   bool over = false;
 };
--- a/tests/frontends/http_pieces_test.cpp
+++ b/tests/frontends/http_pieces_test.cpp
@@ -52,7 +52,7 @@
   send(first, whole.substr(0, cut));
   send(second, whole.substr(0, cut));
   bool over = false;
-  router.wind_up([&] { over = true; });
+  router.start_draining([&] { over = true; });
   pump.pass(within_the_request);
   send(first, whole.substr(cut));
   send(second, whole.substr(cut));
--- a/tests/frontends/mqtt_answer_test.cpp
+++ b/tests/frontends/mqtt_answer_test.cpp
@@ -22,7 +22,7 @@
 
 TEST(MqttAnswerTest, AReplyCarriesItsAttributesAsUserProperties) {
   events::CloudEvent reply{.id = "r", .source = "/s", .type = "t", .others = {{"subject", "x"}}, .data = "d"};
-  const Packet answer = to_answer("answers", {.outcome = admission::Outcome::honoured, .reply = reply});
+  const Packet answer = to_answer("answers", {.outcome = admission::Outcome::succeeded, .reply = reply});
   EXPECT_EQ(answer.topic, "answers");
   EXPECT_EQ(answer.payload, "d");
   EXPECT_EQ(answer.properties.content_type, "application/octet-stream");
@@ -32,11 +32,11 @@
 }
 
 TEST(MqttAnswerTest, AProblemTellsWhetherToRepeatAndWhen) {
-  const Packet shed = to_answer("answers", {.outcome = admission::Outcome::shed, .retry_after = 11});
+  const Packet shed = to_answer("answers", {.outcome = admission::Outcome::rejected, .retry_after = 11});
   EXPECT_EQ(shed.properties.content_type, "application/problem+json");
   EXPECT_EQ(shed.payload, R"({"harmless_to_repeat":true,"outcome":"shed","retry_after_ms":2,)"
                           R"("type":"urn:rushhill:problem:shed"})");
-  EXPECT_EQ(to_answer("answers", {.outcome = admission::Outcome::abandoned}).payload,
+  EXPECT_EQ(to_answer("answers", {.outcome = admission::Outcome::failed}).payload,
             R"({"harmless_to_repeat":false,"outcome":"abandoned","type":"urn:rushhill:problem:abandoned"})");
 }
 
--- a/tests/frontends/mqtt_front_test.cpp
+++ b/tests/frontends/mqtt_front_test.cpp
@@ -61,7 +61,7 @@
                              "\nclient = r\nretry = 10ms\nremember = 60s\n" + mqtt +
                              "[mqtt-topic wards]\nfilter = wards/+/+\nqos = 2\nfunction = ward-{1}\n" + topic;
     router = std::make_unique<router::RouterProcess>(reactor, deployment::read_text("f", text), 5, silent);
-    router->gateway().endpoints_updated(EndpointListForm::snapshot, {{{.id = "s"}, server.address()}});
+    router->gateway().endpoints_updated(EndpointListForm::complete, {{{.id = "s"}, server.address()}});
     ASSERT_TRUE(pump.until([&] { return broker.subscribed() > 0; }));
     pump.pass(100);
   }
@@ -223,7 +223,7 @@
       common + "[mqtt]\naddress = " + broker.address().toString() +
       "\nclient = q\nretry = 10ms\n[mqtt-topic wards]\nfilter = wards/+/+\nfunction = ward-{1}\n" + group;
   auto other = std::make_unique<router::RouterProcess>(reactor, deployment::read_text("f", text), 6, silent);
-  other->gateway().endpoints_updated(EndpointListForm::snapshot, {{{.id = "s"}, server.address()}});
+  other->gateway().endpoints_updated(EndpointListForm::complete, {{{.id = "s"}, server.address()}});
   ASSERT_TRUE(pump.until([&] { return broker.subscribed() == 2; }));
   pump.pass(100);
   for (int i = 0; i < 10; ++i) broker.publish(message("m" + std::to_string(i), "booking"));
@@ -342,7 +342,7 @@
 
 TEST_F(MqttStory, AnEventThatNobodyMayTakeIsShedAndAcknowledged) {
   start();
-  router->gateway().endpoints_updated(EndpointListForm::snapshot, {});
+  router->gateway().endpoints_updated(EndpointListForm::complete, {});
   broker.publish(message("s"));
   ASSERT_TRUE(acknowledged(1));
   EXPECT_EQ(outcome("s"), "shed");
@@ -350,13 +350,13 @@
 
 TEST_F(MqttStory, AMessageThatNobodyWaitsForIsTriedAgainAndHonoured) {
   start("tries = 50\n");
-  router->gateway().endpoints_updated(EndpointListForm::snapshot, {});
+  router->gateway().endpoints_updated(EndpointListForm::complete, {});
   Packet alone = message("alone");
   alone.properties.response_topic.reset();
   broker.publish(alone);
   ASSERT_TRUE(pump.until([&] { return tally().retried >= 2; }));
   EXPECT_TRUE(broker.acknowledged().empty());
-  router->gateway().endpoints_updated(EndpointListForm::snapshot, {{{.id = "s"}, server.address()}});
+  router->gateway().endpoints_updated(EndpointListForm::complete, {{{.id = "s"}, server.address()}});
   ASSERT_TRUE(acknowledged(1));
   EXPECT_EQ(shots["alone"], 1);
   EXPECT_TRUE(routed("rushhill/dead-letter").empty());
@@ -364,7 +364,7 @@
 
 TEST_F(MqttStory, AfterTheToldTriesItGoesToTheDeadLettersWholeAndWithTheReason) {
   start("tries = 2\n");
-  router->gateway().endpoints_updated(EndpointListForm::snapshot, {});
+  router->gateway().endpoints_updated(EndpointListForm::complete, {});
   Packet alone = message("alone");
   alone.properties.response_topic.reset();
   broker.publish(alone);
@@ -381,7 +381,7 @@
   for (const char* id : {"held", "behind", "late"}) broker.publish(message(id, "booking"));
   ASSERT_TRUE(pump.until([&] { return held.size() == 1; }));
   bool ended = false;
-  router->wind_up([&] { ended = true; });
+  router->start_draining([&] { ended = true; });
   pump.pass(500);
   EXPECT_FALSE(ended);
   let_go();
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <cstdlib>
 
-#include "core/intake.h"
+#include "core/request_reader.h"
 #include "events/cloudevent.h"
 #include "transport/http.h"
 #include "transport/upstream_responses.h"
--- a/tests/membership/roster_test.cpp
+++ b/tests/membership/roster_test.cpp
@@ -75,7 +75,7 @@
   remembered.hear(word(R"({"id":"b","condition":"gone"})"));
   RosterWord whole = remembered.whole();
   ASSERT_EQ(whole.entries.size(), 1U);
-  whole.form = EndpointListForm::snapshot;
+  whole.form = EndpointListForm::complete;
   const RosterWord back = read_word(write_word(whole, 1'000), 1'000);
   EXPECT_EQ(back.entries[0].endpoint.started, whole.entries[0].endpoint.started);
   EXPECT_EQ(back.entries[0].endpoint.rating, 2.5);
@@ -121,14 +121,14 @@
   EXPECT_NE(server.peers.front()->seen.find("\"router\":4"), std::string::npos);
   server.peers.front()->stream->close();
   ASSERT_TRUE(pump.until([&] { return heard.size() == 3; }));
-  EXPECT_EQ(heard, (std::vector<EndpointListForm>{EndpointListForm::snapshot, EndpointListForm::failed,
-                                                  EndpointListForm::snapshot}));
+  EXPECT_EQ(heard, (std::vector<EndpointListForm>{EndpointListForm::complete, EndpointListForm::failed,
+                                                  EndpointListForm::complete}));
 }
 
 TEST_F(Following, AWordThatCannotBeReadBreaksTheConnectionAndNotTheList) {
   ASSERT_TRUE(pump.until([&] { return heard.size() == 1; }));
   server.peers.front()->stream->write("{\"form\":\n");
-  ASSERT_TRUE(pump.until([&] { return failures() == 1 && heard.back() == EndpointListForm::snapshot; }));
+  ASSERT_TRUE(pump.until([&] { return failures() == 1 && heard.back() == EndpointListForm::complete; }));
   EXPECT_TRUE(client.heard_any());
 }
 
@@ -178,7 +178,7 @@
                }) {
     client.watch(true);
   }
-  bool told() const { return !heard.empty() && heard.back() == EndpointListForm::snapshot; }
+  bool told() const { return !heard.empty() && heard.back() == EndpointListForm::complete; }
   Silent silent;
   std::vector<EndpointListForm> heard;
   RosterClient client;
--- a/tests/membership/start_times_test.cpp
+++ b/tests/membership/start_times_test.cpp
@@ -34,7 +34,7 @@
   // The age of each server as the list is read by a process whose wall clock is off by `step`.
   Time age_of(const std::string& id, Time step, EndpointEntries entries) {
     translator.translate_snapshot({.monotonic = now, .wall = true_wall + step}, latest_start(entries),
-                                  EndpointListForm::snapshot, entries);
+                                  EndpointListForm::complete, entries);
     const auto it = std::ranges::find_if(entries, [&](const auto& one) { return one.endpoint.id == id; });
     return now - to_ticks(it->endpoint.started);
   }
@@ -99,9 +99,9 @@
   StartTimeTranslator translator;
   EndpointEntries first{entry("a", told_at_age(60 * second)), entry("b", told_at_age(second))};
   translator.translate_snapshot({.monotonic = now, .wall = true_wall}, latest_start(first),
-                                EndpointListForm::snapshot, first);
+                                EndpointListForm::complete, first);
   EndpointEntries again{entry("a", told_at_age(60 * second)), entry("b", told_at_age(0))};
-  translator.translate_update(now + second, EndpointListForm::snapshot, again);
+  translator.translate_update(now + second, EndpointListForm::complete, again);
   EXPECT_EQ(again[0].endpoint.started, first[0].endpoint.started);
   EXPECT_EQ(again[1].endpoint.started, to_timestamp(now + second));
   EndpointEntries in_the_same_moment{entry("b", told_at_age(-second))};
@@ -112,13 +112,13 @@
 TEST(StartTimes, AServerThatLeftOrWasMissingFromAWholeListIsNewWhenItReturns) {
   StartTimeTranslator translator;
   EndpointEntries both{entry("a", told_at_age(second)), entry("b", told_at_age(second))};
-  translator.translate_update(now, EndpointListForm::snapshot, both);
+  translator.translate_update(now, EndpointListForm::complete, both);
   EndpointEntries left{entry("a", told_at_age(second))};
   left[0].endpoint.state = EndpointState::removed;
   translator.translate_update(now + 1, EndpointListForm::delta, left);
   EXPECT_EQ(left[0].endpoint.started, to_timestamp(now)) << "the incarnation that was known";
   EndpointEntries missing{};
-  translator.translate_update(now + 2, EndpointListForm::snapshot, missing);
+  translator.translate_update(now + 2, EndpointListForm::complete, missing);
   EndpointEntries back{entry("a", told_at_age(second)), entry("b", told_at_age(second))};
   translator.translate_update(now + 3, EndpointListForm::delta, back);
   EXPECT_EQ(back[0].endpoint.started, to_timestamp(now + 3));
@@ -226,7 +226,7 @@
 class SteppedRoster : public SteppedDiscovery {
  protected:
   std::string list(const std::string& form, const std::vector<std::pair<std::string, Time>>& servers) const {
-    RosterWord word{.form = form == "changes" ? EndpointListForm::delta : EndpointListForm::snapshot,
+    RosterWord word{.form = form == "changes" ? EndpointListForm::delta : EndpointListForm::complete,
                     .revision = 1,
                     .entries = {},
                     .remarks = {}};
@@ -255,7 +255,7 @@
   }
   void restart() {
     RosterWord whole = client->remembered().whole();
-    whole.form = EndpointListForm::snapshot;
+    whole.form = EndpointListForm::complete;
     stored = write_word(whole, 0);
     client.reset();
     pass(second);
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -199,7 +199,7 @@
     if (second) peer.stream->write("bbbbbbbbbbbbbbbb HIT - 2\r\nok\r\n");
   };
   bool ended = false;
-  router.wind_up([&] { ended = true; });
+  router.start_draining([&] { ended = true; });
   const auto front = client();
   front->stream->write(fastcgi::write_request(2, ask("bbbbbbbbbbbbbbbb")));
   ASSERT_TRUE(seen(*front, "Status: 200"));
--- a/tests/node/owed_test.cpp
+++ b/tests/node/owed_test.cpp
@@ -364,7 +364,7 @@
     start(settings, host("s1", one.address()));
   }
   void told_to_end() {
-    router->wind_up([this] {
+    router->start_draining([this] {
       ended = true;
       reactor.post([this] { router.reset(); });
     });
@@ -419,7 +419,7 @@
   client->stream->write(ask(1, first_id));
   ASSERT_TRUE(pump.until([&] { return client->seen.find("Status: 200") != std::string::npos; }));
   bool end_seen_before = false;
-  router->wind_up([&] { ended = true, end_seen_before = client->ended; });
+  router->start_draining([&] { ended = true, end_seen_before = client->ended; });
   ASSERT_TRUE(pump.until([&] { return ended; }));
   EXPECT_TRUE(end_seen_before) << "closed by us while its client could still write";
 }
--- a/tests/node/system_calls_test.cpp
+++ b/tests/node/system_calls_test.cpp
@@ -211,7 +211,7 @@
 TEST_F(SystemCallDay, WhatStandsInTheQueueAtTheEndIsAnsweredThoughAcceptFails) {
   start(5);
   bool over = false;
-  router->node->wind_up([&] { over = true; });
+  router->node->start_draining([&] { over = true; });
   step();
   ask_each(true);
   router->system.fail_at_rate(SystemCall::accept4, 0.8);
--- a/tests/replica/marks_test.cpp
+++ b/tests/replica/marks_test.cpp
@@ -272,9 +272,9 @@
   const std::string endless(5'000, 'x');
   EXPECT_EQ(marks.take(0, 1, mark_of(endless, "1"), MarkLevel::held, second), Taking::go)
       << "nobody is asked";
-  EXPECT_EQ(marks.take(0, 2, mark_of(endless, "2"), MarkLevel::told, second), Taking::go);
-  EXPECT_EQ(marks.take(0, 3, mark_of(endless, "1"), MarkLevel::told, second), Taking::known);
-  EXPECT_EQ(marks.take(0, 4, mark_of("/shop", "17"), MarkLevel::told, second), Taking::full);
+  EXPECT_EQ(marks.take(0, 2, mark_of(endless, "2"), MarkLevel::announced, second), Taking::go);
+  EXPECT_EQ(marks.take(0, 3, mark_of(endless, "1"), MarkLevel::announced, second), Taking::known);
+  EXPECT_EQ(marks.take(0, 4, mark_of("/shop", "17"), MarkLevel::announced, second), Taking::full);
   EXPECT_NE(mark_of("a", "b c"), mark_of("a b", "c"));
 }
 
@@ -342,7 +342,7 @@
     EXPECT_GE(at, 0) << what;
     testing::Test::RecordProperty(what, at);
   };
-  found("nobody_is_waited_for", {.level = MarkLevel::told});
+  found("nobody_is_waited_for", {.level = MarkLevel::announced});
   found("held_by_too_few", {.others = 1});
   found("who_forgot_counts_as_a_holder", {.trusts_at_once = true});
 }
--- a/tests/router/remembered_endpoint_list_test.cpp
+++ b/tests/router/remembered_endpoint_list_test.cpp
@@ -43,7 +43,7 @@
   core::EndpointListEntry entry{
       .endpoint = {.id = "s" + std::to_string(revision), .started = to_timestamp(77)},
       .address = "127.0.0.1:9"};
-  return {.form = EndpointListForm::snapshot, .revision = revision, .entries = {entry}};
+  return {.form = EndpointListForm::complete, .revision = revision, .entries = {entry}};
 }
 
 class RememberedList : public testing::Test {
--- a/tests/routing/cold_fleet_test.cpp
+++ b/tests/routing/cold_fleet_test.cpp
@@ -239,7 +239,7 @@
     deployment_.router_number = instance.me;
     const auto seed = play_.seed * 1'000U + static_cast<std::uint32_t>(instance.me + 100'000 * instance.life);
     instance.router = make_routing_policy(deployment_, seed, instance);
-    instance.router->endpoints_updated(to_timestamp(now_), EndpointListForm::snapshot, list);
+    instance.router->endpoints_updated(to_timestamp(now_), EndpointListForm::complete, list);
     for (const Endpoint& server : list) instance.known[server.id] = to_ticks(server.started);
   }
   // Servers whose process dies and is back at once, cold; the routers hear of it one after the other.
--- a/tests/routing/routing_policy_placement_test.cpp
+++ b/tests/routing/routing_policy_placement_test.cpp
@@ -139,7 +139,7 @@
     story.start(0);
     std::vector<Endpoint> list;
     for (int i = 0; i < 80; ++i) list.push_back({.id = "s" + std::to_string(i)});
-    story.router->endpoints_updated(to_timestamp(story.now), EndpointListForm::snapshot, list);
+    story.router->endpoints_updated(to_timestamp(story.now), EndpointListForm::complete, list);
     at_first.insert(story.honour("hot"));
     for (int i = 0; i < 150; ++i) story.honour("f" + std::to_string(i % 50), "", second / 100);
     late.insert(story.honour("rare"));
