--- a/src/lab/bench.cpp
+++ b/src/lab/bench.cpp
@@ -210,7 +210,9 @@
               << std::setprecision(3) << "HTTP " << share(http) << ", quiet topic " << share(topics[0])
               << ", flooding topic " << share(topics[1]) << std::setprecision(0) << " ("
               << topics[1]["honoured"].get<double>() / topics[1]["seconds"].get<double>()
-              << " honoured a second)" << std::endl;
+              << " honoured a second)"
+              << "\n"
+              << std::flush;
   }
 
   // One topic, as many messages out as the HTTP client has connections.
@@ -241,7 +243,9 @@
               << " a second: added at the median "
               << routed["median_us"].get<double>() - beside["median_us"].get<double>()
               << " us, at the 99th percentile "
-              << routed["p99_us"].get<double>() - beside["p99_us"].get<double>() << " us" << std::endl;
+              << routed["p99_us"].get<double>() - beside["p99_us"].get<double>() << " us"
+              << "\n"
+              << std::flush;
   }
 
   static void print(const std::string& name, const Json& result, const Json* direct) {
@@ -252,7 +256,7 @@
     if (direct != nullptr)
       std::cout << std::setprecision(2) << ", of the direct way "
                 << result["per_second"].get<double>() / (*direct)["per_second"].get<double>();
-    std::cout << std::endl;
+    std::cout << "\n" << std::flush;
   }
 
   static double resident_kib(pid_t id) {
@@ -283,7 +287,9 @@
       after = std::max(after, now);
     }
     std::cout << open << " events open: " << std::fixed << std::setprecision(2) << (after - before) / open
-              << " KiB an event (" << std::setprecision(1) << after / 1024 << " MiB in all)" << std::endl;
+              << " KiB an event (" << std::setprecision(1) << after / 1024 << " MiB in all)"
+              << "\n"
+              << std::flush;
   }
 
   Bench how_;
--- a/src/log/event_log.h
+++ b/src/log/event_log.h
@@ -8,7 +8,7 @@
 #include "core/event_log.h"
 
 namespace spdlog {
-class logger;
+class logger;  // NOLINT(readability-identifier-naming): the library's name
 }
 
 namespace rushhill::log {
--- a/src/scale/costs.cpp
+++ b/src/scale/costs.cpp
@@ -525,9 +525,9 @@
                  [=](double n, Counter& c) {
                    return memory_cost(with(with(in_turn, &Sizes::servers, 250), &Sizes::functions, n), c);
                  }});
-  all.push_back({"module.probe-messages-by-servers", "EndpointMonitor: src/routing",
-                 "second, whole fleet", "servers", "load reports by probe and peers permitted", servers,
-                 small_servers, [=](double n, Counter& c) {
+  all.push_back({"module.probe-messages-by-servers", "EndpointMonitor: src/routing", "second, whole fleet",
+                 "servers", "load reports by probe and peers permitted", servers, small_servers,
+                 [=](double n, Counter& c) {
                    Sizes sizes = with(usual, &Sizes::servers, n);
                    sizes.probing = true;
                    return probing_cost(sizes, c);
--- a/src/standin/broker.h
+++ b/src/standin/broker.h
@@ -33,7 +33,8 @@
   void drop_clients();        // every connection ends; sessions live on
   void restart(bool forget);  // the same, sessions forgotten or not; connections are refused for so long
   void cut_next_publish(std::size_t bytes) {
-    cut_at_ = bytes, cut_due_ = true;
+    cut_at_ = bytes;
+    cut_due_ = true;
   }                                                          // then drops that connection
   void cut_after(std::size_t bytes) { cut_total_ = bytes; }  // of all it sends on the next connection
   void duplicate(bool on) { duplicating_ = on; }             // every QoS 1 message goes out twice
--- a/src/standin/machine.h
+++ b/src/standin/machine.h
@@ -26,7 +26,10 @@
   // How long a fetch of usual length takes if it begins now; below 0: turned away.
   Time begin(Time usual);
   void end() { under_way_ -= 1; }
-  void trouble(double slowness, bool refusing) { slowness_ = slowness, refusing_ = refusing; }
+  void trouble(double slowness, bool refusing) {
+    slowness_ = slowness;
+    refusing_ = refusing;
+  }
   double fetch_share() const { return make_.fetch_share; }
   std::int64_t fetches() const { return fetches_; }
 
--- a/src/standin/record.h
+++ b/src/standin/record.h
@@ -20,7 +20,10 @@
     if (!out_.is_open()) throw std::runtime_error(path + ": cannot be written");
   }
   // Also keeps every line there and a digest of all of them.
-  void keep(std::vector<nlohmann::json>* kept) { kept_ = kept, digesting_ = true; }
+  void keep(std::vector<nlohmann::json>* kept) {
+    kept_ = kept;
+    digesting_ = true;
+  }
   void line(const nlohmann::json& seen) {
     if (!out_.is_open() && !digesting_) return;
     const std::string text = seen.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
