--- a/src/scale/costs.cpp
+++ b/src/scale/costs.cpp
@@ -451,10 +451,10 @@
 std::vector<Cost> all_costs() {
   const Sizes usual{};
   const Sizes in_turn{.servers = 64, .even = true};
-  const char* const pick = "RoutingPolicy::request_received, EndpointSelector, Placement: src/routing";
-  const char* const house = "PeriodicMaintenance: src/routing";
-  const char* const list = "RoutingPolicy::endpoints_updated, WarmIndex, Placement: src/routing";
-  const char* const memory = "FunctionRecord, EndpointRecord, BelievedCopy: src/routing";
+  const char* const pick = "request_received, pick, rank_homes: src/routing/routing_policy.cpp";
+  const char* const house = "keep_house: src/routing/routing_policy.cpp";
+  const char* const list = "endpoints_updated, rank_homes: src/routing/routing_policy.cpp";
+  const char* const memory = "Function, Server, Entry: src/routing/routing_policy.cpp";
   const char* const board = "BoardClient, read_line: src/membership";
   const char* const roster = "RosterClient, read_word, Remembered: src/membership";
   const char* const peers = "BarePeers: src/transport/bare_peers.cpp";
@@ -525,9 +525,9 @@
                  [=](double n, Counter& c) {
                    return memory_cost(with(with(in_turn, &Sizes::servers, 250), &Sizes::functions, n), c);
                  }});
-  all.push_back({"module.probe-messages-by-servers", "EndpointMonitor: src/routing", "second, whole fleet",
-                 "servers", "load reports by probe and peers permitted", servers, small_servers,
-                 [=](double n, Counter& c) {
+  all.push_back({"module.probe-messages-by-servers", "ask_load, probe_ended: src/routing/routing_policy.cpp",
+                 "second, whole fleet", "servers", "load reports by probe and peers permitted", servers,
+                 small_servers, [=](double n, Counter& c) {
                    Sizes sizes = with(usual, &Sizes::servers, n);
                    sizes.probing = true;
                    return probing_cost(sizes, c);
