--- a/src/routing/configuration.h
+++ b/src/routing/configuration.h
@@ -26,6 +26,7 @@
   bool restored_after_restart = false;
 };
 
+// What may be done about a request after its first attempt.
 struct RetryConfiguration {
   int attempt_limit = 1;         // of one request
   bool cancel_attempts = false;  // whether attempts may be cancelled
@@ -56,6 +57,7 @@
   double load = 0;            // of loading a copy from its store
 };
 
+// All of it, for one router.
 struct RoutingConfiguration {
   int router_number = 0;  // from 0
   int routers = 1;
--- /dev/null
+++ b/src/routing/endpoint_table.cpp
@@ -0,0 +1,42 @@
+#include "routing/endpoint_table.h"
+
+namespace rushhill::routing {
+namespace {
+
+constexpr Duration removed_kept = 120 * one_second;  // late answers and a return of the endpoint come within
+
+}  // namespace
+
+EndpointUpdate EndpointTable::update(const Endpoint& endpoint) {
+  const auto [it, added] = records_.try_emplace(endpoint.id);
+  EndpointRecord& record = it->second;
+  const bool restarted = !added && endpoint.started != record.endpoint.started;
+  record.endpoint = endpoint;
+  record.removed_at = Timestamp{};
+  return {.record = record, .added = added, .restarted = restarted};
+}
+
+void EndpointTable::remove(Timestamp now, EndpointRecord& record) {
+  record.endpoint.state = EndpointState::removed;
+  if (record.removed_at == Timestamp{}) record.removed_at = now;
+}
+
+void EndpointTable::erase_removed(Timestamp now) {
+  version_ += std::erase_if(records_, [&](const auto& item) {
+    const EndpointRecord& record = item.second;
+    return record.removed_at != Timestamp{} && record.in_flight.open() == 0 &&
+           now - record.removed_at > removed_kept;
+  });
+}
+
+EndpointRecord* EndpointTable::find(const EndpointId& id) {
+  const auto it = records_.find(id);
+  return it == records_.end() ? nullptr : &it->second;
+}
+
+const EndpointRecord* EndpointTable::find(const EndpointId& id) const {
+  const auto it = records_.find(id);
+  return it == records_.end() ? nullptr : &it->second;
+}
+
+}  // namespace rushhill::routing
--- a/src/routing/load_budget.h
+++ b/src/routing/load_budget.h
@@ -13,33 +13,35 @@
 
 namespace rushhill::routing {
 
+// What bounds the orders of one router.
 struct LoadBudgetLimits {
   bool orders_permitted = false;
-  Time window = 0;                // 0: no limit but that on pending orders
+  Duration window{};              // 0: no limit but that on pending orders
   double free_orders = 0;         // within a window
   double orders_per_request = 0;  // on top, for each request taken within a window
-  bool earlier_orders_follow =
-      false;  // what this router ordered before its restart is reported after the start
+  // What this router ordered before its restart is reported after the start.
+  bool earlier_orders_follow = false;
 };
 
+// Counts this router's prewarm orders and says whether one more is allowed.
 class LoadBudget {
  public:
   explicit LoadBudget(const LoadBudgetLimits& limits);
 
-  void request_taken(Time now);
-  void order_sent(Time now);
+  void request_taken(Timestamp now);
+  void order_sent(Timestamp now);
   void order_ended();
   // Orders that this router sent before its restart and that still count.
-  void earlier_orders_known(Time now, double orders);
+  void earlier_orders_known(Timestamp now, double orders);
 
   // Whether one more order is within the budget.
-  bool allows_order(Time now) const;
+  bool allows_order(Timestamp now) const;
 
  private:
   static constexpr std::size_t max_pending_orders = 4;
   static constexpr int window_parts = 16;  // buckets of a window; an order counts at most 1/16 too long
 
-  static Time part_of(Time window);
+  static Duration part_of(Duration window);
 
   LoadBudgetLimits limits_;
   SlidingWindow<double, window_parts + 1> orders_;
--- a/src/routing/overload_control.cpp
+++ b/src/routing/overload_control.cpp
@@ -5,8 +5,7 @@
 namespace rushhill::routing {
 namespace {
 
-constexpr double slow_share_without_load =
-    0.15;                                // of attempts at loaded copies; as many are slow on a calm day
+constexpr double slow_share_without_load = 0.15;  // of attempts at loaded copies; as on a day without load
 constexpr double rejected_per_slow = 2;  // requests for each slow attempt beyond; more would oscillate
 constexpr double most_rejected = 0.9;    // of a tenant's requests; the rest shows when it is over
 constexpr double prior_attempts = 3;     // attempts; so that a few slow ones are no overload
@@ -20,20 +19,20 @@
   return attempts_.try_emplace(tenant, one_second).first->second;
 }
 
-void OverloadControl::attempt_at_loaded_copy(Time now, const std::string& tenant, bool slow) {
+void OverloadControl::attempt_at_loaded_copy(Timestamp now, const std::string& tenant, bool slow) {
   attempts_of(tenant).bucket_at(now) += Attempts{.all = 1, .slow = slow ? 1.0 : 0.0};
 }
 
-double OverloadControl::share_to_reject(Time now, const std::string& tenant) {
+double OverloadControl::share_to_reject(Timestamp now, const std::string& tenant) {
   const Attempts recent = attempts_of(tenant).total(now, recent_buckets);
   const double slow_share = recent.slow / (recent.all + prior_attempts);
   return std::min(rejected_per_slow * (slow_share - slow_share_without_load), most_rejected);
 }
 
-void OverloadControl::observe_in_flight(Time now, Time observed_for, double requests,
+void OverloadControl::observe_in_flight(Timestamp now, Duration observed_for, double requests,
                                         std::vector<double>& outlasting) {
-  const Time span = std::clamp(observed_for, one_second, recent_buckets * one_second);
-  const double no_load_in_flight = no_load_times_.total(now, recent_buckets) / static_cast<double>(span);
+  const Duration span = std::clamp(observed_for, one_second, recent_buckets * one_second);
+  const double no_load_in_flight = no_load_times_.total(now, recent_buckets) / FractionalDuration{span};
   // What hangs at one faulty endpoint is no overload: none counts for more than twice the median.
   const double most = std::max(1.0, 2 * median(outlasting, 0));
   double all = 0;
--- /dev/null
+++ b/src/routing/periodic_maintenance.cpp
@@ -0,0 +1,85 @@
+#include "routing/periodic_maintenance.h"
+
+#include <vector>
+
+#include "routing/statistics.h"
+
+namespace rushhill::routing {
+
+// What the endpoints that may receive requests showed of late.
+struct PeriodicMaintenance::FleetSample {
+  double serving = 0;
+  double ejected = 0;
+  std::vector<double> bad_shares;
+  std::vector<double> paces;
+  WarmSuccesses warm;
+};
+
+void PeriodicMaintenance::run(Timestamp now) {
+  FleetSample sample = maintain_endpoints(now);
+  update_estimates(now, sample);
+  sweep_tables(now);
+  last_run_ = now;
+  check_requests(now);
+  dispatcher_.dispatch_waiting(now);
+  parts_.requests.erase_finished();
+}
+
+PeriodicMaintenance::FleetSample PeriodicMaintenance::maintain_endpoints(Timestamp now) {
+  FleetSample sample;
+  for (auto& [id, record] : parts_.endpoints.records()) {
+    monitor_.advance_recovery(now, record);
+    if (record.may_receive()) maintain_endpoint(now, record, sample);
+  }
+  return sample;
+}
+
+void PeriodicMaintenance::maintain_endpoint(Timestamp now, EndpointRecord& record, FleetSample& sample) {
+  monitor_.probe_by_turn(now, record);
+  sample.serving += 1;
+  sample.ejected += record.outlier.ejected() ? 1 : 0;
+  const AttemptStatistics recent = record.history.recent(now, parts_.observation.recent_buckets());
+  sample.bad_shares.push_back(recent.judged > 0 ? recent.bad / recent.judged : 0);
+  if (recent.paced >= most_prior_samples) sample.paces.push_back(recent.pace_sum / recent.paced);
+  const Timestamp warming_since = parts_.warm_up.warming_since(now, record);
+  if (warming_since != Timestamp{}) {
+    parts_.warm_up.refill({.age = now - warming_since, .elapsed = now - last_run_}, record);
+    return;
+  }
+  record.tokens.keep_phase();
+  sample.warm.succeeded += record.history.all(now).succeeded;
+  sample.warm.weight += record.weight();
+}
+
+void PeriodicMaintenance::update_estimates(Timestamp now, FleetSample& sample) {
+  parts_.outliers.observe_fleet({.serving = sample.serving,
+                                 .ejected = sample.ejected,
+                                 .median_bad_share = median(sample.bad_shares, 0)});
+  parts_.estimates.observe_paces(sample.paces);
+  parts_.fleet_load.observe_successes(sample.warm, parts_.observation.seen(now));
+  parts_.observation.update(now, sample.serving);
+}
+
+// The tables are bounded: what has lapsed counts for nothing and goes.
+void PeriodicMaintenance::sweep_tables(Timestamp now) {
+  parts_.functions.sweep(now, parts_.configuration.copies.keep_alive);
+  parts_.endpoints.erase_removed(now);
+}
+
+void PeriodicMaintenance::check_requests(Timestamp now) {
+  for (auto& [id, record] : parts_.endpoints.records()) record.in_flight.reset_outlasting();
+  for (auto& [id, tracked] : parts_.requests.requests()) dispatcher_.check_overdue(now, tracked);
+  observe_overload(now);
+}
+
+void PeriodicMaintenance::observe_overload(Timestamp now) {
+  std::vector<double> outlasting;
+  for (const auto& [id, record] : parts_.endpoints.records()) {
+    if (record.may_receive()) outlasting.push_back(record.in_flight.outlasting());
+  }
+  const ObservationWindow& observation = parts_.observation;
+  parts_.overload.observe_in_flight(now, observation.observed_for(now), observation.requests(now),
+                                    outlasting);
+}
+
+}  // namespace rushhill::routing
--- a/src/routing/rendezvous_hash.cpp
+++ b/src/routing/rendezvous_hash.cpp
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-double rendezvous_hash(std::string_view first, std::string_view second) {
-  std::uint64_t hash = append(append(fnv_offset_basis, first), second);
+double rendezvous_hash(const RendezvousPair& pair) {
+  std::uint64_t hash = append(append(fnv_offset_basis, pair.key), pair.endpoint);
   hash ^= hash >> murmur_shift;
   hash *= murmur_multiplier;
   hash ^= hash >> murmur_shift;
--- a/src/routing/rendezvous_hash.h
+++ b/src/routing/rendezvous_hash.h
@@ -7,8 +7,14 @@
 
 namespace rushhill::routing {
 
-// A number above 0 and up to 1 for the text `first` followed by `second`. It depends on the bytes alone:
+// What is hashed: the two texts, one after the other.
+struct RendezvousPair {
+  std::string_view key;  // a function, or what else is to be placed
+  std::string_view endpoint;
+};
+
+// A number above 0 and up to 1. It depends on the bytes alone:
 // routers of different versions have to agree, so that it must not change.
-double rendezvous_hash(std::string_view first, std::string_view second);
+double rendezvous_hash(const RendezvousPair& pair);
 
 }  // namespace rushhill::routing
--- /dev/null
+++ b/src/routing/request_dispatcher.cpp
@@ -0,0 +1,157 @@
+#include "routing/request_dispatcher.h"
+
+#include <algorithm>
+#include <set>
+
+namespace rushhill::routing {
+namespace {
+
+constexpr double over_quota_part = 0.5;  // of the time left; requests beyond a quota give way first
+constexpr double tolerated_answers = 2;  // response times; no wait within that is too long
+constexpr double least_time_left = 2;    // response times; a request with less is not worth a wait
+
+EstimateKey key_of(const TrackedRequest& tracked, const FunctionRecord& function) {
+  return {.request_class = *tracked.class_estimate, .function = function.times};
+}
+
+}  // namespace
+
+void RequestDispatcher::dispatch(Timestamp now, TrackedRequest& tracked) {
+  tracked.waiting = false;
+  FunctionRecord& function = parts_.functions.at(tracked.request.function);
+  const EstimateKey key = key_of(tracked, function);
+  EndpointRecord* const endpoint = parts_.selector.select(now, tracked, function);
+  if (endpoint == nullptr) {
+    wait_or_give_up(now, key, tracked);
+    return;
+  }
+  // What can't be answered in its time, or before its client leaves, is shed at once: such work is wasted.
+  const bool too_late = would_be_late(now, key, tracked, *endpoint);
+  if (too_late && RetryPolicy::may_reject(tracked) && !tracked.any_open()) {
+    reject_for_load(tracked);
+    return;
+  }
+  send_attempt(now, tracked, function, *endpoint);
+}
+
+// No endpoint may take the request now: it waits here while it can still be answered in time.
+void RequestDispatcher::wait_or_give_up(Timestamp now, const EstimateKey& key, TrackedRequest& tracked) {
+  const FractionalDuration time_left = std::min(tracked.objective, tracked.limit) - now;
+  const bool worth_waiting = !tracked.over_quota && RetryPolicy::may_reject(tracked) &&
+                             parts_.retries.attempts_left(tracked) &&
+                             least_time_left * parts_.estimates.response_time(key) < time_left;
+  if (worth_waiting) {
+    parts_.requests.wait(tracked);
+  } else {
+    reject_for_load(tracked);
+  }
+}
+
+bool RequestDispatcher::would_be_late(Timestamp now, const EstimateKey& key, const TrackedRequest& tracked,
+                                      const EndpointRecord& endpoint) const {
+  const FractionalDuration objective_left = tracked.objective - now;
+  const FractionalDuration limit_left = tracked.limit - now;
+  const FractionalDuration response_time = parts_.estimates.response_time(key);
+  const FractionalDuration wait = parts_.scorer.expected_wait(now, response_time, endpoint);
+  const FractionalDuration tolerated = tracked.over_quota ? objective_left * over_quota_part : objective_left;
+  if (wait > std::max(tolerated, tolerated_answers * response_time)) return true;
+  if (wait > limit_left) return true;
+  const double value = tracked.over_quota ? parts_.configuration.over_quota_value : 1;
+  return parts_.overload.misses_objective(
+      {.no_load_time = parts_.estimates.no_load_response_time(key), .time_left = objective_left * value});
+}
+
+void RequestDispatcher::send_attempt(Timestamp now, TrackedRequest& tracked, FunctionRecord& function,
+                                     EndpointRecord& endpoint) {
+  const EndpointId& id = endpoint.endpoint.id;
+  BelievedCopy& copy = function.copies.at(id);
+  const bool confirmed = copy.attempt_sent(now, parts_.configuration.copies.keep_alive);
+  tracked.attempts.push_back({.endpoint = id, .sent = now, .copy_confirmed = confirmed});
+  endpoint.in_flight.sent();
+  endpoint.liveness.attempt_sent(now);
+  parts_.warm_up.request_sent(now, *tracked.class_estimate, endpoint);
+  parts_.host.send_attempt(tracked.request.id, id, Duration::zero());
+}
+
+bool RequestDispatcher::await_prewarm(Timestamp now, const EndpointId& endpoint, TrackedRequest& tracked) {
+  BelievedCopy& copy = parts_.functions.at(tracked.request.function).copies.at(endpoint);
+  EndpointRecord& record = parts_.endpoints.at(endpoint);
+  if (!copy.prewarming() && !may_order(now, record)) return false;
+  if (copy.prewarm_ordered()) {
+    parts_.load_budget.order_sent(now);
+    record.tokens.take(1);
+    parts_.host.prewarm(endpoint, tracked.request.function, 1);
+  }
+  // An attempt sent now could overtake the order: the request follows in maintenance, or when the order ends.
+  parts_.requests.wait(tracked);
+  return true;
+}
+
+// Rule 5. Whether one more function may be prewarmed at this endpoint.
+bool RequestDispatcher::may_order(Timestamp now, const EndpointRecord& endpoint) const {
+  return endpoint.may_receive() && parts_.warm_up.admits_order(now, endpoint) &&
+         parts_.load_budget.allows_order(now);
+}
+
+void RequestDispatcher::check_overdue(Timestamp now, TrackedRequest& tracked) {
+  FunctionRecord& function = parts_.functions.at(tracked.request.function);
+  if (tracked.done || tracked.streaming() || tracked.attempts.empty() || !tracked.attempts.back().open)
+    return;
+  const EstimateKey key = key_of(tracked, function);
+  for (Attempt& attempt : tracked.attempts) {
+    if (!attempt.open || attempt.judged) continue;  // overdue: at a silent endpoint, it keeps nobody waiting
+    if (parts_.retries.outlasts(now, key, attempt)) {
+      parts_.endpoints.at(attempt.endpoint).in_flight.add_outlasting();
+    }
+    if (now >= attempt.sent + parts_.retries.patience(key, attempt))
+      monitor_.judge_attempt(now, attempt, true);
+  }
+  const Attempt& newest = tracked.attempts.back();
+  const EndpointRecord& endpoint = parts_.endpoints.at(newest.endpoint);
+  const Timestamp awaiting_since = endpoint.liveness.awaiting_since();
+  const bool quiet = awaiting_since != Timestamp{} && awaiting_since <= newest.sent;
+  const bool overdue = now >= newest.sent + parts_.retries.patience(key, newest);
+  if (overdue && (quiet || endpoint.outlier.ejected())) move_overdue(now, tracked, function);
+}
+
+void RequestDispatcher::move_overdue(Timestamp now, TrackedRequest& tracked, FunctionRecord& function) {
+  const OverdueAction action = parts_.retries.overdue_action(tracked);
+  if (action == OverdueAction::none) return;
+  if (action == OverdueAction::hedge) {
+    EndpointRecord* const endpoint = parts_.selector.select(now, tracked, function);
+    if (endpoint == nullptr || tracked.newest_at(endpoint->endpoint.id) != nullptr) return;
+    send_attempt(now, tracked, function, *endpoint);
+  } else {
+    parts_.host.cancel_attempt(tracked.request.id, static_cast<int>(tracked.attempts.size()) - 1);
+  }
+  parts_.retries.overdue_moved();
+}
+
+void RequestDispatcher::cancel_open_attempts(const TrackedRequest& tracked) {
+  if (!parts_.configuration.retries.cancel_attempts || tracked.streaming()) return;
+  for (std::size_t number = 0; number < tracked.attempts.size(); ++number) {
+    if (!tracked.attempts[number].open) continue;
+    parts_.host.cancel_attempt(tracked.request.id, static_cast<int>(number));
+  }
+}
+
+void RequestDispatcher::give_up(TrackedRequest& tracked, Duration retry_after) {
+  const RetryConfiguration& retries = parts_.configuration.retries;
+  if (RetryPolicy::may_reject(tracked)) {
+    const Duration advice = std::min(retry_after, retries.longest_retry_after);
+    parts_.host.reject(tracked.request.id, retries.retry_after ? advice : Duration::zero());
+  } else {
+    parts_.host.fail(tracked.request.id);
+  }
+  parts_.requests.finish(tracked);
+}
+
+void RequestDispatcher::dispatch_waiting(Timestamp now) {
+  const std::set<RequestId> waiting = parts_.requests.take_waiting();
+  for (const RequestId id : waiting) {
+    TrackedRequest* const tracked = parts_.requests.find(id);
+    if (tracked != nullptr && !tracked->done && tracked->waiting) dispatch(now, *tracked);
+  }
+}
+
+}  // namespace rushhill::routing
--- a/src/routing/routing_policy.h
+++ b/src/routing/routing_policy.h
@@ -73,6 +73,7 @@
   virtual void load_budget_restored(Timestamp now, double orders) = 0;
 };
 
+// The policy of one router. The host must outlive it; the seed fixes all random choices.
 std::unique_ptr<RoutingPolicy> make_routing_policy(const RoutingConfiguration& configuration,
                                                    std::uint64_t seed, RoutingHost& host);
 
--- a/src/routing/sliding_window.h
+++ b/src/routing/sliding_window.h
@@ -9,6 +9,7 @@
 #include <algorithm>
 #include <array>
 #include <cstddef>
+#include <cstdint>
 #include <utility>
 
 #include "routing/time.h"
@@ -20,46 +21,55 @@
 template <typename Sum, int bucket_count>
 class SlidingWindow {
  public:
-  explicit SlidingWindow(Time bucket_width) : bucket_width_(std::max<Time>(bucket_width, 1)) {}
+  explicit SlidingWindow(Duration bucket_width) : bucket_width_(std::max(bucket_width, Duration{1})) {}
 
   // The sum of the bucket of `now`, to be added to. `now` must not lie before that of an earlier call.
-  Sum& bucket_at(Time now) {
-    newest_ = now / bucket_width_;
+  Sum& bucket_at(Timestamp now) {
+    newest_ = number_at(now);
     Bucket& bucket = buckets_[static_cast<std::size_t>(newest_ % bucket_count)];
     if (std::exchange(bucket.number, newest_) != newest_) bucket.sum = Sum{};
     return bucket.sum;
   }
 
   // Over the bucket of `now` and the `newest_buckets - 1` before it.
-  Sum total(Time now, int newest_buckets = bucket_count) const {
-    const Time before = now / bucket_width_ - newest_buckets;
+  Sum total(Timestamp now, int newest_buckets = bucket_count) const {
+    const std::int64_t before = number_at(now) - newest_buckets;
     if (newest_ <= before) return Sum{};
     // Only slots that can hold a bucket of that span.
-    const Time oldest = std::max({before + 1, newest_ - bucket_count + 1, Time{0}});
-    const Time first = oldest % bucket_count;
-    const Time last = newest_ % bucket_count;
-    if (first <= last) return with_slots(Sum{}, first, last, before);
-    const Sum wrapped_around = with_slots(Sum{}, 0, last, before);
-    return with_slots(wrapped_around, first, bucket_count - 1, before);
+    const std::int64_t oldest = std::max({before + 1, newest_ - bucket_count + 1, std::int64_t{0}});
+    const std::int64_t first = oldest % bucket_count;
+    const std::int64_t last = newest_ % bucket_count;
+    if (first <= last) return with_slots(Sum{}, {.first = first, .last = last}, before);
+    const Sum wrapped_around = with_slots(Sum{}, {.first = 0, .last = last}, before);
+    return with_slots(wrapped_around, {.first = first, .last = bucket_count - 1}, before);
   }
 
  private:
+  // The sum of one span of time.
   struct Bucket {
-    Time number = 0;  // moment divided by the width
+    std::int64_t number = 0;  // moment divided by the width
     Sum sum{};
   };
 
+  // Neighbouring slots of the ring, both ends included.
+  struct SlotRange {
+    std::int64_t first = 0;
+    std::int64_t last = 0;
+  };
+
+  std::int64_t number_at(Timestamp moment) const { return moment.time_since_epoch() / bucket_width_; }
+
   // The sum so far and the slots' buckets newer than `before`. Passed by value, which keeps it in registers.
-  Sum with_slots(Sum sum, Time first, Time last, Time before) const {
-    for (Time slot = first; slot <= last; ++slot) {
+  Sum with_slots(Sum sum, SlotRange range, std::int64_t before) const {
+    for (std::int64_t slot = range.first; slot <= range.last; ++slot) {
       const Bucket& bucket = buckets_[static_cast<std::size_t>(slot)];
       if (bucket.number > before) sum += bucket.sum;
     }
     return sum;
   }
 
-  Time bucket_width_;
-  Time newest_ = 0;
+  Duration bucket_width_;
+  std::int64_t newest_ = 0;  // number of the newest bucket
   std::array<Bucket, bucket_count> buckets_{};
 };
 
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -6,8 +6,7 @@
 namespace {
 
 constexpr double share_as_tokens = 0.75;  // of the budget; the rest may stand as unspent tokens
-constexpr double small_budget =
-    30;  // requests a span; under that the rule leaves three roots to chance, not two
+constexpr double small_budget = 30;  // requests a span; below, the rule leaves three roots to chance, not two
 constexpr double unspent_margin = 1;  // tokens over all routers; only whole ones lapse
 constexpr double phase_step =
     0.6180339887498949;                 // tokens from router to router: the golden ratio, most even
@@ -16,44 +15,45 @@
 }  // namespace
 
 SlowStart::SlowStart(const SlowStartLimits& limits)
-    : limits_(limits), budget_span_(static_cast<double>(std::max<Time>(limits.budget_span, 1))),
+    : limits_(limits), budget_span_(std::max(limits.budget_span, Duration{1})),
       routers_(std::max(1, limits.routers)) {}
 
 SlowStartTokens SlowStart::first_tokens(const EndpointId& endpoint) const {
-  const double phase = limits_.router_number * phase_step + rendezvous_hash(endpoint, "");
+  const double phase =
+      limits_.router_number * phase_step + rendezvous_hash({.key = endpoint, .endpoint = ""});
   return SlowStartTokens(std::fmod(phase, 1.0));
 }
 
-bool SlowStart::admits_request(Time now, Time since, double weight, const SlowStartTokens& tokens,
+bool SlowStart::admits_request(Duration age, double weight, const SlowStartTokens& tokens,
                                const ObservedLoad& load) const {
-  if (since == 0 || tokens.level() >= 1) return true;
-  const double ahead = 1 - static_cast<double>(now - since) / budget_span_;
+  if (tokens.level() >= 1) return true;
+  const double ahead = 1 - age / budget_span_;
   if (ahead <= 0) return false;
-  return tokens.level() + ahead * part_of_budget(now, since, weight, load) >= 1;
+  return tokens.level() + ahead * part_of_budget(age, weight, load) >= 1;
 }
 
 // Tokens lapse unspent after so long that all routers' unspent ones fill the rest of the budget and what the
 // rule leaves to chance, less a margin.
-void SlowStart::refill(Time now, Time since, Time elapsed, double weight, const ObservedLoad& load,
+void SlowStart::refill(const WarmUpProgress& progress, double weight, const ObservedLoad& load,
                        SlowStartTokens& tokens) const {
-  const double part = part_of_budget(now, since, weight, load);
+  const double part = part_of_budget(progress.age, weight, load);
   const double budget = part * routers_ / share_as_tokens;  // if all routers are like this one
   const double most_unspent = (most_in_span(budget) - share_as_tokens * budget - unspent_margin) / routers_;
-  tokens.add(part * static_cast<double>(elapsed) / budget_span_);
+  tokens.add(part * FractionalDuration{progress.elapsed} / budget_span_);
   tokens.limit(most_unspent);
 }
 
 // What this router may send within the span. The endpoint's capacity is guessed low, from an even share of
 // this router's own successful requests: all routers' parts add up to what it bears.
-double SlowStart::part_of_budget(Time now, Time since, double weight, const ObservedLoad& load) const {
-  const double age = std::max(0.0, static_cast<double>(now - since) - budget_span_);
-  const double gained = (1 - limits_.initial_capacity) * age / static_cast<double>(limits_.warm_up_span);
+double SlowStart::part_of_budget(Duration age, double weight, const ObservedLoad& load) const {
+  const FractionalDuration beyond_span = std::max(FractionalDuration::zero(), age - budget_span_);
+  const double gained = (1 - limits_.initial_capacity) * beyond_span / limits_.warm_up_span;
   const double capacity = limits_.initial_capacity + gained;
   const double idle = load.utilization > 0 ? std::clamp(1 / load.utilization, 1.0, most_idle_factor) : 1;
   // Before anything is seen: one request at a time for all routers.
-  const double least = 1.0 / (routers_ * std::max(load.response_time, 1.0));
+  const double least = 1.0 / (routers_ * std::max(load.response_time.count(), 1.0));
   const double rate = std::max(load.successes * idle * weight, least);
-  return share_as_tokens * limits_.budget_multiple * capacity * rate * budget_span_;
+  return share_as_tokens * limits_.budget_multiple * capacity * rate * budget_span_.count();
 }
 
 // What all routers may send within the span by a budget of N, as one of them guesses it: N + 2 x root of N +
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -14,20 +14,21 @@
 
 namespace rushhill::routing {
 
+// What bounds the requests of all routers to a warming endpoint.
 struct SlowStartLimits {
   double budget_multiple = 1;  // of what the endpoint can bear within the span
-  Time budget_span = 0;
+  Duration budget_span{};
   double initial_capacity = 1;  // share of its capacity that an endpoint has as it starts
-  Time warm_up_span = 0;        // its capacity is full after that
+  Duration warm_up_span{};      // its capacity is full after that
   int routers = 1;
   int router_number = 0;
 };
 
 // What this router has seen of endpoints that are warm.
 struct ObservedLoad {
-  double response_time = 0;  // of a successful request, in units of Time
-  double utilization = 0;    // of their cores, as reported; 0: not reported
-  double successes = 0;      // requests per unit of weight and of Time
+  FractionalDuration response_time{};  // of a successful request
+  double utilization = 0;              // of their cores, as reported; 0: not reported
+  double successes = 0;                // requests per unit of weight and tenth of a millisecond
 };
 
 // The tokens that this router holds at one endpoint. A warm endpoint costs none, so that only the level's
@@ -52,6 +53,19 @@
   double level_ = 0;
 };
 
+// When an endpoint's process started.
+struct StartSigns {
+  Timestamp started{};    // as the endpoint list says
+  Timestamp restarted{};  // the last sign that its process died, which may be newer
+};
+
+// How far a warming endpoint is.
+struct WarmUpProgress {
+  Duration age{};      // since its start
+  Duration elapsed{};  // since its tokens were refilled
+};
+
+// The rule: what a warming endpoint's tokens are refilled by, and what they allow.
 class SlowStart {
  public:
   explicit SlowStart(const SlowStartLimits& limits);
@@ -59,33 +73,32 @@
   // The tokens of an endpoint that this router has just been told of.
   SlowStartTokens first_tokens(const EndpointId& endpoint) const;
 
-  // Since when the endpoint has been warming up; 0 where it is warm. `started` is what the endpoint list
-  // says, `restarted` the last sign that its process died, which may be newer.
-  Time warming_since(Time now, Time started, Time restarted) const {
-    const Time since = std::max(started, restarted);
-    return now - since < limits_.warm_up_span ? since : 0;
+  // Since when the endpoint has been warming up; default: it is warm.
+  Timestamp warming_since(Timestamp now, const StartSigns& signs) const {
+    const Timestamp since = std::max(signs.started, signs.restarted);
+    return now - since < limits_.warm_up_span ? since : Timestamp{};
   }
 
-  // Whether an endpoint warming since then can bear one more request from this router. The first span's
+  // Whether an endpoint warming for so long can bear one more request from this router. The first span's
   // tokens may be spent ahead; what comes in then pays them off first.
-  bool admits_request(Time now, Time since, double weight, const SlowStartTokens& tokens,
+  bool admits_request(Duration age, double weight, const SlowStartTokens& tokens,
                       const ObservedLoad& load) const;
 
-  // Adds what has come in over `elapsed`.
-  void refill(Time now, Time since, Time elapsed, double weight, const ObservedLoad& load,
+  // Adds what has come in since the last refill.
+  void refill(const WarmUpProgress& progress, double weight, const ObservedLoad& load,
               SlowStartTokens& tokens) const;
 
   // The tokens for a request: requests of a class that take longer than the mean cost more.
-  static double cost_of_request(double class_response_time, const ObservedLoad& load) {
-    return std::max(1.0, class_response_time / std::max(load.response_time, 1.0));
+  static double cost_of_request(FractionalDuration class_response_time, const ObservedLoad& load) {
+    return std::max(1.0, class_response_time / std::max(load.response_time, FractionalDuration{1}));
   }
 
  private:
-  double part_of_budget(Time now, Time since, double weight, const ObservedLoad& load) const;
+  double part_of_budget(Duration age, double weight, const ObservedLoad& load) const;
   static double most_in_span(double budget);
 
   SlowStartLimits limits_;
-  double budget_span_;
+  FractionalDuration budget_span_;
   int routers_;
 };
 
--- a/src/routing/statistics.h
+++ b/src/routing/statistics.h
@@ -3,6 +3,7 @@
 
 #include <algorithm>
 #include <cstddef>
+#include <type_traits>
 #include <vector>
 
 namespace rushhill::routing {
@@ -11,9 +12,10 @@
 constexpr double new_sample_weight = 0.05;
 
 // Adds a sample to an exponential moving average. A mean of 0 holds no sample yet and takes the first as it
-// is.
-inline void add_sample(double& mean, double sample) {
-  if (mean == 0) {
+// is. `Value` is a number or a FractionalDuration.
+template <typename Value>
+void add_sample(Value& mean, std::type_identity_t<Value> sample) {
+  if (mean == Value{}) {
     mean = sample;
   } else {
     mean += new_sample_weight * (sample - mean);
--- a/src/routing/tenant_quotas.cpp
+++ b/src/routing/tenant_quotas.cpp
@@ -2,13 +2,11 @@
 
 #include <algorithm>
 
-#include "routing/duration.h"
-
 namespace rushhill::routing {
 namespace {
 
-constexpr double burst_tokens =
-    3;  // beyond a second's part; a part of under one request a second comes by chance
+// Requests beyond a second's part: a part of under one request a second comes by chance.
+constexpr double burst_tokens = 3;
 
 }  // namespace
 
@@ -19,12 +17,13 @@
   }
 }
 
-bool TenantQuotas::take(Time now, const std::string& tenant) {
+bool TenantQuotas::take(Timestamp now, const std::string& tenant) {
   const auto found = buckets_.find(tenant);
   if (found == buckets_.end() || found->second.tokens_per_s <= 0) return true;
   TokenBucket& bucket = found->second;
   const double rate = bucket.tokens_per_s;
-  bucket.tokens += rate * static_cast<double>(now - bucket.refilled_at) / static_cast<double>(one_second);
+  const FractionalDuration elapsed = now - bucket.refilled_at;
+  bucket.tokens += rate * elapsed / one_second;
   bucket.tokens = std::min(bucket.tokens, rate + burst_tokens);
   bucket.refilled_at = now;
   if (bucket.tokens < 1) return false;
--- a/src/routing/tenant_quotas.h
+++ b/src/routing/tenant_quotas.h
@@ -17,13 +17,14 @@
   TenantQuotas(const std::vector<Tenant>& tenants, int routers);
 
   // Counts the request and says whether it is within its tenant's quota. A tenant without a quota always is.
-  bool take(Time now, const std::string& tenant);
+  bool take(Timestamp now, const std::string& tenant);
 
  private:
+  // One tenant's part at this router.
   struct TokenBucket {
     double tokens_per_s = 0;  // 0: no quota
     double tokens = 0;
-    Time refilled_at = 0;
+    Timestamp refilled_at{};
   };
 
   std::map<std::string, TokenBucket> buckets_;
--- a/src/routing/time.h
+++ b/src/routing/time.h
@@ -22,6 +22,11 @@
   static constexpr bool is_steady = true;
 };
 
+// A span as an estimate: a mean or a product, not rounded to whole tenths.
+using FractionalDuration = std::chrono::duration<double, Duration::period>;
+
+constexpr Duration one_second = std::chrono::seconds{1};
+
 // A reading of that clock; the default value stands for "never" or "unknown".
 using Timestamp = MonotonicClock::time_point;
 
--- a/src/routing/types.h
+++ b/src/routing/types.h
@@ -16,14 +16,14 @@
 using FunctionId = std::string;
 
 // What a further attempt of a request may do.
-enum class RetrySafety {
+enum class RetrySafety : std::uint8_t {
   idempotent,   // may run any number of times
   keyed,        // carries an idempotency key, which endpoints of its scope remember for a span
   at_most_once  // must not be sent again once it may have run
 };
 
 // Which endpoints share what they remember of idempotency keys.
-enum class DeduplicationScope { everywhere, location, cell };
+enum class DeduplicationScope : std::uint8_t { everywhere, location, cell };
 
 // A class of requests; all requests of a class want the same of the service.
 struct RequestClass {
@@ -40,6 +40,7 @@
   double latency_objective_stretch = 0;
 };
 
+// Whose requests they are, and what they may take.
 struct Tenant {
   std::string name{};
   double share = 0;        // of all requests, from 0 to 1
@@ -47,7 +48,7 @@
 };
 
 // What service discovery says of an endpoint.
-enum class EndpointState { active, draining, removed };
+enum class EndpointState : std::uint8_t { active, draining, removed };
 
 // A model server that runs functions.
 struct Endpoint {
@@ -61,7 +62,7 @@
 };
 
 // How a message of the endpoint list is to be read.
-enum class EndpointListForm {
+enum class EndpointListForm : std::uint8_t {
   delta,     // only the endpoints that changed
   complete,  // all endpoints there are
   cached,    // all endpoints of the last list that was stored, which may be old
@@ -84,7 +85,7 @@
 };
 
 // How an attempt, a health check or a prewarm order ended.
-enum class AttemptOutcome {
+enum class AttemptOutcome : std::uint8_t {
   succeeded,
   error,
   overloaded,        // rejected by the endpoint; it did not run
@@ -97,11 +98,12 @@
 };
 
 // What an endpoint reports about its copy of the function.
-enum class CopyState { unknown, loaded, load_started, load_awaited, load_failed };
+enum class CopyState : std::uint8_t { unknown, loaded, load_started, load_awaited, load_failed };
 
 // Figures that an endpoint reports about itself, by their names on the wire.
 using LoadReport = std::map<std::string, double>;
 
+// The end of one attempt of a request.
 struct AttemptEnd {
   RequestId request = 0;
   int attempt_number = 0;  // within its request, from 0
@@ -122,6 +124,7 @@
   LoadReport report{};
 };
 
+// The end of a prewarm order.
 struct PrewarmEnd {
   EndpointId endpoint{};
   FunctionId function{};
--- /dev/null
+++ b/tests/routing/function_table_test.cpp
@@ -0,0 +1,65 @@
+#include "routing/function_table.h"
+
+#include <gtest/gtest.h>
+
+namespace rushhill::routing {
+namespace {
+
+constexpr Timestamp now{100 * one_second};
+constexpr Duration keep_alive = 10 * one_second;
+
+TEST(FunctionTable, LostCopiesAreForgottenForEveryFunction) {
+  FunctionTable functions;
+  for (const char* function : {"f", "g"}) {
+    functions.at(function).copies.at("a").confirm(now);
+    functions.at(function).copies.at("b").confirm(now);
+  }
+  functions.forget_copies("a");
+  for (const char* function : {"f", "g"}) {
+    EXPECT_FALSE(functions.at(function).copies.at("a").believed(now, keep_alive));
+    EXPECT_TRUE(functions.at(function).copies.at("b").believed(now, keep_alive));
+  }
+}
+
+TEST(FunctionTable, SweepErasesLapsedCopiesOnceASecond) {
+  FunctionTable functions;
+  functions.at("f").requested_at = now;
+  functions.at("f").copies.at("a").confirm(now);
+  functions.sweep(now + keep_alive - Duration{1}, keep_alive);
+  EXPECT_EQ(functions.at("f").copies.size(), 1U);
+  functions.sweep(now + keep_alive, keep_alive);
+  EXPECT_EQ(functions.at("f").copies.size(), 0U);
+  functions.at("f").copies.at("b");
+  functions.sweep(now + keep_alive + one_second / 2, keep_alive);
+  EXPECT_EQ(functions.at("f").copies.size(), 1U);
+  functions.sweep(now + keep_alive + one_second, keep_alive);
+  EXPECT_EQ(functions.at("f").copies.size(), 0U);
+}
+
+TEST(FunctionTable, SweepErasesFunctionsLongNotRequested) {
+  FunctionTable functions;
+  functions.at("f").requested_at = now;
+  functions.at("f").lanes = 4;
+  functions.sweep(now + 120 * one_second, keep_alive);
+  EXPECT_EQ(functions.at("f").lanes, 4);
+  functions.sweep(now + 121 * one_second, keep_alive);
+  EXPECT_EQ(functions.at("f").lanes, 1);
+}
+
+TEST(WarmIndex, LinksTheEndpointsOnTheListToTheirCopies) {
+  EndpointTable endpoints;
+  endpoints.new_version();
+  EndpointRecord& record = endpoints.update({.id = "a"}).record;
+  endpoints.update({.id = "b"});
+  WarmIndex copies;
+  copies.at("a").confirm(now);
+  copies.at("gone").confirm(now);
+  copies.link(endpoints, 1);
+  EXPECT_EQ(record.copy.of_selection(1), &copies.at("a"));
+  EXPECT_EQ(endpoints.at("b").copy.of_selection(1), nullptr);
+  copies.link(endpoints, 2);
+  EXPECT_EQ(record.copy.of_selection(1), nullptr);
+}
+
+}  // namespace
+}  // namespace rushhill::routing
--- /dev/null
+++ b/tests/routing/periodic_maintenance_test.cpp
@@ -0,0 +1,58 @@
+#include "routing/periodic_maintenance.h"
+
+#include "routing/routing_parts_fixture.h"
+
+namespace rushhill::routing {
+namespace {
+
+class PeriodicMaintenanceTest : public RoutingPartsTest {
+ protected:
+  PeriodicMaintenanceTest() { maintenance.start(start); }
+
+  RequestDispatcher dispatcher{parts, monitor};
+  PeriodicMaintenance maintenance{parts, monitor, dispatcher};
+};
+
+TEST_F(PeriodicMaintenanceTest, CountsTheEndpointsThatMayReceive) {
+  parts.endpoints.update({.id = "c", .state = EndpointState::draining});
+  maintenance.run(start + one_second);
+  EXPECT_EQ(parts.outliers.serving_endpoints(), 2);
+  EXPECT_EQ(parts.observation.interval(), 2 * one_second);
+}
+
+TEST_F(PeriodicMaintenanceTest, RefillsTheTokensOfWhatWarmsUpForTheTimeThatPassed) {
+  endpoint("a").endpoint.started = start;
+  endpoint("b").tokens = SlowStartTokens(2.5);
+  maintenance.run(start + one_second / 10);
+  EXPECT_GT(endpoint("a").tokens.level(), 0);
+  EXPECT_EQ(endpoint("b").tokens.level(), 0.5) << "warm: the phase alone is kept";
+}
+
+TEST_F(PeriodicMaintenanceTest, TakesTheFleetsPaceFromEndpointsThatHaveShownTheirs) {
+  for (const char* id : {"a", "b"}) {
+    for (int i = 0; i < 3; ++i) endpoint(id).history.add_pace(start, 2);
+  }
+  endpoint("c").history.add_pace(start, 90);
+  maintenance.run(start);
+  EXPECT_EQ(parts.estimates.fleet_pace(), 2);
+}
+
+TEST_F(PeriodicMaintenanceTest, SweepsCopiesEndpointsAndRequests) {
+  copy("a").confirm(start);
+  parts.endpoints.remove(start, endpoint("c"));
+  parts.requests.finish(track(1));
+  maintenance.run(start + 121 * one_second);
+  EXPECT_EQ(parts.functions.at("f").copies.size(), 0U);
+  EXPECT_EQ(parts.endpoints.find("c"), nullptr);
+  EXPECT_EQ(parts.requests.find(1), nullptr);
+}
+
+TEST_F(PeriodicMaintenanceTest, PlacesTheRequestsThatWait) {
+  TrackedRequest& tracked = track(1);
+  parts.requests.wait(tracked);
+  maintenance.run(start);
+  EXPECT_EQ(host.shots.size(), 1U);
+}
+
+}  // namespace
+}  // namespace rushhill::routing
--- /dev/null
+++ b/tests/routing/placement_test.cpp
@@ -0,0 +1,98 @@
+#include "routing/placement.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+namespace rushhill::routing {
+namespace {
+
+constexpr Timestamp now{100 * one_second};
+
+class PlacementTest : public ::testing::Test {
+ protected:
+  void list(int count, EndpointState state = EndpointState::active) {
+    endpoints.new_version();
+    for (int i = 0; i < count; ++i) endpoints.update({.id = "box-" + std::to_string(i), .state = state});
+  }
+  std::vector<EndpointId> order(const FunctionId& id) {
+    placement.rank(now, id, function);
+    std::vector<EndpointId> ids;
+    for (const auto& candidate : function.candidates()) ids.push_back(candidate.endpoint->endpoint.id);
+    return ids;
+  }
+  void take(int requests) {
+    for (int i = 0; i < requests; ++i) {
+      function.request_taken(now);
+      observation.request_taken(now);
+    }
+  }
+
+  EndpointTable endpoints;
+  ObservationWindow observation;
+  Placement placement{endpoints, observation};
+  FunctionPlacement function;
+};
+
+TEST_F(PlacementTest, OrderDependsOnTheFunctionAlone) {
+  list(10);
+  const auto first = order("f");
+  EXPECT_EQ(first.size(), 10U);
+  FunctionPlacement again;
+  placement.rank(now, "f", again);
+  EXPECT_EQ(again.candidates().front().endpoint->endpoint.id, first.front());
+  function = {};
+  EXPECT_NE(order("g"), first);
+}
+
+TEST_F(PlacementTest, OnlyEndpointsThatMayReceiveAreCandidates) {
+  list(10);
+  endpoints.new_version();
+  endpoints.update({.id = "box-3", .state = EndpointState::draining});
+  const auto ids = order("f");
+  EXPECT_EQ(ids.size(), 9U);
+  EXPECT_EQ(std::ranges::count(ids, "box-3"), 0);
+}
+
+TEST_F(PlacementTest, EndpointOfLowerWeightIsFirstForFewerFunctions) {
+  list(10);
+  const auto first_of_box_0 = [&] {
+    int count = 0;
+    for (int i = 0; i < 500; ++i) {
+      function = {};
+      count += order("f" + std::to_string(i)).front() == "box-0" ? 1 : 0;
+    }
+    return count;
+  };
+  EXPECT_NEAR(first_of_box_0(), 50, 25);
+  for (int i = 0; i < 10; ++i) endpoints.at("box-0").placement_weight.observe(1, 1);
+  EXPECT_NEAR(first_of_box_0(), 500 / (1 + 9 * 4.5), 9);
+}
+
+TEST_F(PlacementTest, FunctionThatIsNotHotHasNoReplicas) {
+  list(10);
+  take(1);
+  order("f");
+  EXPECT_EQ(function.replicas(), 0);
+}
+
+TEST_F(PlacementTest, ReplicasFollowTheFunctionsPartOfTheRequests) {
+  list(10);
+  take(61);  // 60 others of 61 and 20
+  order("f");
+  EXPECT_EQ(function.replicas(), 1 + static_cast<int>(60.0 / 81 / 0.3 * 10));
+}
+
+TEST(PlacementWeight, BusyEndpointGetsLessAndIdleOneMoreWithinBounds) {
+  PlacementWeight weight;
+  EXPECT_EQ(weight.factor(), 1);
+  weight.observe(0.5, 0.1);
+  EXPECT_DOUBLE_EQ(weight.factor(), std::exp(-0.05));
+  for (int i = 0; i < 100; ++i) weight.observe(9, 1);
+  EXPECT_DOUBLE_EQ(weight.factor(), 1 / 4.5);
+  for (int i = 0; i < 100; ++i) weight.observe(-9, 1);
+  EXPECT_DOUBLE_EQ(weight.factor(), 4.5);
+}
+
+}  // namespace
+}  // namespace rushhill::routing
