--- a/src/routing/attempt_feedback.cpp
+++ b/src/routing/attempt_feedback.cpp
@@ -40,7 +40,7 @@
   if (ended_here(end.outcome) || end.outcome == AttemptOutcome::overloaded) return;
   const bool bad =
       end.outcome != AttemptOutcome::succeeded && end.outcome != AttemptOutcome::function_missing;
-  monitor_.judge_attempt(now, attempt, bad);
+  monitor_.judge_attempt(now, bad, attempt, endpoint);
 }
 
 void AttemptFeedback::learn_presence(Timestamp now, const EndedAttempt& ended) {
--- a/src/routing/endpoint_monitor.cpp
+++ b/src/routing/endpoint_monitor.cpp
@@ -103,9 +103,8 @@
     record.placement_weight.observe(utilization / usual - 1, parts_.observation.interval_share());
 }
 
-void EndpointMonitor::judge_attempt(Timestamp now, Attempt& attempt, bool bad) {
+void EndpointMonitor::judge_attempt(Timestamp now, bool bad, Attempt& attempt, EndpointRecord& record) {
   if (std::exchange(attempt.judged, true)) return;
-  EndpointRecord& record = parts_.endpoints.at(attempt.endpoint);
   const OutlierChange change = parts_.outliers.attempt_judged(now, bad, record.outlier, record.history);
   if (change == OutlierChange::ejected) parts_.host.log("set aside " + record.endpoint.id);
 }
--- a/src/routing/endpoint_monitor.h
+++ b/src/routing/endpoint_monitor.h
@@ -24,8 +24,8 @@
   void load_reported(Timestamp now, const LoadReport& report, EndpointRecord& record);
   void probe_ended(Timestamp now, const ProbeEnd& end);
   void gossip_received(Timestamp now, const std::string& bytes);
-  // Counts the attempt as good or bad, once.
-  void judge_attempt(Timestamp now, Attempt& attempt, bool bad);
+  // Counts the attempt at that endpoint as good or bad, once.
+  void judge_attempt(Timestamp now, bool bad, Attempt& attempt, EndpointRecord& record);
 
   // Periodic maintenance of an endpoint.
   void advance_recovery(Timestamp now, EndpointRecord& record);
--- a/src/routing/endpoint_selector.cpp
+++ b/src/routing/endpoint_selector.cpp
@@ -105,13 +105,6 @@
   return selection.copy_stands || candidate.endpoint.liveness.loads_backing_off(selection.now);
 }
 
-ScoredEndpoint EndpointSelector::with_copy(const Selection& selection, const EndpointRecord& endpoint,
-                                           int rank) const {
-  const BelievedCopy* const copy = endpoint.copy.of_selection(selections_);
-  const bool believed = copy != nullptr && copy->believed(selection.now, parts_.keep_alive);
-  return {.endpoint = endpoint, .rank = rank, .copy = copy, .copy_believed = believed};
-}
-
 double EndpointSelector::score(const Selection& selection, const ScoredEndpoint& candidate) {
   return parts_.scorer.score(selection.now, selection.expected, selection.function, candidate) +
          Scorer::tie_break(candidate.endpoint, parts_.random.draw());
--- a/src/routing/endpoint_selector.h
+++ b/src/routing/endpoint_selector.h
@@ -58,7 +58,11 @@
   bool without_fault(const Selection& selection, const EndpointRecord& endpoint, const Attempt* earlier);
   bool takes_ramp_turn(const TrackedRequest& tracked, const EndpointRecord& endpoint);
   static bool would_load_needlessly(const Selection& selection, const ScoredEndpoint& candidate);
-  ScoredEndpoint with_copy(const Selection& selection, const EndpointRecord& endpoint, int rank) const;
+  ScoredEndpoint with_copy(const Selection& selection, const EndpointRecord& endpoint, int rank) const {
+    const BelievedCopy* const copy = endpoint.copy.of_selection(selections_);
+    const bool believed = copy != nullptr && copy->believed(selection.now, parts_.keep_alive);
+    return {.endpoint = endpoint, .rank = rank, .copy = copy, .copy_believed = believed};
+  }
   double score(const Selection& selection, const ScoredEndpoint& candidate);
 
   SelectionParts parts_;
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -1,5 +1,7 @@
 #include "routing/endpoint_table.h"
 
+#include <utility>
+
 namespace rushhill::routing {
 namespace {
 
@@ -12,21 +14,26 @@
   EndpointRecord& record = it->second;
   const bool restarted = !added && endpoint.started != record.endpoint.started;
   record.endpoint = endpoint;
-  record.removed_at = Timestamp{};
+  if (std::exchange(record.removed_at, Timestamp{}) != Timestamp{}) --removed_;
   return {.record = record, .added = added, .restarted = restarted};
 }
 
 void EndpointTable::remove(Timestamp now, EndpointRecord& record) {
   record.endpoint.state = EndpointState::removed;
-  if (record.removed_at == Timestamp{}) record.removed_at = now;
+  if (record.removed_at != Timestamp{}) return;
+  record.removed_at = now;
+  ++removed_;
 }
 
 void EndpointTable::erase_removed(Timestamp now) {
-  version_ += std::erase_if(records_, [&](const auto& item) {
+  if (removed_ == 0) return;
+  const std::size_t erased = std::erase_if(records_, [&](const auto& item) {
     const EndpointRecord& record = item.second;
     return record.removed_at != Timestamp{} && record.in_flight.open() == 0 &&
            now - record.removed_at > removed_kept;
   });
+  removed_ -= erased;
+  version_ += erased;
 }
 
 EndpointRecord* EndpointTable::find(const EndpointId& id) {
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -1,6 +1,7 @@
 // The endpoints that this router knows, by the endpoint list, and what each part of the policy keeps of them.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -72,7 +73,7 @@
 
   EndpointUpdate update(const Endpoint& endpoint);
   // The endpoint has left the list; its record stays until its attempts have ended and a while has passed.
-  static void remove(Timestamp now, EndpointRecord& record);
+  void remove(Timestamp now, EndpointRecord& record);
   void erase_removed(Timestamp now);
 
   EndpointRecord& at(const EndpointId& id) { return records_.at(id); }
@@ -86,6 +87,7 @@
 
  private:
   Records records_;
+  std::size_t removed_ = 0;  // records of endpoints that have left the list
   std::uint64_t version_ = 0;
 };
 
--- a/src/routing/periodic_maintenance.cpp
+++ b/src/routing/periodic_maintenance.cpp
@@ -8,8 +8,8 @@
 
 // What the endpoints that may receive requests showed of late.
 struct PeriodicMaintenance::FleetSample {
-  double serving = 0;
-  double ejected = 0;
+  int serving = 0;
+  int ejected = 0;
   std::vector<double> bad_shares;
   std::vector<double> paces;
   WarmSuccesses warm;
@@ -28,7 +28,8 @@
 PeriodicMaintenance::FleetSample PeriodicMaintenance::maintain_endpoints(Timestamp now) {
   FleetSample sample;
   for (auto& [id, record] : parts_.endpoints.records()) {
-    monitor_.advance_recovery(now, record);
+    record.in_flight.reset_outlasting();
+    if (record.outlier.ejected()) monitor_.advance_recovery(now, record);
     if (record.may_receive()) maintain_endpoint(now, record, sample);
   }
   return sample;
@@ -36,7 +37,7 @@
 
 void PeriodicMaintenance::maintain_endpoint(Timestamp now, EndpointRecord& record, FleetSample& sample) {
   monitor_.probe_by_turn(now, record);
-  sample.serving += 1;
+  ++sample.serving;
   sample.ejected += record.outlier.ejected() ? 1 : 0;
   const AttemptStatistics recent = record.history.recent(now, parts_.observation.recent_buckets());
   sample.bad_shares.push_back(recent.judged > 0 ? recent.bad / recent.judged : 0);
@@ -52,12 +53,13 @@
 }
 
 void PeriodicMaintenance::update_estimates(Timestamp now, FleetSample& sample) {
-  parts_.outliers.observe_fleet({.serving = sample.serving,
-                                 .ejected = sample.ejected,
+  const auto serving = static_cast<double>(sample.serving);
+  parts_.outliers.observe_fleet({.serving = serving,
+                                 .ejected = static_cast<double>(sample.ejected),
                                  .median_bad_share = median(sample.bad_shares, 0)});
   parts_.estimates.observe_paces(sample.paces);
   parts_.fleet_load.observe_successes(sample.warm, parts_.observation.seen(now));
-  parts_.observation.update(now, sample.serving);
+  parts_.observation.update(now, serving);
 }
 
 // The tables are bounded: what has lapsed counts for nothing and goes.
@@ -67,7 +69,6 @@
 }
 
 void PeriodicMaintenance::check_requests(Timestamp now) {
-  for (auto& [id, record] : parts_.endpoints.records()) record.in_flight.reset_outlasting();
   for (auto& [id, tracked] : parts_.requests.requests()) dispatcher_.check_overdue(now, tracked);
   observe_overload(now);
 }
--- a/src/routing/request_dispatcher.cpp
+++ b/src/routing/request_dispatcher.cpp
@@ -94,24 +94,27 @@
 }
 
 void RequestDispatcher::check_overdue(Timestamp now, TrackedRequest& tracked) {
-  FunctionRecord& function = parts_.functions.at(tracked.request.function);
   if (tracked.done || tracked.streaming() || tracked.attempts.empty() || !tracked.attempts.back().open)
     return;
+  FunctionRecord& function = parts_.functions.at(tracked.request.function);
   const EstimateKey key = key_of(tracked, function);
   for (Attempt& attempt : tracked.attempts) {
-    if (!attempt.open || attempt.judged) continue;  // overdue: at a silent endpoint, it keeps nobody waiting
-    if (parts_.retries.outlasts(now, key, attempt)) {
-      parts_.endpoints.at(attempt.endpoint).in_flight.add_outlasting();
-    }
-    if (now >= attempt.sent + parts_.retries.patience(key, attempt))
-      monitor_.judge_attempt(now, attempt, true);
+    // A judged one is overdue: at a silent endpoint, it keeps nobody waiting.
+    if (attempt.open && !attempt.judged) check_attempt(now, key, attempt);
   }
   const Attempt& newest = tracked.attempts.back();
   const EndpointRecord& endpoint = parts_.endpoints.at(newest.endpoint);
   const Timestamp awaiting_since = endpoint.liveness.awaiting_since();
   const bool quiet = awaiting_since != Timestamp{} && awaiting_since <= newest.sent;
-  const bool overdue = now >= newest.sent + parts_.retries.patience(key, newest);
-  if (overdue && (quiet || endpoint.outlier.ejected())) move_overdue(now, tracked, function);
+  if (!quiet && !endpoint.outlier.ejected()) return;
+  if (parts_.retries.overdue(now, key, newest, endpoint)) move_overdue(now, tracked, function);
+}
+
+void RequestDispatcher::check_attempt(Timestamp now, const EstimateKey& key, Attempt& attempt) {
+  EndpointRecord& endpoint = parts_.endpoints.at(attempt.endpoint);
+  if (parts_.retries.outlasts(now, key, attempt)) endpoint.in_flight.add_outlasting();
+  if (parts_.retries.overdue(now, key, attempt, endpoint))
+    monitor_.judge_attempt(now, true, attempt, endpoint);
 }
 
 void RequestDispatcher::move_overdue(Timestamp now, TrackedRequest& tracked, FunctionRecord& function) {
--- a/src/routing/request_dispatcher.h
+++ b/src/routing/request_dispatcher.h
@@ -34,6 +34,7 @@
                      const EndpointRecord& endpoint) const;
   void send_attempt(Timestamp now, TrackedRequest& tracked, FunctionRecord& function,
                     EndpointRecord& endpoint);
+  void check_attempt(Timestamp now, const EstimateKey& key, Attempt& attempt);
   void move_overdue(Timestamp now, TrackedRequest& tracked, FunctionRecord& function);
   bool may_order(Timestamp now, const EndpointRecord& endpoint) const;
 
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -7,7 +7,6 @@
 
 constexpr double patience_factor = 6;          // response times; an exponential one is longer 1 time in 400
 constexpr double ejected_patience_factor = 3;  // response times, at an ejected endpoint
-constexpr double outlasting_factor = 0.5;      // response times; an attempt just sent tells nothing
 constexpr double budget_per_success = 0.1;     // a silent endpoint costs as many
 
 }  // namespace
@@ -56,8 +55,9 @@
   return std::ranges::none_of(tracked.attempts, &Attempt::may_have_run);
 }
 
-Duration RetryPolicy::patience(const EstimateKey& key, const Attempt& attempt) const {
-  const bool ejected = endpoints_.at(attempt.endpoint).outlier.ejected();
+Duration RetryPolicy::patience(const EstimateKey& key, const Attempt& attempt,
+                               const EndpointRecord& endpoint) const {
+  const bool ejected = endpoint.outlier.ejected();
   const FractionalDuration response_time = estimates_.response_time(key) * estimates_.fleet_pace() *
                                            (ejected ? ejected_patience_factor : patience_factor);
   const int loads = (ejected ? 0 : 1) + (attempt.copy_confirmed ? 0 : 1);
@@ -65,10 +65,6 @@
   return std::chrono::duration_cast<Duration>(expected) + 2 * tick_;
 }
 
-bool RetryPolicy::outlasts(Timestamp now, const EstimateKey& key, const Attempt& attempt) const {
-  return now - attempt.sent > outlasting_factor * estimates_.no_load_response_time(key);
-}
-
 OverdueAction RetryPolicy::overdue_action(const TrackedRequest& tracked) const {
   const RequestClass& request_class = tracked.request_class();
   if (request_class.retry_safety == RetrySafety::at_most_once) return OverdueAction::none;
--- a/src/routing/retry_policy.h
+++ b/src/routing/retry_policy.h
@@ -37,9 +37,15 @@
   }
 
   // How long an attempt may be out before it is overdue; short where its endpoint is ejected already.
-  Duration patience(const EstimateKey& key, const Attempt& attempt) const;
+  Duration patience(const EstimateKey& key, const Attempt& attempt, const EndpointRecord& endpoint) const;
+  bool overdue(Timestamp now, const EstimateKey& key, const Attempt& attempt,
+               const EndpointRecord& endpoint) const {
+    return now >= attempt.sent + patience(key, attempt, endpoint);
+  }
   // Whether an attempt has been out for longer than usual.
-  bool outlasts(Timestamp now, const EstimateKey& key, const Attempt& attempt) const;
+  bool outlasts(Timestamp now, const EstimateKey& key, const Attempt& attempt) const {
+    return now - attempt.sent > outlasting_factor * estimates_.no_load_response_time(key);
+  }
   // Where the fleet is late, what is overdue is only late too: doubling all of it would make that worse.
   OverdueAction overdue_action(const TrackedRequest& tracked) const;
 
@@ -48,6 +54,7 @@
 
  private:
   static constexpr double most_overdue_budget = 5;  // moved at once
+  static constexpr double outlasting_factor = 0.5;  // response times; an attempt just sent tells nothing
 
   bool earlier_allow(Timestamp now, const TrackedRequest& tracked, const EndpointRecord& endpoint) const;
   bool hinders_another(Timestamp now, const RequestClass& request_class, const Attempt& attempt,
--- a/src/routing/routing_policy.cpp
+++ b/src/routing/routing_policy.cpp
@@ -155,7 +155,7 @@
   }
 
   void remove_endpoint(Timestamp now, EndpointRecord& record) {
-    routing::EndpointTable::remove(now, record);
+    parts_.endpoints.remove(now, record);
     parts_.functions.forget_copies(record.endpoint.id);
   }
 
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -75,7 +75,7 @@
 
   // Since when the endpoint has been warming up; default: it is warm.
   Timestamp warming_since(Timestamp now, const StartSigns& signs) const {
-    const Timestamp since = std::max(signs.started, signs.restarted);
+    const Timestamp since = later_of(signs.started, signs.restarted);
     return now - since < limits_.warm_up_span ? since : Timestamp{};
   }
 
--- a/src/routing/time.h
+++ b/src/routing/time.h
@@ -30,6 +30,9 @@
 // A reading of that clock; the default value stands for "never" or "unknown".
 using Timestamp = MonotonicClock::time_point;
 
+// The later of two moments; by value, where std::max returns a reference and so keeps both in memory.
+constexpr Timestamp later_of(Timestamp first, Timestamp second) { return first < second ? second : first; }
+
 // Whole tenths of a millisecond, as a moment of the monotonic clock or as a span.
 using Time = std::int64_t;
 
--- a/src/routing/warm_index.cpp
+++ b/src/routing/warm_index.cpp
@@ -10,10 +10,6 @@
   }
 }
 
-void WarmIndex::forget(const EndpointId& endpoint) {
-  if (const auto it = copies_.find(endpoint); it != copies_.end()) it->second.forget();
-}
-
 void WarmIndex::sweep(Timestamp now, Duration keep_alive) {
   std::erase_if(copies_, [&](const auto& item) { return !item.second.believed(now, keep_alive); });
 }
--- a/src/routing/warm_index.h
+++ b/src/routing/warm_index.h
@@ -18,7 +18,9 @@
   // Lets the records of the endpoints find their copies, for one selection.
   void link(EndpointTable& endpoints, std::uint64_t selection);
   // The endpoint has lost its copy.
-  void forget(const EndpointId& endpoint);
+  void forget(const EndpointId& endpoint) {
+    if (const auto it = copies_.find(endpoint); it != copies_.end()) it->second.forget();
+  }
   // Erases the copies that have lapsed, which count for nothing.
   void sweep(Timestamp now, Duration keep_alive);
 
--- a/tests/routing/endpoint_monitor_test.cpp
+++ b/tests/routing/endpoint_monitor_test.cpp
@@ -65,8 +65,8 @@
 
 TEST_F(EndpointMonitorTest, AttemptIsJudgedOnce) {
   Attempt attempt{.endpoint = "a"};
-  monitor.judge_attempt(start, attempt, true);
-  monitor.judge_attempt(start, attempt, true);
+  monitor.judge_attempt(start, true, attempt, endpoint("a"));
+  monitor.judge_attempt(start, true, attempt, endpoint("a"));
   EXPECT_EQ(endpoint("a").history.all(start).judged, 1);
 }
 
--- a/tests/routing/endpoint_selector_test.cpp
+++ b/tests/routing/endpoint_selector_test.cpp
@@ -83,7 +83,7 @@
 }
 
 TEST_F(EndpointSelectorTest, NoEndpointMeansNone) {
-  for (const char* id : {"a", "b", "c"}) EndpointTable::remove(now, endpoints.at(id));
+  for (const char* id : {"a", "b", "c"}) endpoints.remove(now, endpoints.at(id));
   endpoints.new_version();
   EXPECT_EQ(select(), "");
 }
@@ -93,7 +93,7 @@
   add_ended(first, AttemptOutcome::error);
   EXPECT_NE(select(), first);
   for (const char* id : {"a", "b", "c"}) {
-    if (id != first) EndpointTable::remove(now, endpoints.at(id));
+    if (id != first) endpoints.remove(now, endpoints.at(id));
   }
   endpoints.new_version();
   EXPECT_EQ(select(), first);
--- a/tests/routing/endpoint_table_test.cpp
+++ b/tests/routing/endpoint_table_test.cpp
@@ -23,9 +23,9 @@
   EndpointTable endpoints;
   endpoints.update({.id = "a"});
   EXPECT_TRUE(endpoints.at("a").may_receive());
-  EndpointTable::remove(now, endpoints.at("a"));
+  endpoints.remove(now, endpoints.at("a"));
   EXPECT_FALSE(endpoints.at("a").may_receive());
-  EndpointTable::remove(now + one_second, endpoints.at("a"));
+  endpoints.remove(now + one_second, endpoints.at("a"));
   endpoints.erase_removed(now + removed_kept);
   EXPECT_NE(endpoints.find("a"), nullptr);
   const std::uint64_t version = endpoints.version();
@@ -38,13 +38,27 @@
   EndpointTable endpoints;
   endpoints.update({.id = "open"}).record.in_flight.sent();
   endpoints.update({.id = "back"});
-  for (const char* id : {"open", "back"}) EndpointTable::remove(now, endpoints.at(id));
+  for (const char* id : {"open", "back"}) endpoints.remove(now, endpoints.at(id));
   endpoints.update({.id = "back"});
   endpoints.erase_removed(now + 2 * removed_kept);
   EXPECT_NE(endpoints.find("open"), nullptr);
   EXPECT_NE(endpoints.find("back"), nullptr);
 }
 
+TEST(EndpointTable, EndpointThatCameBackAndLeftAgainGoesAWhileAfterThat) {
+  EndpointTable endpoints;
+  for (const char* id : {"a", "b"}) endpoints.update({.id = id});
+  endpoints.remove(now, endpoints.at("a"));
+  endpoints.update({.id = "a"});
+  endpoints.remove(now + one_second, endpoints.at("a"));
+  endpoints.erase_removed(now + removed_kept + Duration{1});
+  EXPECT_NE(endpoints.find("a"), nullptr);
+  endpoints.remove(now + removed_kept, endpoints.at("b"));
+  endpoints.erase_removed(now + one_second + removed_kept + Duration{1});
+  EXPECT_EQ(endpoints.find("a"), nullptr);
+  EXPECT_NE(endpoints.find("b"), nullptr);
+}
+
 TEST(EndpointRecord, WeightIsTheRatingTimesThatOfPlacement) {
   EndpointRecord record;
   record.endpoint.rating = 0;
--- a/tests/routing/request_dispatcher_test.cpp
+++ b/tests/routing/request_dispatcher_test.cpp
@@ -8,7 +8,7 @@
 class RequestDispatcherTest : public RoutingPartsTest {
  protected:
   void remove_all() {
-    for (const char* id : {"a", "b", "c"}) EndpointTable::remove(start, endpoint(id));
+    for (const char* id : {"a", "b", "c"}) parts.endpoints.remove(start, endpoint(id));
     parts.endpoints.new_version();
   }
   void return_all() {
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -111,13 +111,21 @@
   function.load_time_stated(Duration{1'000});
   const Attempt cold{.endpoint = "a"};
   const Attempt warm{.endpoint = "a", .copy_confirmed = true};
-  EXPECT_EQ(retries.patience(key(), cold), Duration{600 + 2 * 1'000 + 2 * 40});
-  EXPECT_EQ(retries.patience(key(), warm), Duration{600 + 1'000 + 2 * 40});
+  EndpointRecord& record = endpoints.at("a");
+  EXPECT_EQ(retries.patience(key(), cold, record), Duration{600 + 2 * 1'000 + 2 * 40});
+  EXPECT_EQ(retries.patience(key(), warm, record), Duration{600 + 1'000 + 2 * 40});
   OutlierDetection outliers(observation);
   outliers.observe_fleet({.serving = 3});
-  EndpointRecord& record = endpoints.at("a");
   while (!record.outlier.ejected()) outliers.attempt_judged(now, true, record.outlier, record.history);
-  EXPECT_EQ(retries.patience(key(), warm), Duration{300 + 2 * 40});
+  EXPECT_EQ(retries.patience(key(), warm, record), Duration{300 + 2 * 40});
+}
+
+TEST_F(RetryPolicyTest, AttemptIsOverdueOnceItsPatienceIsOver) {
+  const EndpointRecord& record = endpoints.at("a");
+  const Attempt attempt{.endpoint = "a", .sent = now, .copy_confirmed = true};
+  const Timestamp over = now + retries.patience(key(), attempt, record);
+  EXPECT_FALSE(retries.overdue(over - Duration{1}, key(), attempt, record));
+  EXPECT_TRUE(retries.overdue(over, key(), attempt, record));
 }
 
 TEST_F(RetryPolicyTest, AttemptOutlastsAfterHalfAResponseTime) {
