--- a/src/core/attempt_execution.cpp
+++ b/src/core/attempt_execution.cpp
@@ -6,13 +6,13 @@
 
 namespace rushhill::core {
 
-void AttemptExecution::start(RequestId id, const EndpointId& endpoint, Time timeout) {
+void AttemptExecution::start(RequestId id, const EndpointId& endpoint, Duration timeout) {
   Request* request = env_.requests.find(id);
   if (request == nullptr) {
     env_.log.write(Level::error, "attempt for a request that is not open", {{"server", endpoint}});
     return;
   }
-  const Time now = env_.clock.now();
+  const Timestamp now = env_.clock.timestamp();
   const int number = static_cast<int>(request->attempts.size());
   request->attempts.push_back({.endpoint = endpoint, .started = now});
   Attempt& attempt = request->attempts.back();
@@ -22,9 +22,9 @@
     return;
   }
   ++env_.counters.attempts;
-  if (timeout > 0) {
+  if (timeout > Duration::zero()) {
     attempt.timeout_timer = env_.clock.at(
-        now + timeout, [this, id, number] { cancel_sent(id, number, AttemptOutcome::unanswered); });
+        to_ticks(now + timeout), [this, id, number] { cancel_sent(id, number, AttemptOutcome::unanswered); });
   }
   env_.upstream.send({.request = id,
                       .attempt_number = number,
@@ -87,7 +87,7 @@
                        .endpoint = attempt.endpoint,
                        .outcome = result.outcome,
                        .final = request.concluded,
-                       .taken = to_duration(env_.clock.now() - attempt.started),
+                       .taken = env_.clock.timestamp() - attempt.started,
                        .copy_state = result.copy_state,
                        .in_flight = result.in_flight,
                        .report = result.report};
--- a/src/core/attempt_execution.h
+++ b/src/core/attempt_execution.h
@@ -30,7 +30,7 @@
       : env_(environment), attempt_limit_(attempt_limit) {}
 
   // Sends the request to the endpoint as its next attempt. `timeout`: 0: until the request's deadline.
-  void start(RequestId id, const EndpointId& endpoint, Time timeout);
+  void start(RequestId id, const EndpointId& endpoint, Duration timeout);
 
   // Cancels one attempt because the routing policy asks for it; nothing where it has ended already.
   void cancel(RequestId id, int number);
--- a/src/core/client.h
+++ b/src/core/client.h
@@ -17,8 +17,8 @@
   virtual ~Client() = default;
 
   virtual void succeeded(RequestId request, events::CloudEvent reply) = 0;
-  // It had no effect. `retry_after`: when the client may come back; 0: no advice.
-  virtual void rejected(RequestId request, Time retry_after) = 0;
+  // It had no effect. `retry_after`: when the client may come back; zero: no advice.
+  virtual void rejected(RequestId request, Duration retry_after) = 0;
   // It may have run.
   virtual void failed(RequestId request) = 0;
   // Instead of failed: it did not run here, but was accepted before, here or by another router.
--- a/src/core/deduplication_log.h
+++ b/src/core/deduplication_log.h
@@ -33,7 +33,7 @@
   // A prewarm order is about to be sent. False: it must not be.
   virtual bool prepare_prewarm() = 0;
   virtual AdmissionVerdict admit(RequestId request, const std::string& request_class,
-                                 const events::CloudEvent& message, Time time_left) = 0;
+                                 const events::CloudEvent& message, Duration time_left) = 0;
   // The end of a tracked request.
   virtual void request_ended(const events::CloudEvent& message, ExecutionCertainty certainty) = 0;
 };
--- a/src/core/deferred_calls.h
+++ b/src/core/deferred_calls.h
@@ -14,7 +14,9 @@
   explicit DeferredCalls(TimerService& clock) : clock_(clock) {}
 
   void run_soon(TimerService::Call call) { clock_.post(guarded(std::move(call))); }
-  void run_at(Time when, TimerService::Call call) { clock_.at(when, guarded(std::move(call))); }
+  void run_at(Timestamp when, TimerService::Call call) {
+    clock_.at(to_ticks(when), guarded(std::move(call)));
+  }
 
  private:
   TimerService::Call guarded(TimerService::Call call) const {
--- a/src/core/endpoint_call_execution.cpp
+++ b/src/core/endpoint_call_execution.cpp
@@ -5,25 +5,25 @@
 namespace rushhill::core {
 namespace {
 
-constexpr Time probe_timeout = 10'000;  // tenths of a millisecond; an older report is worth nothing
+constexpr Duration probe_timeout = one_second;  // an older report is worth nothing
 
 }  // namespace
 
 void EndpointCallExecution::probe(const EndpointId& endpoint) {
   ++env_.counters.probes;
-  probes_.start(endpoint, env_.clock.now());
+  probes_.start(endpoint, env_.clock.timestamp());
   env_.upstream.probe(endpoint, probe_timeout);
 }
 
 void EndpointCallExecution::probe_ended(const EndpointId& endpoint, AttemptOutcome outcome,
                                         const LoadReport& report) {
-  const Time taken = probes_.end(endpoint, env_.clock.now());
-  const ProbeEnd end{.endpoint = endpoint, .outcome = outcome, .taken = to_duration(taken), .report = report};
+  const Duration taken = probes_.end(endpoint, env_.clock.timestamp());
+  const ProbeEnd end{.endpoint = endpoint, .outcome = outcome, .taken = taken, .report = report};
   env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.probe_ended(now, end); });
 }
 
 void EndpointCallExecution::prewarm(const EndpointId& endpoint, const FunctionId& function, int copies) {
-  prewarms_.start({endpoint, function}, env_.clock.now());
+  prewarms_.start({endpoint, function}, env_.clock.timestamp());
   if (env_.deduplication != nullptr && !env_.deduplication->prepare_prewarm()) {
     env_.deferred.run_soon(
         [this, endpoint, function] { prewarm_ended(endpoint, function, AttemptOutcome::not_sent, 0); });
@@ -35,12 +35,9 @@
 
 void EndpointCallExecution::prewarm_ended(const EndpointId& endpoint, const FunctionId& function,
                                           AttemptOutcome outcome, int copies) {
-  const Time taken = prewarms_.end({endpoint, function}, env_.clock.now());
-  const PrewarmEnd end{.endpoint = endpoint,
-                       .function = function,
-                       .outcome = outcome,
-                       .taken = to_duration(taken),
-                       .copies = copies};
+  const Duration taken = prewarms_.end({endpoint, function}, env_.clock.timestamp());
+  const PrewarmEnd end{
+      .endpoint = endpoint, .function = function, .outcome = outcome, .taken = taken, .copies = copies};
   env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.prewarm_ended(now, end); });
 }
 
--- a/src/core/endpoint_call_execution.h
+++ b/src/core/endpoint_call_execution.h
@@ -28,7 +28,7 @@
     Counters& counters;
   };
   // `prewarm_timeout`: a prewarm order is given up after that.
-  EndpointCallExecution(const Environment& environment, Time prewarm_timeout)
+  EndpointCallExecution(const Environment& environment, Duration prewarm_timeout)
       : env_(environment), prewarm_timeout_(prewarm_timeout) {}
 
   void probe(const EndpointId& endpoint);
@@ -43,7 +43,7 @@
 
  private:
   Environment env_;
-  Time prewarm_timeout_;
+  Duration prewarm_timeout_;
   OutstandingCalls<EndpointId> probes_;
   OutstandingCalls<std::pair<EndpointId, FunctionId>> prewarms_;
 };
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -27,7 +27,7 @@
                        .deferred = deferred_,
                        .policy = policy_,
                        .counters = counters_},
-                      to_ticks(configuration.copies.prewarm_timeout)),
+                      configuration.copies.prewarm_timeout),
       lifecycle_(
           {.clock = ports.clock,
            .log = ports.log,
@@ -38,7 +38,7 @@
            .deferred = deferred_,
            .policy = policy_,
            .counters = counters_},
-          configuration.retries.retry_after ? to_ticks(configuration.retries.longest_retry_after) : 0) {}
+          configuration.retries.retry_after ? configuration.retries.longest_retry_after : Duration::zero()) {}
 
 // Events from the front ends, service discovery, the peers and the deduplication log.
 
@@ -111,21 +111,19 @@
 // Decisions of the routing policy.
 
 void Gateway::send_attempt(RequestId request, const EndpointId& endpoint, Duration timeout) {
-  attempts_.start(request, endpoint, to_ticks(timeout));
+  attempts_.start(request, endpoint, timeout);
 }
 
 void Gateway::cancel_attempt(RequestId request, int attempt_number) {
   attempts_.cancel(request, attempt_number);
 }
 
-void Gateway::reject(RequestId request, Duration retry_after) {
-  lifecycle_.reject(request, to_ticks(retry_after));
-}
+void Gateway::reject(RequestId request, Duration retry_after) { lifecycle_.reject(request, retry_after); }
 
 void Gateway::fail(RequestId request) { lifecycle_.fail(request); }
 
 void Gateway::set_timer(std::int64_t token, Timestamp at) {
-  deferred_.run_at(to_ticks(at), [this, token] {
+  deferred_.run_at(at, [this, token] {
     policy_.run([token](RoutingPolicy& policy, Timestamp now) { policy.timer_fired(now, token); });
   });
 }
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -51,7 +51,7 @@
     return room_.add(weight, can_wait);
   }
   // Whether the source should hand over a request now.
-  bool has_room(admission::Shares::Source source) { return room_.has_room(ports_.clock.now(), source); }
+  bool has_room(admission::Shares::Source source) { return room_.has_room(ports_.clock.timestamp(), source); }
   // Of the requests of a class; at most once for a class that is not configured.
   RetrySafety retry_safety_of(const std::string& request_class) const;
 
--- a/src/core/outstanding_calls.h
+++ b/src/core/outstanding_calls.h
@@ -14,13 +14,14 @@
 template <typename Key>
 class OutstandingCalls {
  public:
-  void start(const Key& key, Time now) { started_[key].push_back(now); }
+  void start(const Key& key, Timestamp now) { started_[key].push_back(now); }
 
-  // Ends the oldest call of the key and returns how long it took; 0 where no call of the key is outstanding.
-  Time end(const Key& key, Time now) {
+  // Ends the oldest call of the key and returns how long it took; zero where no call of the key is
+  // outstanding.
+  Duration end(const Key& key, Timestamp now) {
     const auto calls = started_.find(key);
-    if (calls == started_.end()) return 0;
-    const Time started = calls->second.front();
+    if (calls == started_.end()) return Duration::zero();
+    const Timestamp started = calls->second.front();
     calls->second.erase(calls->second.begin());
     if (calls->second.empty()) started_.erase(calls);
     return now - started;
@@ -30,7 +31,7 @@
   std::size_t keys() const { return started_.size(); }
 
  private:
-  std::map<Key, std::vector<Time>> started_;  // oldest first, never empty
+  std::map<Key, std::vector<Timestamp>> started_;  // oldest first, never empty
 };
 
 }  // namespace rushhill::core
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -1,5 +1,7 @@
 #include "core/request_lifecycle.h"
 
+#include <chrono>
+#include <ratio>
 #include <string>
 #include <utility>
 
@@ -9,7 +11,7 @@
 namespace rushhill::core {
 namespace {
 
-constexpr double ticks_per_ms = 10;  // Time counts tenths of a millisecond
+using FractionalMilliseconds = std::chrono::duration<double, std::milli>;
 
 const char* name_of(SourceRoom::End end) {
   switch (end) {
@@ -40,16 +42,16 @@
   routing_request.id = id;
   request.client = &client;
   request.message = std::move(message);
-  request.accepted = env_.clock.now();
-  request.deadline = request.accepted + to_ticks(routing_request.time_left);
-  request.deadline_timer = env_.clock.at(request.deadline, [this, added = id] { expire(added); });
+  request.accepted = env_.clock.timestamp();
+  request.deadline = request.accepted + routing_request.time_left;
+  request.deadline_timer = env_.clock.at(to_ticks(request.deadline), [this, added = id] { expire(added); });
   request.source = source;
   env_.room.accepted(request.accepted, source);
   ++env_.counters.accepted;
   AdmissionVerdict verdict = AdmissionVerdict::untracked;
   if (env_.deduplication != nullptr) {
     verdict = env_.deduplication->admit(id, routing_request.request_class, request.message,
-                                        to_ticks(routing_request.time_left));
+                                        routing_request.time_left);
   }
   apply(verdict, id, request, std::move(routing_request));
   return id;
@@ -85,7 +87,7 @@
   Request* request = env_.requests.find(id);
   if (request == nullptr || !request->awaiting_record || request->concluded) return;
   RoutingRequest routing_request = std::move(*request->awaiting_record);
-  routing_request.time_left = to_duration(request->deadline - env_.clock.now());
+  routing_request.time_left = request->deadline - env_.clock.timestamp();
   // In the tick of the deadline the deadline comes first.
   if (routing_request.time_left <= Duration::zero()) {
     expire(id);
@@ -108,7 +110,7 @@
   env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.client_cancelled(now, id); });
 }
 
-void RequestLifecycle::reject(RequestId id, Time retry_after) {
+void RequestLifecycle::reject(RequestId id, Duration retry_after) {
   Request* request = env_.requests.find(id);
   if (request == nullptr || request->concluded) return;
   ++env_.counters.rejected;
@@ -137,7 +139,7 @@
   if (request == nullptr) return;
   if (!request->concluded) {
     if (request->awaiting_record) {  // the policy has not seen it
-      reject(id, 0);
+      reject(id, Duration::zero());
       return;
     }
     ++env_.counters.expired;
@@ -158,7 +160,7 @@
   if (attempt == nullptr || !attempt->open) return;
   Request& request = env_.requests.at(id);
   // In the very tick of the deadline the deadline comes first.
-  if (!request.concluded && env_.clock.now() >= request.deadline) {
+  if (!request.concluded && env_.clock.timestamp() >= request.deadline) {
     expire(id);
     return;
   }
@@ -177,7 +179,7 @@
 void RequestLifecycle::conclude(RequestId id, Request& request, End end, ExecutionCertainty certainty) {
   if (request.recorded) env_.deduplication->request_ended(request.message, certainty);
   env_.attempts.cancel_unsent(id, request);
-  env_.room.concluded(env_.clock.now(), request.source, end);
+  env_.room.concluded(env_.clock.timestamp(), request.source, end);
   request.concluded = true;
   env_.deferred.run_soon([this, id] { env_.requests.erase_if_over(id); });
   log_conclusion(request, end);
@@ -185,13 +187,13 @@
 
 void RequestLifecycle::log_conclusion(const Request& request, End end) {
   if (!env_.log.wants(Level::debug)) return;
-  const double elapsed_ms = static_cast<double>(env_.clock.now() - request.accepted) / ticks_per_ms;
+  const FractionalMilliseconds elapsed = env_.clock.timestamp() - request.accepted;
   env_.log.write(Level::debug, "final answer",
                  {{"outcome", name_of(end)},
                   {"event", request.message.id},
                   {"source", request.message.source},
                   {"shots", std::to_string(request.attempts.size())},
-                  {"ms", std::to_string(elapsed_ms)}});
+                  {"ms", std::to_string(elapsed.count())}});
 }
 
 // Answers that the routing policy decides on are sent when it has returned.
--- a/src/core/request_lifecycle.h
+++ b/src/core/request_lifecycle.h
@@ -37,8 +37,8 @@
     PolicyRunner& policy;
     Counters& counters;
   };
-  // `retry_after`: when clients may come back whose requests could not be recorded; 0: no advice.
-  RequestLifecycle(const Environment& environment, Time retry_after)
+  // `retry_after`: when clients may come back whose requests could not be recorded; zero: no advice.
+  RequestLifecycle(const Environment& environment, Duration retry_after)
       : env_(environment), retry_after_(retry_after) {}
 
   // Accepts a request unless its source has no room. The client's answer never comes before this returns.
@@ -49,7 +49,7 @@
 
   void cancelled(const ClientCancellation& cancellation);
   // Final answers that the routing policy asks for; nothing where the request has one.
-  void reject(RequestId id, Time retry_after);
+  void reject(RequestId id, Duration retry_after);
   void fail(RequestId id);
   // The deadline has come, or the router must end.
   void expire(RequestId id);
@@ -67,7 +67,7 @@
   void answer_soon(RequestId id, std::function<void(Client&)> answer);
 
   Environment env_;
-  Time retry_after_;
+  Duration retry_after_;
 };
 
 }  // namespace rushhill::core
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -21,7 +21,7 @@
 // One attempt to have a request answered by an endpoint; its number is its place in Request::attempts.
 struct Attempt {
   EndpointId endpoint;
-  Time started = 0;
+  Timestamp started{};
   bool open = true;
   Timer timeout_timer{};  // none: until the request's deadline
 };
@@ -34,8 +34,8 @@
   bool recorded = false;     // its end is reported to the deduplication log
   std::optional<RoutingRequest> awaiting_record;  // the policy has not seen it yet
   events::CloudEvent message;
-  Time accepted = 0;
-  Time deadline = 0;
+  Timestamp accepted{};
+  Timestamp deadline{};
   Timer deadline_timer;
   std::vector<Attempt> attempts;
   int deferred_calls = 0;  // what is put off until the present call returns: ends of attempts, the answer
--- a/src/core/source_room.h
+++ b/src/core/source_room.h
@@ -26,17 +26,19 @@
     return shares_.add(weight);
   }
   // Whether the source should hand over a request now.
-  bool has_room(Time now, Source source) { return within_share(source) && yielding_.may_take(now, source); }
+  bool has_room(Timestamp now, Source source) {
+    return within_share(source) && yielding_.may_take(to_ticks(now), source);
+  }
   // Whether a request that the source hands over all the same may be accepted.
   bool within_share(Source source) const { return shares_.may_take(source); }
 
-  void accepted(Time now, Source source) {
+  void accepted(Timestamp now, Source source) {
     shares_.took(source);
-    yielding_.took(now, source);
+    yielding_.took(to_ticks(now), source);
   }
-  void concluded(Time now, Source source, End end) {
+  void concluded(Timestamp now, Source source, End end) {
     shares_.ended(source);
-    yielding_.ended(now, source, end);
+    yielding_.ended(to_ticks(now), source, end);
   }
   // Requests accepted and not concluded.
   std::size_t open() const { return shares_.open(); }
--- a/src/core/timer_service.h
+++ b/src/core/timer_service.h
@@ -27,8 +27,11 @@
   TimerService& operator=(TimerService&&) = delete;
   virtual ~TimerService() = default;
 
-  // Monotonic, in tenths of a millisecond, never 0.
+  // Monotonic, in tenths of a millisecond, never 0. The core itself uses `timestamp`; what stands around it
+  // counts ticks still.
   virtual Time now() const = 0;
+  // The same reading as a strong type.
+  Timestamp timestamp() const { return to_timestamp(now()); }
   // Runs the call once, at or after that moment.
   virtual Timer at(Time when, Call call) = 0;
   // Nothing happens where the timer has fired or names none.
--- a/src/core/upstream_transport.h
+++ b/src/core/upstream_transport.h
@@ -41,7 +41,7 @@
   RequestId request = 0;
   int attempt_number = 0;
   const EndpointId& endpoint;
-  Time time_left = 0;  // until the client gives up
+  Duration time_left{};  // until the client gives up
   const events::CloudEvent& message;
 };
 
@@ -62,8 +62,9 @@
   virtual bool cancel_unsent(RequestId request, int attempt_number) = 0;
   // Attempts and prewarm orders for the endpoint of which no byte has left end as not sent.
   virtual void cancel_all_unsent(const EndpointId& endpoint) = 0;
-  virtual void probe(const EndpointId& endpoint, Time timeout) = 0;
-  virtual void prewarm(const EndpointId& endpoint, const FunctionId& function, int copies, Time timeout) = 0;
+  virtual void probe(const EndpointId& endpoint, Duration timeout) = 0;
+  virtual void prewarm(const EndpointId& endpoint, const FunctionId& function, int copies,
+                       Duration timeout) = 0;
   virtual void evict(const EndpointId& endpoint, const FunctionId& function) = 0;
   virtual void close_idle(const EndpointId& endpoint) = 0;
   // Where an endpoint is reached from now on; an empty address: nowhere.
--- a/src/frontends/fastcgi_connection.cpp
+++ b/src/frontends/fastcgi_connection.cpp
@@ -225,10 +225,10 @@
 void FastCgiFront::Connection::succeeded(RequestId request_id, events::CloudEvent answer) {
   answer_open(request_id, {.body = answer.data});
 }
-void FastCgiFront::Connection::rejected(RequestId request_id, Time retry_after) {
+void FastCgiFront::Connection::rejected(RequestId request_id, Duration retry_after) {
   answer_open(request_id, {.status = 503,
                            .reason_phrase = "Service Unavailable",
-                           .extra_fields = retry_after_field(retry_after)});
+                           .extra_fields = retry_after_field(to_ticks(retry_after))});
 }
 void FastCgiFront::Connection::failed(RequestId request_id) {
   answer_open(request_id, {.status = 504, .reason_phrase = "Gateway Timeout"});
--- a/src/frontends/fastcgi_connection.h
+++ b/src/frontends/fastcgi_connection.h
@@ -79,7 +79,7 @@
   // core::Client
   void attempt_started(RequestId request_id) override;
   void succeeded(RequestId request_id, events::CloudEvent answer) override;
-  void rejected(RequestId request_id, Time retry_after) override;
+  void rejected(RequestId request_id, Duration retry_after) override;
   void failed(RequestId request_id) override;
 
   void start_received();
--- a/src/frontends/http_exchange.cpp
+++ b/src/frontends/http_exchange.cpp
@@ -128,13 +128,14 @@
   answer_complete_batch();
 }
 
-void HttpFront::Exchange::rejected(RequestId request_id, Time retry_after) {
+void HttpFront::Exchange::rejected(RequestId request_id, Duration retry_after) {
   const Problem problem{
       .status = 503,
       .outcome = "shed",
       .detail = "the event was not run; it may be sent again",
   };
-  put_problem(request_id, to_response(problem, retry_after), retry_after);
+  const Time ticks = to_ticks(retry_after);
+  put_problem(request_id, to_response(problem, ticks), ticks);
 }
 void HttpFront::Exchange::duplicate(RequestId request_id) {
   put_problem(request_id,
--- a/src/frontends/http_exchange.h
+++ b/src/frontends/http_exchange.h
@@ -31,7 +31,7 @@
 
   void attempt_started(RequestId request_id) override;
   void succeeded(RequestId request_id, events::CloudEvent reply) override;
-  void rejected(RequestId request_id, Time retry_after) override;
+  void rejected(RequestId request_id, Duration retry_after) override;
   void duplicate(RequestId request_id) override;
   void failed(RequestId request_id) override;
 
--- a/src/frontends/mqtt_session.cpp
+++ b/src/frontends/mqtt_session.cpp
@@ -199,8 +199,8 @@
 void MqttFront::Session::succeeded(RequestId request_id, events::CloudEvent reply) {
   conclude(request_id, {.outcome = Outcome::succeeded, .reply = std::move(reply)});
 }
-void MqttFront::Session::rejected(RequestId request_id, Time retry_after) {
-  conclude(request_id, {.outcome = Outcome::rejected, .retry_after = retry_after});
+void MqttFront::Session::rejected(RequestId request_id, Duration retry_after) {
+  conclude(request_id, {.outcome = Outcome::rejected, .retry_after = to_ticks(retry_after)});
 }
 void MqttFront::Session::failed(RequestId request_id) { conclude(request_id, {.outcome = Outcome::failed}); }
 
--- a/src/frontends/mqtt_session.h
+++ b/src/frontends/mqtt_session.h
@@ -42,7 +42,7 @@
   bool idle() const { return connection_.disconnected(); }
 
   void succeeded(RequestId request_id, events::CloudEvent reply) override;
-  void rejected(RequestId request_id, Time retry_after) override;
+  void rejected(RequestId request_id, Duration retry_after) override;
   void failed(RequestId request_id) override;
 
  private:
--- a/src/router/shared_state.cpp
+++ b/src/router/shared_state.cpp
@@ -123,13 +123,13 @@
 }
 
 core::AdmissionVerdict SharedState::admit(RequestId event, const std::string& traffic_type,
-                                          const events::CloudEvent& message, Time left) {
+                                          const events::CloudEvent& message, Duration left) {
   const auto type = told_.marks.find(traffic_type);
   if (type == told_.marks.end()) return core::AdmissionVerdict::untracked;
   const Time now = reactor_.now();
   const bool held = type->second == replica::MarkLevel::held;
   if (!settled_ && (held || now - born_ < told_after)) return core::AdmissionVerdict::unavailable;
-  const Time by = now + static_cast<Time>(told_.held_within * static_cast<double>(left));
+  const Time by = now + static_cast<Time>(told_.held_within * static_cast<double>(to_ticks(left)));
   switch (marks_.take(now, event, replica::mark_of(message.source, message.id), type->second, by)) {
     case replica::Taking::known:
       return core::AdmissionVerdict::duplicate;
--- a/src/router/shared_state.h
+++ b/src/router/shared_state.h
@@ -31,7 +31,7 @@
 
   bool prepare_prewarm() override;
   core::AdmissionVerdict admit(RequestId event, const std::string& traffic_type,
-                               const events::CloudEvent& message, Time left) override;
+                               const events::CloudEvent& message, Duration left) override;
   void request_ended(const events::CloudEvent& message, core::ExecutionCertainty fate) override;
 
   // How far this copy is, for people.
--- a/src/scale/hollow.cpp
+++ b/src/scale/hollow.cpp
@@ -300,9 +300,10 @@
       if (!alive.expired()) hear(key, end);
     });
   };
-  const auto job = servers_.at(call.endpoint)
-                       .take(
-                           {&servers_.function(open->second.first), work, now + call.time_left}, [] {}, done);
+  const auto job =
+      servers_.at(call.endpoint)
+          .take(
+              {&servers_.function(open->second.first), work, now + to_ticks(call.time_left)}, [] {}, done);
   jobs_[key] = {call.endpoint, job};
 }
 void HollowRouter::hear(const std::pair<RequestId, int>& attempt, const standin::Machine::End& end) {
@@ -330,13 +331,13 @@
   servers_.at(it->second.first).drop(it->second.second);
   jobs_.erase(it);
 }
-void HollowRouter::probe(const EndpointId& server, Time) {
+void HollowRouter::probe(const EndpointId& server, Duration) {
   servers_.clock().post([this, server, alive = std::weak_ptr(life_)] {
     if (!alive.expired())
       gateway_.probe_ended(server, AttemptOutcome::succeeded, {{"util", servers_.at(server).busy()}});
   });
 }
-void HollowRouter::prewarm(const EndpointId& server, const FunctionId& function, int copies, Time) {
+void HollowRouter::prewarm(const EndpointId& server, const FunctionId& function, int copies, Duration) {
   servers_.at(server).hold(
       servers_.function(function), copies,
       [this, server, function, alive = std::weak_ptr(life_)](standin::Fate fate, int standing) {
@@ -355,7 +356,7 @@
   in_time += servers_.clock().now() - it->second.second <= latency_target ? 1 : 0;
   open_.erase(it);
 }
-void HollowRouter::rejected(RequestId event, Time) { given_up += open_.erase(event) > 0 ? 1 : 0; }
+void HollowRouter::rejected(RequestId event, Duration) { given_up += open_.erase(event) > 0 ? 1 : 0; }
 void HollowRouter::failed(RequestId event) { given_up += open_.erase(event) > 0 ? 1 : 0; }
 
 }  // namespace rushhill::scale
--- a/src/scale/hollow.h
+++ b/src/scale/hollow.h
@@ -168,13 +168,13 @@
   void cancel(RequestId event, int leg) override;
   bool cancel_unsent(RequestId, int) override { return false; }
   void cancel_all_unsent(const EndpointId&) override {}
-  void probe(const EndpointId& server, Time limit) override;
-  void prewarm(const EndpointId& server, const FunctionId& function, int copies, Time limit) override;
+  void probe(const EndpointId& server, Duration limit) override;
+  void prewarm(const EndpointId& server, const FunctionId& function, int copies, Duration limit) override;
   void evict(const EndpointId&, const FunctionId&) override {}
   void close_idle(const EndpointId&) override {}
   void set_address(const EndpointId&, const std::string&) override {}
   void succeeded(RequestId event, events::CloudEvent reply) override;
-  void rejected(RequestId event, Time come_back) override;
+  void rejected(RequestId event, Duration come_back) override;
   void failed(RequestId event) override;
   void watch(bool) override {}
   void resync() override {}
--- a/src/transport/server_pool.cpp
+++ b/src/transport/server_pool.cpp
@@ -29,17 +29,19 @@
          .bytes = attempt_request(bounds_.router, call)});
 }
 
-void ServerPool::probe(const EndpointId& id, Time timeout) {
-  start({.call = {.kind = UpstreamCallKind::probe, .endpoint = id, .expires_at = reactor().now() + timeout},
+void ServerPool::probe(const EndpointId& id, Duration timeout) {
+  start({.call = {.kind = UpstreamCallKind::probe,
+                  .endpoint = id,
+                  .expires_at = reactor().now() + to_ticks(timeout)},
          .bytes = probe_request(id)});
 }
 
-void ServerPool::prewarm(const EndpointId& id, const FunctionId& function, int copies, Time timeout) {
+void ServerPool::prewarm(const EndpointId& id, const FunctionId& function, int copies, Duration timeout) {
   const bool query = copies == 0;
   start({.call = {.kind = query ? UpstreamCallKind::copy_query : UpstreamCallKind::prewarm,
                   .endpoint = id,
                   .function = function,
-                  .expires_at = reactor().now() + timeout},
+                  .expires_at = reactor().now() + to_ticks(timeout)},
          .bytes = query ? copy_query_request(bounds_.router, id)
                         : prewarm_request(bounds_.router, id, function, copies)});
 }
--- a/src/transport/upstream_requests.cpp
+++ b/src/transport/upstream_requests.cpp
@@ -46,7 +46,8 @@
   request.headers.emplace_back(endpoint_header, events::header_encoded(call.endpoint));
   request.headers.emplace_back(router_header, std::to_string(router));
   request.headers.emplace_back(attempt_number_header, std::to_string(call.attempt_number));
-  request.headers.emplace_back(time_left_header, std::to_string(call.time_left / time_units_per_ms));
+  request.headers.emplace_back(time_left_header,
+                               std::to_string(to_ticks(call.time_left) / time_units_per_ms));
   request.body = call.message.data;
   return to_bytes(request);
 }
--- a/src/upstream/line_pool.cpp
+++ b/src/upstream/line_pool.cpp
@@ -38,22 +38,24 @@
          .invocation = line_protocol::invocation(call.message.id, call.message.type,
                                                  function == nullptr ? "" : *function,
                                                  number == nullptr ? "" : *number, call.message.data),
-         .deadline = reactor().now() + call.time_left});
+         .deadline = reactor().now() + to_ticks(call.time_left)});
 }
 
-void LinePool::probe(const EndpointId& id, Time timeout) {
+void LinePool::probe(const EndpointId& id, Duration timeout) {
   const std::string tag = next_tag("p");
-  start({.call = {.kind = UpstreamCallKind::probe, .endpoint = id, .expires_at = reactor().now() + timeout},
+  start({.call = {.kind = UpstreamCallKind::probe,
+                  .endpoint = id,
+                  .expires_at = reactor().now() + to_ticks(timeout)},
          .tag = tag,
          .command = bounds_.reports ? line_protocol::gauges(tag) : line_protocol::alive(tag)});
 }
 
-void LinePool::prewarm(const EndpointId& id, const FunctionId& function, int copies, Time timeout) {
+void LinePool::prewarm(const EndpointId& id, const FunctionId& function, int copies, Duration timeout) {
   const std::string tag = next_tag("o");
   start({.call = {.kind = UpstreamCallKind::prewarm,
                   .endpoint = id,
                   .function = function,
-                  .expires_at = reactor().now() + timeout},
+                  .expires_at = reactor().now() + to_ticks(timeout)},
          .tag = tag,
          .command = line_protocol::prewarm(tag, function, copies)});
 }
--- a/src/upstream/line_pool.h
+++ b/src/upstream/line_pool.h
@@ -39,8 +39,8 @@
   void cancel(RequestId request, int attempt_number) override;
   bool cancel_unsent(RequestId request, int attempt_number) override;
   void cancel_all_unsent(const EndpointId& id) override;
-  void probe(const EndpointId& id, Time timeout) override;
-  void prewarm(const EndpointId& id, const FunctionId& function, int copies, Time timeout) override;
+  void probe(const EndpointId& id, Duration timeout) override;
+  void prewarm(const EndpointId& id, const FunctionId& function, int copies, Duration timeout) override;
   void evict(const EndpointId& id, const FunctionId& function) override;
 
   // Endpoints that are on the endpoint list or still have connections.
--- a/tests/core/attempt_execution_test.cpp
+++ b/tests/core/attempt_execution_test.cpp
@@ -8,7 +8,7 @@
 
 class AttemptExecutionTest : public PartsFixture {
  protected:
-  AttemptExecutionTest() { request.deadline = clock.now() + second; }
+  AttemptExecutionTest() { request.deadline = clock.timestamp() + one_second; }
   std::vector<AttemptOutcome> endings() const {
     std::vector<AttemptOutcome> all;
     for (const AttemptEnd& end : heard.attempt_ends) all.push_back(end.outcome);
@@ -21,18 +21,18 @@
 
 TEST_F(AttemptExecutionTest, AnAttemptIsSentWithTheTimeThatTheRequestHasLeft) {
   clock.pass(second / 4);
-  attempts.start(id, "a", 0);
-  attempts.start(id, "b", 0);
+  attempts.start(id, "a", Duration::zero());
+  attempts.start(id, "b", Duration::zero());
   ASSERT_EQ(carrier.sent.size(), 2U);
   EXPECT_EQ(carrier.sent[1].number, 1);
   EXPECT_EQ(carrier.sent[1].server, "b");
-  EXPECT_EQ(carrier.sent[1].left, second - second / 4);
+  EXPECT_EQ(carrier.sent[1].left, to_duration(second - second / 4));
   EXPECT_EQ(tally.attempts, 2U);
   EXPECT_EQ(clock.standing(), 0U) << "no timeout is set";
 }
 
 TEST_F(AttemptExecutionTest, AtItsTimeoutAnAttemptIsDroppedAndReportedOnce) {
-  attempts.start(id, "a", second / 10);
+  attempts.start(id, "a", to_duration(second / 10));
   clock.pass(second / 10);
   EXPECT_EQ(carrier.dropped, (std::vector{std::pair(id, 0)}));
   EXPECT_EQ(endings(), std::vector<AttemptOutcome>{AttemptOutcome::unanswered});
@@ -44,7 +44,7 @@
 }
 
 TEST_F(AttemptExecutionTest, ACancelledAttemptIsReportedWhenThePresentCallHasReturned) {
-  attempts.start(id, "a", second / 10);
+  attempts.start(id, "a", to_duration(second / 10));
   attempts.cancel(id, 0);
   EXPECT_TRUE(heard.attempt_ends.empty());
   EXPECT_EQ(request.deferred_calls, 1);
@@ -55,15 +55,15 @@
 }
 
 TEST_F(AttemptExecutionTest, WhatMayNotBeSentEndsAsNotSent) {
-  for (int i = 0; i < attempt_cap; ++i) attempts.start(id, "a", 0);
-  attempts.start(id, "beyond the cap", 0);
+  for (int i = 0; i < attempt_cap; ++i) attempts.start(id, "a", Duration::zero());
+  attempts.start(id, "beyond the cap", Duration::zero());
   const auto [late_id, late] = requests.add();
-  late.deadline = clock.now();
-  attempts.start(late_id, "at the deadline", 0);
+  late.deadline = clock.timestamp();
+  attempts.start(late_id, "at the deadline", Duration::zero());
   const auto [concluded_id, concluded] = requests.add();
-  concluded.deadline = clock.now() + second;
+  concluded.deadline = clock.timestamp() + one_second;
   concluded.concluded = true;
-  attempts.start(concluded_id, "after the answer", 0);
+  attempts.start(concluded_id, "after the answer", Duration::zero());
   clock.settle();
   EXPECT_EQ(carrier.sent.size(), static_cast<std::size_t>(attempt_cap));
   EXPECT_EQ(endings(), std::vector<AttemptOutcome>(3, AttemptOutcome::not_sent));
@@ -72,7 +72,7 @@
 }
 
 TEST_F(AttemptExecutionTest, AnAttemptForAnUnknownRequestIsAnErrorInTheLogAndNothingElse) {
-  attempts.start(id + 1, "a", 0);
+  attempts.start(id + 1, "a", Duration::zero());
   attempts.cancel(id + 1, 0);
   attempts.cancel(id, 0);
   clock.settle();
@@ -82,8 +82,8 @@
 }
 
 TEST_F(AttemptExecutionTest, CancellingTheUnsentLeavesWhatIsOut) {
-  attempts.start(id, "a", 0);
-  attempts.start(id, "b", 0);
+  attempts.start(id, "a", Duration::zero());
+  attempts.start(id, "b", Duration::zero());
   carrier.unsent.insert({id, 1});
   attempts.cancel_unsent(id, request);
   clock.settle();
@@ -94,8 +94,8 @@
 }
 
 TEST_F(AttemptExecutionTest, AtTheDeadlineAllOpenAttemptsEnd) {
-  attempts.start(id, "a", 0);
-  attempts.start(id, "b", 0);
+  attempts.start(id, "a", Duration::zero());
+  attempts.start(id, "b", Duration::zero());
   attempts.close(request.attempts[0]);
   attempts.report_end(id, 0, {.outcome = AttemptOutcome::error, .in_flight = 4});
   attempts.cancel_at_deadline(id, request);
--- a/tests/core/deferred_calls_test.cpp
+++ b/tests/core/deferred_calls_test.cpp
@@ -16,7 +16,7 @@
   int soon = 0;
   int later = 0;
   deferred.run_soon([&] { ++soon; });
-  deferred.run_at(clock.now() + 50, [&] { ++later; });
+  deferred.run_at(clock.timestamp() + Duration{50}, [&] { ++later; });
   EXPECT_EQ(soon, 0);
   clock.settle();
   EXPECT_EQ(soon, 1);
@@ -31,7 +31,7 @@
   std::optional<DeferredCalls> deferred(clock);
   int calls = 0;
   deferred->run_soon([&] { ++calls; });
-  deferred->run_at(clock.now() + 50, [&] { ++calls; });
+  deferred->run_at(clock.timestamp() + Duration{50}, [&] { ++calls; });
   deferred.reset();
   clock.pass(100);
   EXPECT_EQ(calls, 0);
--- a/tests/core/endpoint_call_execution_test.cpp
+++ b/tests/core/endpoint_call_execution_test.cpp
@@ -8,7 +8,7 @@
 
 struct RefusingLedger final : DeduplicationLog {
   bool prepare_prewarm() override { return false; }
-  AdmissionVerdict admit(RequestId, const std::string&, const events::CloudEvent&, Time) override {
+  AdmissionVerdict admit(RequestId, const std::string&, const events::CloudEvent&, Duration) override {
     return AdmissionVerdict::untracked;
   }
   void request_ended(const events::CloudEvent&, ExecutionCertainty) override {}
@@ -23,7 +23,7 @@
              .deferred = deferred,
              .policy = decisions,
              .counters = tally},
-            5 * second};
+            5 * one_second};
   }
 };
 
@@ -45,7 +45,7 @@
   clock.pass(second);
   execution.prewarm_ended("a", "f", AttemptOutcome::succeeded, 2);
   EXPECT_EQ(carrier.orders, (std::vector{std::pair(EndpointId("a"), 2)}));
-  EXPECT_EQ(carrier.order_limit, 5 * second);
+  EXPECT_EQ(carrier.order_limit, 5 * one_second);
   EXPECT_EQ(tally.prewarms, 1U);
   ASSERT_EQ(heard.order_ends.size(), 1U);
   EXPECT_EQ(heard.order_ends[0].taken, to_duration(second));
--- a/tests/core/gateway_test.cpp
+++ b/tests/core/gateway_test.cpp
@@ -45,8 +45,8 @@
     return true;
   }
   void cancel_all_unsent(const EndpointId& server) override { recalled.push_back(server); }
-  void probe(const EndpointId&, Time) override {}
-  void prewarm(const EndpointId& server, const FunctionId& function, int, Time) override {
+  void probe(const EndpointId&, Duration) override {}
+  void prewarm(const EndpointId& server, const FunctionId& function, int, Duration) override {
     orders.emplace_back(server, function);
   }
   void evict(const EndpointId&, const FunctionId&) override {}
@@ -60,7 +60,7 @@
   bool wants(Level) const override { return true; }
   void write(Level level, const char*, Fields) override { errors += level == Level::error ? 1 : 0; }
   void succeeded(RequestId, events::CloudEvent) override { answers.emplace_back("honoured"); }
-  void rejected(RequestId, Time) override { answers.emplace_back("shed"); }
+  void rejected(RequestId, Duration) override { answers.emplace_back("shed"); }
   void failed(RequestId) override { answers.emplace_back("abandoned"); }
 
   // Forgets what was recorded.
@@ -288,7 +288,7 @@
 
 struct Book final : DeduplicationLog {
   bool prepare_prewarm() override { return ++asked > 1; }
-  AdmissionVerdict admit(RequestId, const std::string&, const events::CloudEvent&, Time) override {
+  AdmissionVerdict admit(RequestId, const std::string&, const events::CloudEvent&, Duration) override {
     return says;
   }
   void request_ended(const events::CloudEvent&, ExecutionCertainty fate) override { fates.push_back(fate); }
--- a/tests/core/idle_close_test.cpp
+++ b/tests/core/idle_close_test.cpp
@@ -35,7 +35,7 @@
 
 struct Answers final : Client {
   void succeeded(RequestId, events::CloudEvent) override { all.emplace_back("succeeded"); }
-  void rejected(RequestId, Time) override { all.emplace_back("rejected"); }
+  void rejected(RequestId, Duration) override { all.emplace_back("rejected"); }
   void failed(RequestId) override { all.emplace_back("failed"); }
   std::vector<std::string> all;
 };
@@ -97,7 +97,7 @@
     std::vector<EndpointListEntry> list{{{.id = "one"}, one.address()}};
     if (servers == 2) list.push_back({{.id = "other"}, other.address()});
     gateway->endpoints_updated(EndpointListForm::complete, list);
-    for (const EndpointListEntry& entry : list) carrier->probe(entry.endpoint.id, second);
+    for (const EndpointListEntry& entry : list) carrier->probe(entry.endpoint.id, one_second);
     ASSERT_TRUE(pump.until([&] { return answered == servers; }));
     pump.pass(50);
   }
--- a/tests/core/outstanding_calls_test.cpp
+++ b/tests/core/outstanding_calls_test.cpp
@@ -8,24 +8,26 @@
 namespace rushhill::core {
 namespace {
 
+constexpr Timestamp at(Time ticks) { return to_timestamp(ticks); }
+
 TEST(OutstandingCalls, TheOldestCallOfAKeyEndsFirst) {
   OutstandingCalls<EndpointId> calls;
-  calls.start("a", 100);
-  calls.start("a", 130);
-  calls.start("b", 150);
-  EXPECT_EQ(calls.end("a", 200), 100);
-  EXPECT_EQ(calls.end("b", 200), 50);
-  EXPECT_EQ(calls.end("a", 200), 70);
+  calls.start("a", at(100));
+  calls.start("a", at(130));
+  calls.start("b", at(150));
+  EXPECT_EQ(calls.end("a", at(200)), Duration{100});
+  EXPECT_EQ(calls.end("b", at(200)), Duration{50});
+  EXPECT_EQ(calls.end("a", at(200)), Duration{70});
 }
 
 TEST(OutstandingCalls, AnEndWithoutACallTookNoTimeAndLeavesNothingBehind) {
   OutstandingCalls<EndpointId> calls;
-  EXPECT_EQ(calls.end("a", 200), 0);
+  EXPECT_EQ(calls.end("a", at(200)), Duration{0});
   EXPECT_EQ(calls.keys(), 0U);
-  calls.start("a", 200);
+  calls.start("a", at(200));
   EXPECT_EQ(calls.keys(), 1U);
-  EXPECT_EQ(calls.end("a", 250), 50);
-  EXPECT_EQ(calls.end("a", 260), 0);
+  EXPECT_EQ(calls.end("a", at(250)), Duration{50});
+  EXPECT_EQ(calls.end("a", at(260)), Duration{0});
   EXPECT_EQ(calls.keys(), 0U);
 }
 
--- a/tests/core/parts_fixture.h
+++ b/tests/core/parts_fixture.h
@@ -47,7 +47,7 @@
     RequestId id;
     int number;
     EndpointId server;
-    Time left;
+    Duration left;
   };
   void send(const AttemptCall& call) override {
     sent.push_back(
@@ -56,8 +56,8 @@
   void cancel(RequestId id, int number) override { dropped.emplace_back(id, number); }
   bool cancel_unsent(RequestId id, int number) override { return unsent.contains({id, number}); }
   void cancel_all_unsent(const EndpointId&) override {}
-  void probe(const EndpointId& server, Time) override { probes.push_back(server); }
-  void prewarm(const EndpointId& server, const FunctionId&, int copies, Time limit) override {
+  void probe(const EndpointId& server, Duration) override { probes.push_back(server); }
+  void prewarm(const EndpointId& server, const FunctionId&, int copies, Duration limit) override {
     orders.emplace_back(server, copies);
     order_limit = limit;
   }
@@ -70,7 +70,7 @@
   std::set<std::pair<RequestId, int>> unsent;
   std::vector<EndpointId> probes, unloads;
   std::vector<std::pair<EndpointId, int>> orders;
-  Time order_limit = 0;
+  Duration order_limit{};
 };
 
 struct CountingLog final : EventLog {
--- a/tests/core/request_lifecycle_test.cpp
+++ b/tests/core/request_lifecycle_test.cpp
@@ -8,7 +8,7 @@
 
 struct RecordingClient final : Client {
   void succeeded(RequestId, events::CloudEvent) override { answers.emplace_back("succeeded"); }
-  void rejected(RequestId, Time come_back) override {
+  void rejected(RequestId, Duration come_back) override {
     answers.emplace_back("rejected");
     advice = come_back;
   }
@@ -16,13 +16,13 @@
   void duplicate(RequestId) override { answers.emplace_back("known"); }
   void attempt_started(RequestId) override { ++started; }
   std::vector<std::string> answers;
-  Time advice = 0;
+  Duration advice{};
   int started = 0;
 };
 
 struct ScriptedLedger final : DeduplicationLog {
   bool prepare_prewarm() override { return true; }
-  AdmissionVerdict admit(RequestId, const std::string&, const events::CloudEvent&, Time) override {
+  AdmissionVerdict admit(RequestId, const std::string&, const events::CloudEvent&, Duration) override {
     return verdict;
   }
   void request_ended(const events::CloudEvent&, ExecutionCertainty fate) override { fates.push_back(fate); }
@@ -34,7 +34,7 @@
 
 class RequestLifecycleTest : public PartsFixture {
  protected:
-  static constexpr Time advice = 700;
+  static constexpr Duration advice{700};
 
   RequestId accept() {
     return lifecycle
@@ -62,7 +62,7 @@
   const RequestId id = accept();
   ASSERT_EQ(heard.requests.size(), 1U);
   EXPECT_EQ(heard.requests[0].id, id);
-  attempts.start(id, "a", second / 2);
+  attempts.start(id, "a", to_duration(second / 2));
   lifecycle.attempt_started(id);
   lifecycle.attempt_ended(id, 0, {.outcome = AttemptOutcome::succeeded});
   lifecycle.attempt_ended(id, 0, {.outcome = AttemptOutcome::succeeded});
@@ -86,19 +86,19 @@
 
 TEST_F(RequestLifecycleTest, OnlyTheFirstAnswerCountsAndItLeavesWhenTheCallHasReturned) {
   const RequestId id = accept();
-  lifecycle.reject(id, 40);
+  lifecycle.reject(id, Duration{40});
   lifecycle.fail(id);
   EXPECT_TRUE(client.answers.empty());
   clock.settle();
   EXPECT_EQ(client.answers, Answers{"rejected"});
-  EXPECT_EQ(client.advice, 40);
+  EXPECT_EQ(client.advice, Duration{40});
   EXPECT_EQ(tally.rejected, 1U);
   EXPECT_EQ(tally.failed, 0U);
 }
 
 TEST_F(RequestLifecycleTest, AtTheDeadlineTheRequestFailsAndItsAttemptsEnd) {
   const RequestId id = accept();
-  attempts.start(id, "a", 0);
+  attempts.start(id, "a", Duration::zero());
   clock.pass(second);
   EXPECT_EQ(client.answers, Answers{"failed"});
   EXPECT_EQ(carrier.dropped, (std::vector{std::pair(id, 0)}));
@@ -110,7 +110,7 @@
 
 TEST_F(RequestLifecycleTest, AReplyInTheTickOfTheDeadlineComesTooLate) {
   const RequestId id = accept();
-  attempts.start(id, "a", 0);
+  attempts.start(id, "a", Duration::zero());
   clock.jump(second);
   lifecycle.attempt_ended(id, 0, {.outcome = AttemptOutcome::succeeded});
   clock.settle();
@@ -120,7 +120,7 @@
 
 TEST_F(RequestLifecycleTest, ACancelledRequestIsReportedOnceAndNeverAnswered) {
   const RequestId id = accept();
-  attempts.start(id, "a", 0);
+  attempts.start(id, "a", Duration::zero());
   lifecycle.cancelled({.request = id, .attempts_unread = 2});
   lifecycle.cancelled({.request = id, .attempts_unread = 0});
   lifecycle.fail(id);
@@ -135,7 +135,7 @@
 
 TEST_F(RequestLifecycleTest, AClientThatLeavesBetweenTheDecisionAndItsAnswerHearsNothing) {
   const RequestId id = accept();
-  lifecycle.reject(id, 0);
+  lifecycle.reject(id, Duration::zero());
   lifecycle.cancelled({.request = id, .attempts_unread = 0});
   clock.settle();
   EXPECT_TRUE(client.answers.empty());
@@ -177,7 +177,7 @@
   lifecycle.cancelled({.request = left, .attempts_unread = 0});
   clock.pass(second);
   EXPECT_EQ(client.answers, Answers{"rejected"});
-  EXPECT_EQ(client.advice, 0);
+  EXPECT_EQ(client.advice, Duration::zero());
   EXPECT_TRUE(heard.requests.empty());
   EXPECT_TRUE(heard.cancelled.empty());
   EXPECT_EQ(ledger.fates, (std::vector<ExecutionCertainty>{ExecutionCertainty::not_executed,
@@ -188,7 +188,7 @@
 TEST_F(RequestLifecycleTest, ARecordedRequestThatFailsAfterAnAttemptMayHaveRun) {
   ledger.verdict = AdmissionVerdict::tracked;
   const RequestId id = accept();
-  attempts.start(id, "a", 0);
+  attempts.start(id, "a", Duration::zero());
   lifecycle.fail(id);
   EXPECT_EQ(ledger.fates, std::vector<ExecutionCertainty>{ExecutionCertainty::may_have_executed});
 }
--- a/tests/core/request_table_test.cpp
+++ b/tests/core/request_table_test.cpp
@@ -74,7 +74,7 @@
 TEST_F(RequestTableTest, KnowsWhichRequestsAndClientsStillWait) {
   struct SilentClient final : Client {
     void succeeded(RequestId, events::CloudEvent) override {}
-    void rejected(RequestId, Time) override {}
+    void rejected(RequestId, Duration) override {}
     void failed(RequestId) override {}
   } client;
   for (int i = 0; i < 20; ++i) table->add();
--- a/tests/core/source_room_test.cpp
+++ b/tests/core/source_room_test.cpp
@@ -6,7 +6,7 @@
 namespace rushhill::core {
 namespace {
 
-constexpr Time now = 1'000'000;
+constexpr Timestamp now{100 * one_second};
 
 TEST(SourceRoom, ACapBoundsTheRequestsOpenAtOnce) {
   SourceRoom room(2);
--- a/tests/transport/connection_pool_test.cpp
+++ b/tests/transport/connection_pool_test.cpp
@@ -64,8 +64,8 @@
   void cancel(RequestId, int) override {}
   bool cancel_unsent(RequestId, int) override { return false; }
   void cancel_all_unsent(const EndpointId&) override {}
-  void probe(const EndpointId&, Time) override {}
-  void prewarm(const EndpointId&, const FunctionId&, int, Time) override {}
+  void probe(const EndpointId&, Duration) override {}
+  void prewarm(const EndpointId&, const FunctionId&, int, Duration) override {}
   void evict(const EndpointId&, const FunctionId&) override {}
 };
 
--- a/tests/transport/server_pool_test.cpp
+++ b/tests/transport/server_pool_test.cpp
@@ -42,7 +42,7 @@
   }
   void shoot(RequestId event = 1) {
     message.id = std::to_string(event);
-    pool.send({event, 0, server_id, 10'000, message});
+    pool.send({event, 0, server_id, one_second, message});
   }
   bool ended(std::size_t count) {
     return pump.until([&] { return ends.shots.size() >= count; });
@@ -181,9 +181,9 @@
   server.on_bytes = [](RawPeer& peer) {
     if (whole(peer.seen)) peer.stream->write(answer);
   };
-  two.send({1, 0, "a", 10'000, message});
+  two.send({1, 0, "a", one_second, message});
   ASSERT_TRUE(ended(1));
-  for (RequestId event = 2; event <= 4; ++event) two.send({event, 0, "b", 10'000, message});
+  for (RequestId event = 2; event <= 4; ++event) two.send({event, 0, "b", one_second, message});
   ASSERT_TRUE(ended(2));
   EXPECT_EQ(ends.events.back(), 4);
   EXPECT_EQ(last(), AttemptOutcome::not_sent) << "it says nothing of the server";
@@ -265,8 +265,8 @@
 }
 
 TEST_F(PoolStory, ProbesAndOrdersEndOnceAlsoWhereNobodyAnswers) {
-  pool.probe("a", 500);
-  pool.prewarm("a", "ward/1", 2, 500);
+  pool.probe("a", Duration{500});
+  pool.prewarm("a", "ward/1", 2, Duration{500});
   ASSERT_TRUE(pump.until([&] { return !ends.probes.empty() && !ends.orders.empty(); }));
   EXPECT_EQ(ends.probes, std::vector<AttemptOutcome>{AttemptOutcome::unanswered});
   EXPECT_EQ(ends.orders, std::vector<AttemptOutcome>{AttemptOutcome::unanswered});
@@ -295,7 +295,7 @@
   server.on_bytes = [&](RawPeer& peer) {
     peer.stream->write("HTTP/1.1 200 OK\r\ncontent-length: 25\r\n\r\n[{\"name\":\"f\",\"copies\":2}]");
   };
-  pool.prewarm("a", "f", 0, 50'000);
+  pool.prewarm("a", "f", 0, Duration{50'000});
   ASSERT_TRUE(pump.until([&] { return !ends.orders.empty(); }));
   EXPECT_EQ(ends.copies, 2);
   EXPECT_TRUE(server.peers.front()->seen.starts_with("POST /v2/repository/index "));
@@ -305,7 +305,7 @@
   server.on_bytes = [&](RawPeer& peer) {
     peer.stream->write("HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n{\"copies\":3}");
   };
-  pool.prewarm("a", "f", 2, 50'000);
+  pool.prewarm("a", "f", 2, Duration{50'000});
   ASSERT_TRUE(pump.until([&] { return !ends.orders.empty(); }));
   EXPECT_EQ(ends.orders, std::vector<AttemptOutcome>{AttemptOutcome::succeeded});
   EXPECT_EQ(ends.copies, 3);
--- a/tests/upstream/line_pool_test.cpp
+++ b/tests/upstream/line_pool_test.cpp
@@ -42,7 +42,7 @@
     events::CloudEvent message{.id = id(event), .type = "t", .data = "in"};
     message.others["function"] = "f";
     const EndpointId to = "a";
-    pool.send({event, leg, to, 10'000, message});
+    pool.send({event, leg, to, one_second, message});
   }
   static std::string id(RequestId event) { return "id" + std::to_string(event); }
   static std::string hit(RequestId event, const std::string& body) {
@@ -207,15 +207,15 @@
     if (peer.seen.find("prewarm o2") != std::string::npos) peer.stream->write("o2 HIT units=2 0\r\n\r\n");
     peer.seen.clear();
   };
-  pool.probe("a", 10'000);
+  pool.probe("a", Duration{10'000});
   ASSERT_TRUE(pump.until([&] { return ends.probes.size() == 1; }));
   EXPECT_EQ(ends.probes[0], AttemptOutcome::succeeded);
   EXPECT_EQ(ends.report.at("util"), 0.25);
-  pool.prewarm("a", "f", 2, 10'000);
+  pool.prewarm("a", "f", 2, Duration{10'000});
   ASSERT_TRUE(pump.until([&] { return ends.orders.size() == 1; }));
   EXPECT_EQ(ends.orders[0], AttemptOutcome::succeeded);
   EXPECT_EQ(ends.copies, 2);
-  pool.prewarm("a", "f", 1, 300);
+  pool.prewarm("a", "f", 1, Duration{300});
   ASSERT_TRUE(pump.until([&] { return ends.orders.size() == 2; }));
   EXPECT_EQ(ends.orders[1], AttemptOutcome::unanswered);
 }
@@ -254,7 +254,7 @@
 
 TEST_F(LineStory, WhatHasNotLeftForAServerThatLeavesEndsAsNotSent) {
   shoot(1);
-  pool.prewarm("a", "f", 1, 10'000);
+  pool.prewarm("a", "f", 1, Duration{10'000});
   pool.cancel_all_unsent("a");
   ASSERT_TRUE(ended(1));
   ASSERT_TRUE(pump.until([&] { return ends.orders.size() == 1; }));
@@ -284,7 +284,7 @@
     events::CloudEvent message{.id = id(event), .type = "t", .data = "in"};
     message.others["function"] = "f";
     const EndpointId to = "a";
-    narrow.send({event, 0, to, 10'000, message});
+    narrow.send({event, 0, to, one_second, message});
   };
   send(1);
   ASSERT_TRUE(seen(0, "in\r\n"));
