--- a/src/fastcgi/records.cpp
+++ b/src/fastcgi/records.cpp
@@ -263,10 +263,14 @@
 }
 
 std::string answer(Number number, std::string_view output) {
+  const std::string end = end_request(number, Ended::complete, 0);
+  // Of the output, with the empty one at its end.
+  const std::size_t records = output.size() / most_content + 2;
   std::string out;
-  out.reserve(output.size() + 5 * header_size);
+  out.reserve(output.size() + records * header_size + end.size());
   put_stream(out, output_type, number, output);
-  return out + end_request(number, Ended::complete, 0);
+  out.append(end);
+  return out;
 }
 
 std::string end_request(Number number, Ended how, std::uint32_t application_status) {
--- a/src/frontends/cgi_response.cpp
+++ b/src/frontends/cgi_response.cpp
@@ -8,7 +8,8 @@
   bytes.append(response.extra_fields);
   bytes.append("Content-Type: ").append(response.content_type);
   bytes.append("\r\nContent-Length: ").append(std::to_string(response.body.size()));
-  return bytes.append("\r\n\r\n").append(response.body);
+  bytes.append("\r\n\r\n").append(response.body);
+  return bytes;
 }
 
 }  // namespace rushhill::frontends
--- a/src/transport/socket_stream.cpp
+++ b/src/transport/socket_stream.cpp
@@ -68,7 +68,7 @@
 
 void SocketStream::write(std::string_view bytes) {
   if (closed()) return;
-  unsent_ += bytes;
+  unsent_.append(bytes);
   if (established_ && !wanted_.writable && !failed_) flush();
 }
 
@@ -91,7 +91,6 @@
     return;
   }
   if (!send_unsent()) return;
-  if (unsent_.empty()) unsent_ = {};  // an idle stream holds no memory for what it has sent
   wait_for({.readable = wanted_.readable, .writable = !unsent_.empty()});
   if (unsent_.empty() && finishing_) end_our_side();
 }
@@ -101,11 +100,11 @@
   while (!unsent_.empty() && !sending_paused_) {
     const std::size_t part = std::min(unsent_.size(), loop_.most_at_once);
     const auto sent =
-        loop_.system().send(socket_.number(), unsent_.data(), part, MSG_NOSIGNAL | MSG_DONTWAIT);
+        loop_.system().send(socket_.number(), unsent_.waiting().data(), part, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (sent < 0) return survives_send_failure(errno);
     send_backoff_.succeeded();
     handed_over_ += static_cast<std::size_t>(sent);
-    unsent_.erase(0, static_cast<std::size_t>(sent));
+    unsent_.consume(static_cast<std::size_t>(sent));
     const bool small_part = part < unsent_.size() && part < loop_.read_buffer().size();
     if (small_part) break;  // one at a time, for tests
   }
--- a/src/transport/socket_stream.h
+++ b/src/transport/socket_stream.h
@@ -9,6 +9,7 @@
 #include "transport/backoff.h"
 #include "transport/event_source.h"
 #include "transport/file_descriptor.h"
+#include "transport/send_buffer.h"
 #include "transport/stream.h"
 
 namespace rushhill::transport {
@@ -76,7 +77,7 @@
   Loop& loop_;
   FileDescriptor socket_;
   StreamHandler* handler_;
-  std::string unsent_;
+  SendBuffer unsent_;
   std::size_t handed_over_ = 0;
   std::optional<Time> arrived_after_;  // of one that a peer opened and that has not been read yet
   Time unread_age_ = 0;
