--- a/src/command/simulation.cpp
+++ b/src/command/simulation.cpp
@@ -11,9 +11,9 @@
 #include "command/run_until_signal.h"
 #include "standin/broker.h"
 #include "standin/clients.h"
-#include "standin/fleet.h"
+#include "standin/discovery_server.h"
 #include "standin/links.h"
-#include "standin/roster_board.h"
+#include "standin/simulated_servers.h"
 #include "transport/loop.h"
 #include "transport/reactor.h"
 
@@ -74,7 +74,7 @@
   const standin::Day day = read_day(options.day);
   standin::Record record(options.day.record_file);
   transport::Loop reactor;
-  standin::RosterBoard discovery(reactor, transport::numeric_address(options.listen), day, record);
+  standin::DiscoveryServer discovery(reactor, transport::numeric_address(options.listen), day, record);
   print_ready(discovery.address().toString());
   if (!options.day.start_file.empty())
     standin::await_start(reactor, options.day.start_file, [&](Time start) { discovery.play(start); });
@@ -87,7 +87,7 @@
   const standin::Day day = read_day(options.day);
   standin::Record record(options.day.record_file);
   transport::Loop reactor;
-  standin::Fleet fleet(reactor, day, record);
+  standin::SimulatedServers fleet(reactor, day, record);
   if (!options.discovery.empty()) fleet.announce_to(transport::numeric_address(options.discovery));
   print_ready(fleet.address(day.servers.front().id).toString());
   if (!options.day.start_file.empty())
--- a/src/emulator/emulation.cpp
+++ b/src/emulator/emulation.cpp
@@ -84,18 +84,18 @@
   roster_.play(start_at);
   if (links_) links_->play(start_at);
   fleet_.play(start_at);
-  for (const standin::Trouble& trouble : day_.troubles) {
-    const bool killed = trouble.kind == standin::TroubleKind::router_kill;
-    if (!killed && trouble.kind != standin::TroubleKind::router_restart) continue;
-    const auto number = static_cast<std::size_t>(trouble.router);
+  for (const standin::Fault& fault : day_.faults) {
+    const bool killed = fault.kind == standin::FaultKind::router_kill;
+    if (!killed && fault.kind != standin::FaultKind::router_restart) continue;
+    const auto number = static_cast<std::size_t>(fault.router);
     if (number >= seats_.size()) throw std::invalid_argument("a trouble names an unknown router");
-    network_.at(start_at + trouble.at, [this, number, killed] {
+    network_.at(start_at + fault.at, [this, number, killed] {
       seats_[number].since = network_.clock_ns();
       if (killed) leave(number);
       if (!killed) stop(number);
     });
     // Where it is not through by then, it starts as soon as it is.
-    network_.at(start_at + trouble.at + trouble.span, [this, number, kind = trouble.kind] {
+    network_.at(start_at + fault.at + fault.span, [this, number, kind = fault.kind] {
       seats_[number].due = true;
       if (!seats_[number].router) start(number);
       record_.line({{"what", "router"},
@@ -114,7 +114,7 @@
   std::vector<transport::Address> copies;
   for (const Seat& seat : seats_) copies.push_back(seat.replica->address());
   const bool links = std::ranges::any_of(
-      day_.troubles, [](const auto& trouble) { return trouble.kind >= standin::TroubleKind::link_drop; });
+      day_.faults, [](const auto& fault) { return fault.kind >= standin::FaultKind::link_drop; });
   if (day_.together && links) links_ = std::make_unique<standin::Links>(network_, day_, copies);
   for (std::size_t i = 0; i < seats_.size(); ++i) start(i);
   std::vector<transport::Address> addresses;
--- a/src/emulator/emulation.h
+++ b/src/emulator/emulation.h
@@ -13,10 +13,10 @@
 #include "routing/time.h"
 #include "standin/clients.h"
 #include "standin/day.h"
-#include "standin/fleet.h"
+#include "standin/discovery_server.h"
 #include "standin/links.h"
 #include "standin/record.h"
-#include "standin/roster_board.h"
+#include "standin/simulated_servers.h"
 #include "transport/bound_socket.h"
 
 namespace rushhill::emulator {
@@ -58,8 +58,8 @@
   standin::Record& record_;
   Quiet quiet_;
   Network network_;
-  standin::RosterBoard roster_;
-  standin::Fleet fleet_;
+  standin::DiscoveryServer roster_;
+  standin::SimulatedServers fleet_;
   std::unique_ptr<standin::Links> links_;  // none: routers reach one another's copies straight
   std::vector<Seat> seats_;
   std::unique_ptr<standin::Clients> clients_;
--- a/src/lab/badday.cpp
+++ b/src/lab/badday.cpp
@@ -136,7 +136,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(200));  // the servers announce themselves
     for (int i = 0; i < day.routers; ++i) routers_.push_back(std::make_unique<RouterPlace>());
     const bool links = std::ranges::any_of(
-        day.troubles, [](const auto& trouble) { return trouble.kind >= standin::TroubleKind::link_drop; });
+        day.faults, [](const auto& fault) { return fault.kind >= standin::FaultKind::link_drop; });
     if (day.together && links) {
       std::vector<std::string> of_links{"standin",           "links",   "--day",
                                         folder / "day.json", "--start", folder / "start"};
@@ -163,21 +163,21 @@
     const std::int64_t start = transport::monotonic_ns() + lead_ns;
     standin::write_start(folder_ / "start", start);
     const std::int64_t last = start + day_.span() * 100'000 + std::int64_t{grace_seconds} * 1'000'000'000;
-    std::vector<bool> begun(day_.troubles.size()), ended(day_.troubles.size());
+    std::vector<bool> begun(day_.faults.size()), ended(day_.faults.size());
     while (clients_->running()) {
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
       const std::int64_t since = (transport::monotonic_ns() - start) / 100'000;
       if (start + since * 100'000 > last) throw std::runtime_error("the clients did not come to an end");
-      for (std::size_t i = 0; i < day_.troubles.size(); ++i) {
-        const standin::Trouble& trouble = day_.troubles[i];
-        if (!of_router(trouble.kind)) continue;
-        if (!begun[i] && since >= trouble.at) {
+      for (std::size_t i = 0; i < day_.faults.size(); ++i) {
+        const standin::Fault& fault = day_.faults[i];
+        if (!of_router(fault.kind)) continue;
+        if (!begun[i] && since >= fault.at) {
           begun[i] = true;
-          began(trouble);
+          began(fault);
         }
-        if (begun[i] && !ended[i] && since >= trouble.at + trouble.span) {
+        if (begun[i] && !ended[i] && since >= fault.at + fault.span) {
           ended[i] = true;
-          ended_now(trouble);
+          ended_now(fault);
         }
       }
       for (const auto& place : routers_) {
@@ -187,8 +187,8 @@
     }
     if (const int code = clients_->wait(1); code != 0)
       throw std::runtime_error("the clients ended with " + std::to_string(code));
-    for (std::size_t i = 0; i < day_.troubles.size(); ++i) {
-      if (begun[i] && !ended[i]) ended_now(day_.troubles[i]);
+    for (std::size_t i = 0; i < day_.faults.size(); ++i) {
+      if (begun[i] && !ended[i]) ended_now(day_.faults[i]);
     }
     for (int i = 0; i < day_.routers; ++i) routers_[static_cast<std::size_t>(i)]->process->ask_to_end();
     for (int i = 0; i < day_.routers; ++i) finish_router(i);
@@ -202,31 +202,31 @@
   }
 
  private:
-  static bool of_router(standin::TroubleKind kind) {
-    using enum standin::TroubleKind;
+  static bool of_router(standin::FaultKind kind) {
+    using enum standin::FaultKind;
     return kind == router_restart || kind == router_kill || kind == router_stall;
   }
-  void began(const standin::Trouble& trouble) {
-    since_[trouble.router] = transport::monotonic_ns();
-    Process& process = *routers_.at(static_cast<std::size_t>(trouble.router))->process;
-    if (trouble.kind == standin::TroubleKind::router_restart) process.ask_to_end();
-    if (trouble.kind == standin::TroubleKind::router_kill) process.crash();
-    if (trouble.kind == standin::TroubleKind::router_stall) process.stall(true);
+  void began(const standin::Fault& fault) {
+    since_[fault.router] = transport::monotonic_ns();
+    Process& process = *routers_.at(static_cast<std::size_t>(fault.router))->process;
+    if (fault.kind == standin::FaultKind::router_restart) process.ask_to_end();
+    if (fault.kind == standin::FaultKind::router_kill) process.crash();
+    if (fault.kind == standin::FaultKind::router_stall) process.stall(true);
   }
-  void ended_now(const standin::Trouble& trouble) {
+  void ended_now(const standin::Fault& fault) {
     std::int64_t until = transport::monotonic_ns();  // a router that was stopped does nothing before
-    if (trouble.kind == standin::TroubleKind::router_stall) {
-      routers_[static_cast<std::size_t>(trouble.router)]->process->stall(false);
+    if (fault.kind == standin::FaultKind::router_stall) {
+      routers_[static_cast<std::size_t>(fault.router)]->process->stall(false);
     } else {
-      if (trouble.kind == standin::TroubleKind::router_restart) finish_router(trouble.router);
-      start_router(trouble.router);
-      routers_[static_cast<std::size_t>(trouble.router)]->process->ready();
+      if (fault.kind == standin::FaultKind::router_restart) finish_router(fault.router);
+      start_router(fault.router);
+      routers_[static_cast<std::size_t>(fault.router)]->process->ready();
       until = transport::monotonic_ns();
     }
     record_.line({{"what", "router"},
-                  {"router", trouble.router},
-                  {"kind", standin::name_of(trouble.kind)},
-                  {"from", since_[trouble.router]},
+                  {"router", fault.router},
+                  {"kind", standin::name_of(fault.kind)},
+                  {"from", since_[fault.router]},
                   {"to", until}});
   }
 
@@ -304,7 +304,7 @@
 }  // namespace
 
 void make_among_routers(Day& day, const BadDay& of) {
-  if (of.quiet) day.troubles.clear();
+  if (of.quiet) day.faults.clear();
   if (of.routers > 0) day.routers = of.routers;
   day.together = day.together || of.together;
   day.repeats = day.repeats || of.repeats;
--- a/src/scale/hollow.cpp
+++ b/src/scale/hollow.cpp
@@ -217,23 +217,23 @@
 }
 
 HollowServers::HollowServers(core::TimerService& clock, int servers, int functions)
-    : clock_(clock), store_({.fetches_at_once = std::max(fewest_fetches, 2.0 * servers),
-                             .most_fetches = std::max(fewest_fetches, 8.0 * servers)}) {
+    : clock_(clock), store_({.concurrent_fetches = std::max(fewest_fetches, 2.0 * servers),
+                             .max_fetches = std::max(fewest_fetches, 8.0 * servers)}) {
   for (int i = 0; i < functions; ++i) {
     const std::string name = function_name(i);
     functions_[name] = {.name = name, .memory_mb = 150, .lanes = 2, .load = load, .work = work};
   }
-  const standin::RuleFigures rules;
+  const standin::RuleParameters rules;
   for (const Endpoint& told : server_list(servers)) {
-    standin::MachineMake make{.id = told.id, .kind = told.kind, .location = told.location, .cell = told.cell};
+    standin::ServerSpec make{.id = told.id, .kind = told.kind, .location = told.location, .cell = told.cell};
     make.keep_alive = copy_life;
-    auto machine = std::make_unique<standin::Machine>(make, rules, false, store_, clock_, 1);
+    auto machine = std::make_unique<standin::ServerModel>(make, rules, false, store_, clock_, 1);
     machine->start(false);
     machines_.emplace(told.id, std::move(machine));
   }
 }
 HollowServers::~HollowServers() = default;
-standin::Machine& HollowServers::at(const EndpointId& server) { return *machines_.at(server); }
+standin::ServerModel& HollowServers::at(const EndpointId& server) { return *machines_.at(server); }
 
 void HollowServers::stop(const EndpointId& server) {
   stopped_.insert(server);
@@ -245,7 +245,7 @@
 }
 bool HollowServers::reached(const std::string& region, const EndpointId& server) const {
   return !stopped_.contains(server) &&
-         !(parted_ && region_of(machines_.at(server)->make().location) != region);
+         !(parted_ && region_of(machines_.at(server)->spec().location) != region);
 }
 
 std::vector<core::EndpointListEntry> HollowServers::list() const {
@@ -265,7 +265,7 @@
                                                                             .log = *this}),
       source_(gateway_.add_source(1)) {}
 HollowRouter::~HollowRouter() {
-  for (const auto& [key, job] : jobs_) servers_.at(job.first).drop(job.second);
+  for (const auto& [key, job] : jobs_) servers_.at(job.first).cancel_job(job.second);
 }
 
 bool HollowRouter::request(const std::string& function, RequestId number) {
@@ -295,7 +295,7 @@
     });
     return;
   }
-  const auto done = [this, key, alive = std::weak_ptr(life_)](const standin::Machine::End& end) {
+  const auto done = [this, key, alive = std::weak_ptr(life_)](const standin::JobResult& end) {
     servers_.clock().post([this, key, end, alive] {
       if (!alive.expired()) hear(key, end);
     });
@@ -305,45 +305,46 @@
                            {&servers_.function(open->second.first), work, now + call.time_left}, [] {}, done);
   jobs_[key] = {call.endpoint, job};
 }
-void HollowRouter::hear(const std::pair<RequestId, int>& attempt, const standin::Machine::End& end) {
+void HollowRouter::hear(const std::pair<RequestId, int>& attempt, const standin::JobResult& end) {
   const auto it = jobs_.find(attempt);
   if (it == jobs_.end()) return;
   const bool reached = servers_.reached(region_, it->second.first);
   jobs_.erase(it);
   if (!reached) return;  // the answer is lost on its way
-  const bool ran = end.fate == standin::Fate::ran;
+  const bool ran = end.outcome == standin::JobOutcome::completed;
   const auto open = open_.find(attempt.first);
-  if (ran && end.warmth != CopyState::loaded && open != open_.end()) {
+  if (ran && end.copy_state != CopyState::loaded && open != open_.end()) {
     ++cold;
     cold_in_time += servers_.clock().now() - open->second.second <= cold_target ? 1 : 0;
   }
   gateway_.attempt_ended(attempt.first, attempt.second,
                          {.outcome = ran ? AttemptOutcome::succeeded : AttemptOutcome::overloaded,
-                          .copy_state = end.warmth,
-                          .in_flight = end.crowd,
+                          .copy_state = end.copy_state,
+                          .in_flight = end.in_flight,
                           .report = {},
                           .reply = {}});
 }
 void HollowRouter::cancel(RequestId event, int leg) {
   const auto it = jobs_.find({event, leg});
   if (it == jobs_.end()) return;
-  servers_.at(it->second.first).drop(it->second.second);
+  servers_.at(it->second.first).cancel_job(it->second.second);
   jobs_.erase(it);
 }
 void HollowRouter::probe(const EndpointId& server, Time) {
   servers_.clock().post([this, server, alive = std::weak_ptr(life_)] {
     if (!alive.expired())
-      gateway_.probe_ended(server, AttemptOutcome::succeeded, {{"util", servers_.at(server).busy()}});
+      gateway_.probe_ended(server, AttemptOutcome::succeeded, {{"util", servers_.at(server).utilization()}});
   });
 }
 void HollowRouter::prewarm(const EndpointId& server, const FunctionId& function, int copies, Time) {
-  servers_.at(server).hold(
+  servers_.at(server).prewarm(
       servers_.function(function), copies,
-      [this, server, function, alive = std::weak_ptr(life_)](standin::Fate fate, int standing) {
-        servers_.clock().post([this, server, function, fate, standing, alive] {
+      [this, server, function, alive = std::weak_ptr(life_)](standin::JobOutcome outcome, int standing) {
+        servers_.clock().post([this, server, function, outcome, standing, alive] {
           if (alive.expired()) return;
-          const AttemptOutcome ending =
-              fate == standin::Fate::ran ? AttemptOutcome::succeeded : AttemptOutcome::overloaded;
+          const AttemptOutcome ending = outcome == standin::JobOutcome::completed
+                                            ? AttemptOutcome::succeeded
+                                            : AttemptOutcome::overloaded;
           gateway_.prewarm_ended(server, function, ending, standing);
         });
       });
--- a/src/scale/size.cpp
+++ b/src/scale/size.cpp
@@ -37,7 +37,8 @@
     const int function = i < size.sizes.functions ? i : calls.next();
     const std::size_t at = chance() % list.size();
     servers.at(list[at].endpoint.id)
-        .hold(servers.function(function_name(function)), ++copies[{at, function}], [](standin::Fate, int) {});
+        .prewarm(servers.function(function_name(function)), ++copies[{at, function}],
+                 [](standin::JobOutcome, int) {});
     if ((i + 1) % (size.sizes.servers * at_once) == 0) network.run_until(network.now() + loading);
   }
   network.run_until(network.now() + loading);
@@ -110,7 +111,7 @@
     if (part(3) > 0) found["cold within 0.45 s"] = part(4) / part(3);
     double standing = 0;
     for (const core::EndpointListEntry& entry : servers.list()) {
-      for (const auto& [name, copies] : servers.at(entry.endpoint.id).standing()) standing += copies;
+      for (const auto& [name, copies] : servers.at(entry.endpoint.id).instance_counts()) standing += copies;
     }
     found["instances standing"] = standing;
     found["overdue"] = static_cast<double>(stop.expired);
--- a/src/standin/broker.cpp
+++ b/src/standin/broker.cpp
@@ -302,14 +302,14 @@
 }
 
 void Broker::play(const Day& day, Time start) {
-  for (const Trouble& trouble : day.troubles) {
-    const bool drops = trouble.kind == TroubleKind::broker_drop;
-    if (!drops && trouble.kind != TroubleKind::broker_twice) continue;
-    reactor_.at(start + trouble.at, [this, drops] {
+  for (const Fault& fault : day.faults) {
+    const bool drops = fault.kind == FaultKind::broker_drop;
+    if (!drops && fault.kind != FaultKind::broker_twice) continue;
+    reactor_.at(start + fault.at, [this, drops] {
       if (drops) drop_clients();
       if (!drops) duplicate(true);
     });
-    reactor_.at(start + trouble.at + trouble.span, [this, drops] {
+    reactor_.at(start + fault.at + fault.span, [this, drops] {
       if (drops) cut_next_publish(20);
       if (!drops) duplicate(false);
     });
--- a/src/standin/clients.cpp
+++ b/src/standin/clients.cpp
@@ -29,8 +29,8 @@
 
 struct Clients::Event {
   std::int64_t number = 0;
-  const TypeMake* type = nullptr;
-  const FunctionMake* function = nullptr;
+  const RequestClassSpec* type = nullptr;
+  const FunctionSpec* function = nullptr;
   Time planned = 0, limit = 0;
   std::size_t router = 0;
   int refused = 0;       // routers in a row that could not be reached
@@ -253,9 +253,9 @@
     : reactor_(reactor), day_(day), routers_(std::move(routers)), record_(record), over_(std::move(over)),
       chance_(static_cast<std::uint_fast32_t>(day.seed % 16'777'183)), idle_(routers_.size()) {
   double sum = 0;
-  for (const FunctionMake& make : day_.functions) function_steps_.push_back(sum += make.weight);
+  for (const FunctionSpec& make : day_.functions) function_steps_.push_back(sum += make.weight);
   sum = 0;
-  for (const TypeMake& make : day_.types) type_steps_.push_back(sum += make.share);
+  for (const RequestClassSpec& make : day_.types) type_steps_.push_back(sum += make.share);
   mqtt_share_ = broker.empty() ? 0 : mqtt_share;
   if (!broker.empty()) publisher_ = std::make_shared<Publisher>(*this, broker);
 }
@@ -268,9 +268,9 @@
 
 double Clients::rate_at(Time since) const {
   double rate = day_.rate;
-  for (const Trouble& trouble : day_.troubles) {
-    if (trouble.kind == TroubleKind::burst && since >= trouble.at && since < trouble.at + trouble.span)
-      rate *= trouble.size;
+  for (const Fault& fault : day_.faults) {
+    if (fault.kind == FaultKind::burst && since >= fault.at && since < fault.at + fault.span)
+      rate *= fault.size;
   }
   return rate;
 }
--- a/src/standin/roster_board.cpp
+++ b/src/standin/discovery_server.cpp
@@ -1,4 +1,4 @@
-#include "standin/roster_board.h"
+#include "standin/discovery_server.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,9 +11,9 @@
 
 }  // namespace
 
-class RosterBoard::Caller final : public transport::StreamHandler, public transport::Numbered {
+class DiscoveryServer::Caller final : public transport::StreamHandler, public transport::Numbered {
  public:
-  Caller(RosterBoard& board, const transport::PendingConnection& arrival) : board_(board) {
+  Caller(DiscoveryServer& board, const transport::PendingConnection& arrival) : board_(board) {
     stream_ = transport::Stream::adopt(board.reactor_, arrival, *this);
   }
   ~Caller() override { stream_->close(); }
@@ -49,22 +49,22 @@
   Time told_until = 0;  // later words do not overtake earlier ones
 
  private:
-  RosterBoard& board_;
+  DiscoveryServer& board_;
   std::shared_ptr<transport::Stream> stream_;
   std::string in_;
 };
 
-RosterBoard::RosterBoard(transport::Reactor& reactor, const transport::Address& address, const Day& day,
-                         Record& record)
+DiscoveryServer::DiscoveryServer(transport::Reactor& reactor, const transport::Address& address,
+                                 const Day& day, Record& record)
     : reactor_(reactor), day_(day), record_(record),
       chance_(static_cast<std::uint_fast32_t>(day.seed % 16'777'211)) {
   holder_ = reactor.reserve(address);
   address_ = holder_->address();
   listen();
 }
-RosterBoard::~RosterBoard() { break_off(); }
+DiscoveryServer::~DiscoveryServer() { break_off(); }
 
-void RosterBoard::listen() {
+void DiscoveryServer::listen() {
   listener_ = std::make_unique<transport::Listener>(
       reactor_, address_, true, [this](const transport::PendingConnection& arrival) {
         const auto caller = std::make_shared<Caller>(*this, arrival);
@@ -72,12 +72,12 @@
       });
 }
 
-void RosterBoard::break_off() {
+void DiscoveryServer::break_off() {
   listener_.reset();
   while (!callers_.empty()) callers_.begin()->first->leave();
 }
 
-void RosterBoard::announce(const Json& entry) {
+void DiscoveryServer::announce(const Json& entry) {
   if (!entry.is_object() || !entry.contains("id")) return;
   Json& known = entries_[entry.value("id", "")];
   if (known == entry) return;
@@ -86,13 +86,13 @@
   tell_change(entry);
 }
 
-void RosterBoard::tell_change(const Json& entry) {
+void DiscoveryServer::tell_change(const Json& entry) {
   for (auto& [caller, held] : callers_) {
     if (!caller->follows) continue;
     const double share = static_cast<double>(chance_()) / static_cast<double>(chance_.max());
-    const Time lag =
-        day_.roster_lag_least + more_lag_ +
-        static_cast<Time>(share * static_cast<double>(day_.roster_lag_most - day_.roster_lag_least));
+    const Time lag = day_.discovery_lag_minimum + more_lag_ +
+                     static_cast<Time>(share * static_cast<double>(day_.discovery_lag_maximum -
+                                                                   day_.discovery_lag_minimum));
     const Time when = std::max(reactor_.now() + lag, caller->told_until);
     caller->told_until = when;
     const Json word{{"form", "changes"}, {"revision", revision_}, {"servers", Json::array({entry})}};
@@ -102,7 +102,7 @@
   }
 }
 
-void RosterBoard::tell_complete(Caller& caller) {
+void DiscoveryServer::tell_complete(Caller& caller) {
   Json servers = Json::array();
   for (const auto& [id, entry] : entries_) {
     if (entry.value("condition", "") != "gone") servers.push_back(entry);
@@ -110,14 +110,14 @@
   send(caller, {{"form", "complete"}, {"revision", revision_}, {"servers", std::move(servers)}});
 }
 
-void RosterBoard::tell_now(const Json& word) {
+void DiscoveryServer::tell_now(const Json& word) {
   for (auto& [caller, held] : callers_) {
     if (caller->follows) send(*caller, word);
   }
 }
 
 // What leaves here is what a router is told, and from when on.
-void RosterBoard::send(Caller& caller, const Json& word) {
+void DiscoveryServer::send(Caller& caller, const Json& word) {
   const std::int64_t now = reactor_.clock_ns();
   Json conditions = Json::array();
   for (const Json& entry : word["servers"])
@@ -131,17 +131,17 @@
   caller.write(word.dump() + "\n");
 }
 
-void RosterBoard::play(Time start) {
-  for (const Trouble& trouble : day_.troubles) {
-    const Time from = start + trouble.at, to = from + trouble.span;
-    if (trouble.kind == TroubleKind::roster_lag) {
-      reactor_.at(from, [this, size = trouble.size] { more_lag_ = static_cast<Time>(size * 10'000); });
+void DiscoveryServer::play(Time start) {
+  for (const Fault& fault : day_.faults) {
+    const Time from = start + fault.at, to = from + fault.span;
+    if (fault.kind == FaultKind::discovery_lag) {
+      reactor_.at(from, [this, size = fault.size] { more_lag_ = static_cast<Time>(size * 10'000); });
       reactor_.at(to, [this] { more_lag_ = 0; });
-    } else if (trouble.kind == TroubleKind::roster_break) {
+    } else if (fault.kind == FaultKind::discovery_outage) {
       reactor_.at(from, [this] { break_off(); });
       reactor_.at(to, [this] { listen(); });
-    } else if (trouble.kind == TroubleKind::roster_twice) {
-      for (const std::string& server : trouble.servers) {
+    } else if (fault.kind == FaultKind::discovery_contradiction) {
+      for (const std::string& server : fault.servers) {
         reactor_.at(from, [this, server] {
           const auto it = entries_.find(server);
           if (it == entries_.end()) return;
--- a/src/standin/roster_board.h
+++ b/src/standin/discovery_server.h
@@ -15,10 +15,11 @@
 
 namespace rushhill::standin {
 
-class RosterBoard {
+class DiscoveryServer {
  public:
-  RosterBoard(transport::Reactor& reactor, const transport::Address& address, const Day& day, Record& record);
-  ~RosterBoard();
+  DiscoveryServer(transport::Reactor& reactor, const transport::Address& address, const Day& day,
+                  Record& record);
+  ~DiscoveryServer();
   transport::Address address() const { return address_; }
   void play(Time start);
   void announce(const nlohmann::json& entry);
--- a/src/standin/links.cpp
+++ b/src/standin/links.cpp
@@ -23,7 +23,7 @@
     const transport::Address& there = links.copies_[static_cast<std::size_t>(to)];
     ends_[0].stream = transport::Stream::adopt(links.reactor_, arrival, ends_[0]);
     ends_[1].stream = transport::Stream::connect(links.reactor_, there, ends_[1]);
-    if (links.ails(from, to, TroubleKind::link_twice) != nullptr) {
+    if (links.ails(from, to, FaultKind::link_twice) != nullptr) {
       twin_ = std::make_unique<Deaf>();
       twin_->stream = transport::Stream::connect(links.reactor_, there, *twin_);
     }
@@ -79,14 +79,14 @@
 
   void came(End& end, std::string_view bytes) {
     std::string text(bytes);
-    if (links_.ails(end.from, end.to, TroubleKind::link_garble) != nullptr && draw() < garbled_share)
+    if (links_.ails(end.from, end.to, FaultKind::link_garble) != nullptr && draw() < garbled_share)
       text[static_cast<std::size_t>(draw() * static_cast<double>(text.size()))] ^= 0x41;
-    if (links_.ails(end.from, end.to, TroubleKind::link_cut) != nullptr) {
+    if (links_.ails(end.from, end.to, FaultKind::link_cut) != nullptr) {
       across(end).stream->write(
           text.substr(0, static_cast<std::size_t>(draw() * static_cast<double>(text.size()))));
       return leave(true);
     }
-    const double* delay = links_.ails(end.from, end.to, TroubleKind::link_delay);
+    const double* delay = links_.ails(end.from, end.to, FaultKind::link_delay);
     const Time now = links_.reactor_.now();
     end.held.emplace_back(now + (delay == nullptr ? 0 : static_cast<Time>(*delay * 10)), std::move(text));
     end.bytes += bytes.size();
@@ -96,9 +96,9 @@
 
   void pass_on(End& end) {
     links_.reactor_.cancel(end.next);
-    if (links_.ails(end.from, end.to, TroubleKind::link_drop) != nullptr) return;
+    if (links_.ails(end.from, end.to, FaultKind::link_drop) != nullptr) return;
     const Time now = links_.reactor_.now();
-    const double* rate = links_.ails(end.from, end.to, TroubleKind::link_throttle);
+    const double* rate = links_.ails(end.from, end.to, FaultKind::link_throttle);
     std::size_t room =
         rate == nullptr ? most_held * 2 : static_cast<std::size_t>(*rate * throttle_step / 10'000);
     room = std::max<std::size_t>(room, 1);
@@ -125,7 +125,7 @@
     // Also an end is not heard of through a way that lets nothing pass.
     end.over = true;
     if (why != transport::CloseReason::closed_by_peer && end.held.empty() &&
-        links_.ails(end.from, end.to, TroubleKind::link_drop) == nullptr)
+        links_.ails(end.from, end.to, FaultKind::link_drop) == nullptr)
       return leave(why == transport::CloseReason::reset);
     pass_on(end);
   }
@@ -157,27 +157,27 @@
   return listeners_[static_cast<std::size_t>(from * day_.routers + to)]->address();
 }
 
-const double* Links::ails(int from, int to, TroubleKind kind) {
+const double* Links::ails(int from, int to, FaultKind kind) {
   const auto& kinds = way(from, to).kinds;
   const auto it = kinds.find(kind);
   return it == kinds.end() ? nullptr : &it->second;
 }
 
 void Links::play(Time start) {
-  for (const Trouble& one : day_.troubles) {
-    if (one.kind < TroubleKind::link_drop) continue;
-    reactor_.at(start + one.at, [this, one] { trouble(one, true); });
-    reactor_.at(start + one.at + one.span, [this, one] { trouble(one, false); });
+  for (const Fault& one : day_.faults) {
+    if (one.kind < FaultKind::link_drop) continue;
+    reactor_.at(start + one.at, [this, one] { fault(one, true); });
+    reactor_.at(start + one.at + one.span, [this, one] { fault(one, false); });
   }
 }
 
-void Links::trouble(const Trouble& trouble, bool begins) {
+void Links::fault(const Fault& fault, bool begins) {
   for (int other = 0; other < day_.routers; ++other) {
-    if (other == trouble.router || (trouble.other >= 0 && other != trouble.other)) continue;
-    const bool one_way = trouble.kind == TroubleKind::link_one_way;
-    const TroubleKind kind = one_way ? TroubleKind::link_drop : trouble.kind;
-    for (Ailing* ailing : {&way(trouble.router, other), &way(other, trouble.router)}) {
-      if (begins) ailing->kinds[kind] = trouble.size;
+    if (other == fault.router || (fault.other >= 0 && other != fault.other)) continue;
+    const bool one_way = fault.kind == FaultKind::link_one_way;
+    const FaultKind kind = one_way ? FaultKind::link_drop : fault.kind;
+    for (Ailing* ailing : {&way(fault.router, other), &way(other, fault.router)}) {
+      if (begins) ailing->kinds[kind] = fault.size;
       if (!begins) ailing->kinds.erase(kind);
       if (one_way) break;
     }
--- a/src/standin/links.h
+++ b/src/standin/links.h
@@ -25,16 +25,16 @@
   transport::Address address(int from, int to) const;
   void play(Time start);
   // One fault by hand, for tests.
-  void trouble(const Trouble& trouble, bool begins);
+  void fault(const Fault& fault, bool begins);
   std::size_t connections() const { return passes_.size(); }
 
  private:
   class Pass;
   struct Ailing {
-    std::map<TroubleKind, double> kinds{};  // and the size of each
+    std::map<FaultKind, double> kinds{};  // and the size of each
   };
   Ailing& way(int from, int to) { return ways_[static_cast<std::size_t>(from * day_.routers + to)]; }
-  const double* ails(int from, int to, TroubleKind kind);
+  const double* ails(int from, int to, FaultKind kind);
 
   transport::Reactor& reactor_;
   Day day_;
--- a/src/standin/machine.cpp
+++ b/src/standin/server_model.cpp
@@ -1,4 +1,4 @@
-#include "standin/machine.h"
+#include "standin/server_model.h"
 
 #include <algorithm>
 #include <cmath>
@@ -12,27 +12,27 @@
 
 }  // namespace
 
-Time Store::begin(Time usual) {
-  if (refusing_ || under_way_ >= make_.most_fetches) return -1;
+Time ModelStore::begin(Time usual) {
+  if (refusing_ || under_way_ >= make_.max_fetches) return -1;
   under_way_ += 1;
   ++fetches_;
-  const double crowd = std::max(1.0, under_way_ / make_.fetches_at_once);
-  return static_cast<Time>(static_cast<double>(usual) * crowd * slowness_);
+  const double contention = std::max(1.0, under_way_ / make_.concurrent_fetches);
+  return static_cast<Time>(static_cast<double>(usual) * contention * slowness_);
 }
 
-Machine::Machine(const MachineMake& make, const RuleFigures& rules, bool missing_answers, Store& store,
-                 core::TimerService& clock, std::uint64_t seed, double mean_work)
+ServerModel::ServerModel(const ServerSpec& make, const RuleParameters& rules, bool missing_answers,
+                         ModelStore& store, core::TimerService& clock, std::uint64_t seed, double mean_work)
     : make_(make), rules_(rules), mean_work_(mean_work), missing_answers_(missing_answers), store_(store),
       clock_(clock), chance_(static_cast<std::uint_fast32_t>(seed % 16'777'213)) {}
-Machine::~Machine() = default;
+ServerModel::~ServerModel() = default;
 
-void Machine::at(Time when, std::function<void()> call) {
+void ServerModel::at(Time when, std::function<void()> call) {
   clock_.at(when, [call = std::move(call), alive = std::weak_ptr(life_)] {
     if (!alive.expired()) call();
   });
 }
 
-void Machine::start(bool cold) {
+void ServerModel::start(bool cold) {
   stop();
   started_ = clock_.now();
   cold_ = cold;
@@ -40,7 +40,7 @@
   life_ = std::make_shared<int>(0);
 }
 
-void Machine::stop() {
+void ServerModel::stop() {
   life_.reset();
   for (int i = 0; i < loading_; ++i) store_.end();
   jobs_.clear();
@@ -52,31 +52,31 @@
   running_ = loading_ = 0;
 }
 
-double Machine::power(Time now) const {
+double ServerModel::capacity(Time now) const {
   if (!cold_) return 1;
-  const double age = static_cast<double>(now - started_) / static_cast<double>(rules_.cold_span);
-  return std::min(1.0, rules_.cold_share + (1 - rules_.cold_share) * age);
+  const double age = static_cast<double>(now - started_) / static_cast<double>(rules_.warm_up_span);
+  return std::min(1.0, rules_.initial_capacity + (1 - rules_.initial_capacity) * age);
 }
 
 // Each request that reaches a cold machine counts as one of mean work, also one that is turned away. Whether
 // this one is beyond the budget in slow start: then the machine falls over.
-bool Machine::overloads_slow_start(Time now) {
-  if (!cold_ || now - started_ >= rules_.cold_span) return false;
+bool ServerModel::overloads_slow_start(Time now) {
+  if (!cold_ || now - started_ >= rules_.warm_up_span) return false;
   arrivals_.push_back(now);
-  while (arrivals_.front() <= now - rules_.fall_span) arrivals_.pop_front();
-  const double able = make_.cores * make_.speed * power(now) * static_cast<double>(rules_.fall_span);
-  const double allowed = rules_.fall_multiple * able / mean_work_;
+  while (arrivals_.front() <= now - rules_.budget_span) arrivals_.pop_front();
+  const double able = make_.cores * make_.speed * capacity(now) * static_cast<double>(rules_.budget_span);
+  const double allowed = rules_.budget_multiple * able / mean_work_;
   return static_cast<double>(arrivals_.size()) > slow_start_budget(allowed);
 }
 
 // Nothing is answered any more, also not what it had.
-void Machine::fall() {
+void ServerModel::collapse() {
   if (fallen_) return;
   stop();
   fallen_ = true;
 }
 
-Machine::Copies& Machine::copies_of(const FunctionMake& function) {
+ServerModel::Copies& ServerModel::copies_of(const FunctionSpec& function) {
   auto& copies = functions_[function.name];
   if (!copies) {
     copies = std::make_unique<Copies>();
@@ -85,27 +85,28 @@
   return *copies;
 }
 
-Machine::JobId Machine::take(const Job& job, Began began, Done done) {
+ServerModel::JobId ServerModel::take(const Job& job, Began began, Done done) {
   const Time now = clock_.now();
   const JobId id = ++last_;
-  if (overloads_slow_start(now)) fall();
+  if (overloads_slow_start(now)) collapse();
   if (fallen_) return id;  // silent for good
   Copies& copies = copies_of(*job.function);
-  End end{.fate = Fate::ran, .crowd = static_cast<int>(copies.queue.size()) + copies.busy_lanes};
-  const auto turn_away = [&](Fate fate) {
-    end.fate = fate;
+  JobResult end{.outcome = JobOutcome::completed,
+                .in_flight = static_cast<int>(copies.queue.size()) + copies.busy_lanes};
+  const auto turn_away = [&](JobOutcome outcome) {
+    end.outcome = outcome;
     done(end);
     return id;
   };
-  if (draining_) return turn_away(Fate::draining);
-  if (in_hand() >= make_.most_in_hand) return turn_away(Fate::full);
+  if (draining_) return turn_away(JobOutcome::draining);
+  if (job_count() >= make_.max_jobs) return turn_away(JobOutcome::overloaded);
   const bool coming = copies.loading + copies.queued > 0;
   if (copies.standing == 0 && !coming) {
-    if (missing_answers_) return turn_away(Fate::not_stored);
-    if (!ask_load(copies)) return turn_away(Fate::full);
-    end.warmth = CopyState::load_started;
+    if (missing_answers_) return turn_away(JobOutcome::function_missing);
+    if (!ask_load(copies)) return turn_away(JobOutcome::overloaded);
+    end.copy_state = CopyState::load_started;
   } else {
-    end.warmth = copies.standing > 0 ? CopyState::loaded : CopyState::load_awaited;
+    end.copy_state = copies.standing > 0 ? CopyState::loaded : CopyState::load_awaited;
   }
   jobs_[id] = {job, std::move(began), std::move(done), end, false, &copies};
   copies.queue.push_back(id);
@@ -117,10 +118,10 @@
   return id;
 }
 
-void Machine::drop(JobId id) {
+void ServerModel::cancel_job(JobId id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
-  it->second.done = [](const End&) {};
+  it->second.done = [](const JobResult&) {};
   if (it->second.on_core) return;  // what runs goes on
   Copies& copies = *it->second.copies;
   if (std::erase(copies.queue, id) == 0) {
@@ -132,7 +133,7 @@
 }
 
 // Frees the memory of idle copies, the longest idle first, until so much is free.
-bool Machine::make_room(double memory_mb) {
+bool ServerModel::make_room(double memory_mb) {
   while (memory_used_ + memory_mb > make_.memory_mb) {
     Copies* oldest = nullptr;
     for (auto& [name, copies] : functions_) {
@@ -146,7 +147,7 @@
   return true;
 }
 
-bool Machine::ask_load(Copies& copies) {
+bool ServerModel::ask_load(Copies& copies) {
   if (load_queue_.size() >= most_queued_loads || !make_room(copies.function->memory_mb)) return false;
   memory_used_ += copies.function->memory_mb;
   ++copies.queued;
@@ -155,8 +156,8 @@
   return true;
 }
 
-void Machine::next_load() {
-  while (loading_ < make_.loads_at_once && !load_queue_.empty()) {
+void ServerModel::next_load() {
+  while (loading_ < make_.concurrent_loads && !load_queue_.empty()) {
     Copies& copies = *load_queue_.front();
     load_queue_.pop_front();
     --copies.queued;
@@ -180,14 +181,14 @@
   }
 }
 
-void Machine::loaded(Copies& copies, bool good) {
+void ServerModel::loaded(Copies& copies, bool good) {
   --copies.loading;
   if (good) {
     ++copies.standing;
     copies.idle_since = clock_.now();
     expire_idle(copies);
     serve(copies);
-    tell_holds(copies, Fate::ran);
+    tell_holds(copies, JobOutcome::completed);
     return;
   }
   memory_used_ -= copies.function->memory_mb;
@@ -197,27 +198,30 @@
     const auto it = jobs_.find(id);
     const Running job = std::move(it->second);
     jobs_.erase(it);
-    End end = job.end;
-    end.fate = Fate::load_failed;
+    JobResult end = job.end;
+    end.outcome = JobOutcome::load_failed;
     job.done(end);
   }
-  tell_holds(copies, Fate::load_failed);
+  tell_holds(copies, JobOutcome::load_failed);
 }
 
-void Machine::tell_holds(Copies& copies, Fate failed) {
+void ServerModel::tell_holds(Copies& copies, JobOutcome failed) {
   std::vector<Waiting> left;
-  for (Waiting& hold : std::exchange(copies.holds, {})) {
-    const bool stands = copies.standing >= hold.copies;
+  for (Waiting& prewarm : std::exchange(copies.holds, {})) {
+    const bool stands = copies.standing >= prewarm.copies;
     if (stands || copies.loading + copies.queued == 0) {
-      hold.held(stands ? Fate::ran : failed == Fate::ran ? Fate::full : failed, copies.standing);
+      prewarm.held(stands                            ? JobOutcome::completed
+                   : failed == JobOutcome::completed ? JobOutcome::overloaded
+                                                     : failed,
+                   copies.standing);
     } else {
-      left.push_back(std::move(hold));
+      left.push_back(std::move(prewarm));
     }
   }
   copies.holds = std::move(left);
 }
 
-void Machine::expire_idle(Copies& copies) {
+void ServerModel::expire_idle(Copies& copies) {
   at(clock_.now() + make_.keep_alive, [this, &copies] {
     const bool idle = copies.busy_lanes == 0 && copies.queue.empty() && copies.standing > 0;
     if (!idle || clock_.now() - copies.idle_since < make_.keep_alive) return;
@@ -226,7 +230,7 @@
   });
 }
 
-void Machine::serve(Copies& copies) {
+void ServerModel::serve(Copies& copies) {
   while (!copies.queue.empty() && copies.busy_lanes < copies.standing * copies.function->lanes) {
     const JobId id = copies.queue.front();
     copies.queue.pop_front();
@@ -236,7 +240,7 @@
   next_on_core();
 }
 
-void Machine::next_on_core() {
+void ServerModel::next_on_core() {
   while (running_ < static_cast<int>(make_.cores) && !ready_.empty()) {
     const JobId id = ready_.front();
     ready_.pop_front();
@@ -247,8 +251,8 @@
       const Running expired = std::move(job);
       jobs_.erase(id);
       --copies.busy_lanes;
-      End end = expired.end;
-      end.fate = Fate::expired;
+      JobResult end = expired.end;
+      end.outcome = JobOutcome::expired;
       expired.done(end);
       return serve(copies);
     }
@@ -256,12 +260,13 @@
     ++running_;
     job.began();
     const double spread = std::exponential_distribution<double>(1)(chance_) * 0.5 + 0.5;
-    const double time = static_cast<double>(job.job.work) * spread * slowness_ / (make_.speed * power(now));
+    const double time =
+        static_cast<double>(job.job.work) * spread * slowness_ / (make_.speed * capacity(now));
     at(now + std::max<Time>(static_cast<Time>(time), 1), [this, id] { finish(id); });
   }
 }
 
-void Machine::finish(JobId id) {
+void ServerModel::finish(JobId id) {
   const auto it = jobs_.find(id);
   const Running job = std::move(it->second);
   jobs_.erase(it);
@@ -274,19 +279,19 @@
   serve(copies);
 }
 
-void Machine::hold(const FunctionMake& function, int wanted, Held held) {
+void ServerModel::prewarm(const FunctionSpec& function, int wanted, Prewarmed held) {
   if (fallen_) return;
   Copies& copies = copies_of(function);
-  if (draining_) return held(Fate::draining, copies.standing);
+  if (draining_) return held(JobOutcome::draining, copies.standing);
   copies.idle_since = clock_.now();
   while (copies.standing + copies.loading + copies.queued < wanted) {
-    if (!ask_load(copies)) return held(Fate::full, copies.standing);
+    if (!ask_load(copies)) return held(JobOutcome::overloaded, copies.standing);
   }
-  if (copies.standing >= wanted) return held(Fate::ran, copies.standing);
+  if (copies.standing >= wanted) return held(JobOutcome::completed, copies.standing);
   copies.holds.push_back({wanted, std::move(held)});
 }
 
-void Machine::unload(const FunctionMake& function) {
+void ServerModel::evict(const FunctionSpec& function) {
   Copies& copies = copies_of(function);
   const int needed = (copies.busy_lanes + function.lanes - 1) / function.lanes;
   const int idle = std::max(copies.standing - needed, 0);
@@ -294,7 +299,7 @@
   memory_used_ -= idle * function.memory_mb;
 }
 
-std::vector<std::pair<std::string, int>> Machine::standing() const {
+std::vector<std::pair<std::string, int>> ServerModel::instance_counts() const {
   std::vector<std::pair<std::string, int>> rows;
   for (const auto& [name, copies] : functions_) rows.emplace_back(name, copies->standing);
   return rows;
--- a/src/standin/machine.h
+++ b/src/standin/server_model.h
@@ -20,13 +20,13 @@
 namespace rushhill::standin {
 
 // The store that all machines fetch functions from: slower when crowded, refusing past a limit.
-class Store {
+class ModelStore {
  public:
-  explicit Store(const StoreMake& make) : make_(make) {}
+  explicit ModelStore(const ModelStoreSpec& make) : make_(make) {}
   // How long a fetch of usual length takes if it begins now; below 0: turned away.
   Time begin(Time usual);
   void end() { under_way_ -= 1; }
-  void trouble(double slowness, bool refusing) {
+  void fault(double slowness, bool refusing) {
     slowness_ = slowness;
     refusing_ = refusing;
   }
@@ -34,56 +34,57 @@
   std::int64_t fetches() const { return fetches_; }
 
  private:
-  StoreMake make_;
+  ModelStoreSpec make_;
   double under_way_ = 0, slowness_ = 1;
   bool refusing_ = false;
   std::int64_t fetches_ = 0;
 };
 
-enum class Fate { ran, full, draining, not_stored, load_failed, expired };
+enum class JobOutcome { completed, overloaded, draining, function_missing, load_failed, expired };
 
 struct Job {
-  const FunctionMake* function = nullptr;
+  const FunctionSpec* function = nullptr;
   Time work = 0;     // on a standard core
   Time expires = 0;  // work whose time is up is not begun
 };
 
-class Machine {
+struct JobResult {
+  JobOutcome outcome = JobOutcome::completed;
+  CopyState copy_state = CopyState::unknown;
+  int in_flight = 0;
+};
+
+class ServerModel {
  public:
   using JobId = std::uint64_t;
-  struct End {
-    Fate fate = Fate::ran;
-    CopyState warmth = CopyState::unknown;
-    int crowd = 0;
-  };
   using Began = std::function<void()>;
-  using Done = std::function<void(const End&)>;
-  using Held = std::function<void(Fate, int copies)>;
+  using Done = std::function<void(const JobResult&)>;
+  using Prewarmed = std::function<void(JobOutcome, int copies)>;
 
   // `mean_work` is that of the day's requests: each weighs as much against the budget in slow start.
-  Machine(const MachineMake& make, const RuleFigures& rules, bool missing_answers, Store& store,
-          core::TimerService& clock, std::uint64_t seed,
-          double mean_work = static_cast<double>(FunctionMake{}.work));
-  ~Machine();
+  ServerModel(const ServerSpec& make, const RuleParameters& rules, bool missing_answers, ModelStore& store,
+              core::TimerService& clock, std::uint64_t seed,
+              double mean_work = static_cast<double>(FunctionSpec{}.work));
+  ~ServerModel();
 
   // `began` when it runs for certain, `done` at the end, at once where it is turned away.
   JobId take(const Job& job, Began began, Done done);
-  void drop(JobId job);  // its caller has gone: what has not begun never will
-  void hold(const FunctionMake& function, int copies, Held held);
-  void unload(const FunctionMake& function);
-  std::vector<std::pair<std::string, int>> standing() const;
+  void cancel_job(JobId job);  // its caller has gone: what has not begun never will
+  void prewarm(const FunctionSpec& function, int copies, Prewarmed held);
+  void evict(const FunctionSpec& function);
+  std::vector<std::pair<std::string, int>> instance_counts() const;
 
   void start(bool cold);  // empty; with all its power at once or cold
   void stop();            // all work and copies are gone; nothing more is called
   void drain(bool on) { draining_ = on; }
   void slow_down(double times) { slowness_ = times; }
 
-  bool fallen() const { return fallen_; }
-  double busy() const { return static_cast<double>(running_) / make_.cores; }
-  int in_hand() const { return static_cast<int>(jobs_.size()); }
-  int loads() const { return loading_ + static_cast<int>(load_queue_.size()); }
-  double power(Time now) const;  // of its whole power at that age, from cold_share to 1
-  const MachineMake& make() const { return make_; }
+  bool collapsed() const { return fallen_; }
+  double utilization() const { return static_cast<double>(running_) / make_.cores; }
+  int job_count() const { return static_cast<int>(jobs_.size()); }
+  int load_count() const { return loading_ + static_cast<int>(load_queue_.size()); }
+  double capacity(Time now) const;  // of its whole power at that age, from cold_share to 1
+  const ServerSpec& spec() const { return make_; }
 
  private:
   struct Copies;
@@ -91,23 +92,23 @@
     Job job;
     Began began;
     Done done;
-    End end;
+    JobResult end;
     bool on_core = false;
     Copies* copies = nullptr;
   };
   struct Waiting {
     int copies = 0;
-    Held held;
+    Prewarmed held;
   };
   struct Copies {
-    const FunctionMake* function = nullptr;
+    const FunctionSpec* function = nullptr;
     int standing = 0, loading = 0, queued = 0, busy_lanes = 0;
     std::deque<JobId> queue;
     std::vector<Waiting> holds;
     Time idle_since = 0;
   };
 
-  Copies& copies_of(const FunctionMake& function);
+  Copies& copies_of(const FunctionSpec& function);
   bool make_room(double memory_mb);
   bool ask_load(Copies& copies);
   void next_load();
@@ -115,17 +116,17 @@
   void serve(Copies& copies);
   void next_on_core();
   void finish(JobId id);
-  void tell_holds(Copies& copies, Fate failed);
+  void tell_holds(Copies& copies, JobOutcome failed);
   void expire_idle(Copies& copies);
   bool overloads_slow_start(Time now);
-  void fall();
+  void collapse();
   void at(Time when, std::function<void()> call);
 
-  MachineMake make_;
-  RuleFigures rules_;
+  ServerSpec make_;
+  RuleParameters rules_;
   double mean_work_;
   bool missing_answers_;
-  Store& store_;
+  ModelStore& store_;
   core::TimerService& clock_;
   std::ranlux24_base chance_;
   std::map<JobId, Running> jobs_;
--- a/src/standin/fleet.cpp
+++ b/src/standin/simulated_servers.cpp
@@ -1,4 +1,4 @@
-#include "standin/fleet.h"
+#include "standin/simulated_servers.h"
 
 #include <algorithm>
 #include <map>
@@ -30,9 +30,9 @@
 }  // namespace
 
 // One server: its machine, its port, what ails it.
-class Fleet::Box {
+class SimulatedServers::Box {
  public:
-  Box(Fleet& fleet, const MachineMake& make, std::uint64_t seed)
+  Box(SimulatedServers& fleet, const ServerSpec& make, std::uint64_t seed)
       : fleet_(fleet), port(fleet.reactor_.reserve(transport::numeric_address("127.0.0.1:0"))),
         machine(make, fleet.day_.rules, fleet.day_.missing_answers, fleet.store_, fleet.reactor_, seed,
                 fleet.day_.mean_work()) {
@@ -45,28 +45,28 @@
   void deafen(bool reset);  // takes no connection, drops those it has
   void started() {
     fleet_.record_.line({{"what", "started"},
-                         {"server", machine.make().id},
+                         {"server", machine.spec().id},
                          {"at", fleet_.reactor_.clock_ns()},
                          {"cold", started_ms > 0},
-                         {"cores", machine.make().cores},
-                         {"speed", machine.make().speed},
-                         {"location", machine.make().location},
-                         {"cell", machine.make().cell}});
+                         {"cores", machine.spec().cores},
+                         {"speed", machine.spec().speed},
+                         {"location", machine.spec().location},
+                         {"cell", machine.spec().cell}});
   }
-  bool has(TroubleKind kind) const { return ailing.contains(kind); }
+  bool has(FaultKind kind) const { return ailing.contains(kind); }
 
-  Fleet& fleet_;
+  SimulatedServers& fleet_;
   std::unique_ptr<transport::BoundSocket> port;
-  Machine machine;
+  ServerModel machine;
   std::unique_ptr<transport::Listener> listener;
   std::map<Connection*, std::shared_ptr<Connection>, transport::ByNumber> connections;
-  std::map<TroubleKind, int> ailing;
+  std::map<FaultKind, int> ailing;
   std::string condition = "active";
   double started_ms = 0;  // Unix time; 0: long ago
 };
 
 // One router's connection: reads a request, answers it by the contract and the present faults.
-class Fleet::Connection final : public transport::StreamHandler, public transport::Numbered {
+class SimulatedServers::Connection final : public transport::StreamHandler, public transport::Numbered {
  public:
   Connection(Box& box, const transport::PendingConnection& arrival)
       : fleet_(box.fleet_), box_(box), reader_({}) {
@@ -88,7 +88,7 @@
     if (reset) stream_->reset();
     stream_->close();
     record_end(how);
-    if (job_ != 0) box_.machine.drop(std::exchange(job_, 0));
+    if (job_ != 0) box_.machine.cancel_job(std::exchange(job_, 0));
     if (mark_ && !line_.contains("began")) fleet_.unmark(mark_);  // it never will run
     const auto it = box_.connections.find(this);
     fleet_.reactor_.post([held = it->second] {});
@@ -104,13 +104,13 @@
     ++requests_;
     const HttpRequest request = reader_.take();
     open_ = true;
-    line_ = {{"at", fleet_.reactor_.clock_ns()}, {"server", box_.machine.make().id}};
+    line_ = {{"at", fleet_.reactor_.clock_ns()}, {"server", box_.machine.spec().id}};
     for (const char* name : {"router", "shot"}) {
       if (const std::string* value = request.header(std::string("rushhill-") + name))
         line_[name] = std::atoi(value->c_str());
     }
     const std::string* meant = request.header("rushhill-server");
-    if (meant != nullptr && *meant != box_.machine.make().id) {
+    if (meant != nullptr && *meant != box_.machine.spec().id) {
       line_["what"] = "misdirected";
       return answer(refusal(421, "misdirected"), "never-ran");
     }
@@ -134,13 +134,13 @@
     line_["source"] = event.source;
     line_["type"] = event.type;
     line_["function"] = name == nullptr ? "" : *name;
-    if (box_.has(TroubleKind::reset)) return leave("reset", true);
-    if (box_.has(TroubleKind::close_on_use) && requests_ > 1) return leave("closed-on-use");
-    if (box_.has(TroubleKind::fail_fast)) return answer({.status = 500}, "error");
-    const FunctionMake* function = name == nullptr ? nullptr : fleet_.day_.function(*name);
+    if (box_.has(FaultKind::reset)) return leave("reset", true);
+    if (box_.has(FaultKind::close_on_use) && requests_ > 1) return leave("closed-on-use");
+    if (box_.has(FaultKind::fail_fast)) return answer({.status = 500}, "error");
+    const FunctionSpec* function = name == nullptr ? nullptr : fleet_.day_.function(*name);
     if (function == nullptr) return answer(refusal(404, "not-stored"), "never-ran");
     line_["work"] = function->work;
-    const TypeMake* type = fleet_.day_.type(event.type);
+    const RequestClassSpec* type = fleet_.day_.type(event.type);
     if (type != nullptr && type->effect == "numbered") {
       bool fresh = false;
       const auto mark = fleet_.mark(box_, *type, event.source + " " + event.id, fresh);
@@ -154,13 +154,13 @@
   void repeat(const std::shared_ptr<Mark>& mark, const events::CloudEvent& event) {
     line_["repeat"] = true;
     const auto reply = [this, event, alive = weak()] {
-      if (!alive.expired() && !gone_) answer_event(event, {.warmth = CopyState::loaded});
+      if (!alive.expired() && !gone_) answer_event(event, {.copy_state = CopyState::loaded});
     };
     if (mark->done) return reply();
     mark->waiters.push_back(reply);
   }
 
-  void run(const FunctionMake& function, const events::CloudEvent& event, const std::shared_ptr<Mark>& mark,
+  void run(const FunctionSpec& function, const events::CloudEvent& event, const std::shared_ptr<Mark>& mark,
            const HttpRequest& request) {
     const std::string* left = request.header("rushhill-time-left-ms");
     const Time expires = left == nullptr ? 0 : fleet_.reactor_.now() + 10 * std::atoll(left->c_str());
@@ -172,13 +172,13 @@
       if (!alive.expired()) line_["began"] = true;
       fleet_.record_.line(seen);
     };
-    const bool was_fallen = box_.machine.fallen();
+    const bool was_fallen = box_.machine.collapsed();
     answered_at_once_ = false;
     mark_ = mark;
     const auto id =
         box_.machine.take({&function, function.work, expires}, began,
-                          [this, alive = weak(), event, mark, &fleet = fleet_](const Machine::End& end) {
-                            if (mark && end.fate == Fate::ran) {
+                          [this, alive = weak(), event, mark, &fleet = fleet_](const JobResult& end) {
+                            if (mark && end.outcome == JobOutcome::completed) {
                               mark->done = true;
                               for (const auto& waiter : std::exchange(mark->waiters, {})) waiter();
                             } else if (mark) {
@@ -191,59 +191,59 @@
                             finished(event, end);
                           });
     if (!answered_at_once_ && !gone_) job_ = id;
-    if (!was_fallen && box_.machine.fallen())
+    if (!was_fallen && box_.machine.collapsed())
       fleet_.record_.line(
-          {{"what", "fell"}, {"server", box_.machine.make().id}, {"at", fleet_.reactor_.clock_ns()}});
+          {{"what", "fell"}, {"server", box_.machine.spec().id}, {"at", fleet_.reactor_.clock_ns()}});
   }
 
-  void finished(const events::CloudEvent& event, const Machine::End& end) {
-    switch (end.fate) {
-      case Fate::ran:
+  void finished(const events::CloudEvent& event, const JobResult& end) {
+    switch (end.outcome) {
+      case JobOutcome::completed:
         return answer_event(event, end);
-      case Fate::full:
+      case JobOutcome::overloaded:
         return answer(refusal(503, "full"), "never-ran");
-      case Fate::draining:
+      case JobOutcome::draining:
         return answer(refusal(503, "draining"), "never-ran");
-      case Fate::not_stored:
+      case JobOutcome::function_missing:
         return answer(refusal(404, "not-stored"), "never-ran");
-      case Fate::load_failed:
+      case JobOutcome::load_failed:
         return answer(refusal(503, "load-failed"), "never-ran");
-      case Fate::expired:
+      case JobOutcome::expired:
         return answer({.status = 504}, "error");
     }
   }
 
-  void answer_event(const events::CloudEvent& event, const Machine::End& end) {
+  void answer_event(const events::CloudEvent& event, const JobResult& end) {
     constexpr const char* copy[] = {"", "found", "began-load", "awaited-load", ""};
     events::CloudEvent reply{.id = event.id + "-reply",
-                             .source = "/servers/" + box_.machine.make().id,
+                             .source = "/servers/" + box_.machine.spec().id,
                              .type = event.type + ".reply",
                              .data_content_type = "application/json"};
-    reply.data = Json{{"answers", event.id}, {"by", box_.machine.make().id}}.dump();
+    reply.data = Json{{"answers", event.id}, {"by", box_.machine.spec().id}}.dump();
     HttpResponse response{.headers = events::to_headers(reply), .body = reply.data};
-    const char* word = copy[static_cast<std::size_t>(end.warmth)];
+    const char* word = copy[static_cast<std::size_t>(end.copy_state)];
     if (*word != 0) response.headers.emplace_back("rushhill-copy", word);
-    response.headers.emplace_back("rushhill-crowd", std::to_string(end.crowd));
+    response.headers.emplace_back("rushhill-crowd", std::to_string(end.in_flight));
     response.headers.emplace_back("endpoint-load-metrics", report());
     answer(std::move(response), "answered");
   }
 
   std::string report() const {
-    return "TEXT cpu_utilization=" + std::to_string(box_.machine.busy()) +
-           ", named_metrics.inflight=" + std::to_string(box_.machine.in_hand()) +
-           ", named_metrics.x1=" + std::to_string(box_.machine.loads());
+    return "TEXT cpu_utilization=" + std::to_string(box_.machine.utilization()) +
+           ", named_metrics.inflight=" + std::to_string(box_.machine.job_count()) +
+           ", named_metrics.x1=" + std::to_string(box_.machine.load_count());
   }
 
   HttpResponse probe() const {
     const Json report{
-        {"cpu_utilization", box_.machine.busy()},
-        {"named_metrics", {{"inflight", box_.machine.in_hand()}, {"x1", box_.machine.loads()}}}};
+        {"cpu_utilization", box_.machine.utilization()},
+        {"named_metrics", {{"inflight", box_.machine.job_count()}, {"x1", box_.machine.load_count()}}}};
     return {.headers = {{"endpoint-load-metrics", "JSON " + report.dump()}}};
   }
 
   HttpResponse index() const {
     Json rows = Json::array();
-    for (const auto& [name, copies] : box_.machine.standing()) {
+    for (const auto& [name, copies] : box_.machine.instance_counts()) {
       rows.push_back({{"name", name}, {"state", copies > 0 ? "READY" : "UNAVAILABLE"}, {"copies", copies}});
     }
     return {.headers = {{"content-type", "application/json"}}, .body = rows.dump()};
@@ -257,12 +257,12 @@
     if (!target.starts_with(start) || slash < start.size()) return answer({.status = 404}, "error");
     const std::string name = target.substr(start.size(), slash - start.size());
     const std::string verb = target.substr(slash + 1);
-    const FunctionMake* function = fleet_.day_.function(name);
+    const FunctionSpec* function = fleet_.day_.function(name);
     line_["what"] = verb == "load" ? "order" : "unload";
     line_["function"] = name;
     if (function == nullptr) return answer(refusal(404, "not-stored"), "never-ran");
     if (verb == "unload") {
-      box_.machine.unload(*function);
+      box_.machine.evict(*function);
       return answer({.status = 200}, "answered");
     }
     const Json body = Json::parse(request.body, nullptr, false);
@@ -270,16 +270,17 @@
     if (body.is_object() && body.contains("parameters") && body["parameters"].is_object())
       copies = body["parameters"].value("copies", 1);
     line_["copies"] = copies;
-    box_.machine.hold(*function, std::clamp(copies, 1, 16), [this, alive = weak()](Fate fate, int standing) {
-      if (alive.expired() || gone_) return;
-      HttpResponse response = fate == Fate::ran           ? HttpResponse{.status = 200}
-                              : fate == Fate::load_failed ? HttpResponse{.status = 500}
-                              : fate == Fate::draining    ? refusal(503, "draining")
-                                                          : refusal(503, "full");
-      response.headers.emplace_back("content-type", "application/json");
-      response.body = Json{{"copies", standing}}.dump();
-      answer(std::move(response), fate == Fate::ran ? "answered" : "never-ran");
-    });
+    box_.machine.prewarm(
+        *function, std::clamp(copies, 1, 16), [this, alive = weak()](JobOutcome outcome, int standing) {
+          if (alive.expired() || gone_) return;
+          HttpResponse response = outcome == JobOutcome::completed     ? HttpResponse{.status = 200}
+                                  : outcome == JobOutcome::load_failed ? HttpResponse{.status = 500}
+                                  : outcome == JobOutcome::draining    ? refusal(503, "draining")
+                                                                       : refusal(503, "full");
+          response.headers.emplace_back("content-type", "application/json");
+          response.body = Json{{"copies", standing}}.dump();
+          answer(std::move(response), outcome == JobOutcome::completed ? "answered" : "never-ran");
+        });
   }
 
   void answer(HttpResponse response, const char* how) {
@@ -287,31 +288,31 @@
     if (const std::string* word = response.header("rushhill-never-ran")) line_["refusal"] = *word;
     const std::string bytes = transport::to_bytes(response);
     const std::size_t head = bytes.find("\r\n\r\n") + 4;
-    if (box_.has(TroubleKind::silence)) return go_silent("silent");
-    if (box_.has(TroubleKind::lose_answers) && line_.contains("began")) return leave("lost-answer");
+    if (box_.has(FaultKind::silence)) return go_silent("silent");
+    if (box_.has(FaultKind::lose_answers) && line_.contains("began")) return leave("lost-answer");
     const bool has_body = bytes.size() > head;  // without one, the head is all of it
-    if (has_body && box_.has(TroubleKind::mute_head)) {
+    if (has_body && box_.has(FaultKind::mute_head)) {
       stream_->write(bytes.substr(0, head));
       return go_silent("mute-head");
     }
-    if (has_body && box_.has(TroubleKind::mute_half)) {
+    if (has_body && box_.has(FaultKind::mute_half)) {
       stream_->write(bytes.substr(0, head + (bytes.size() - head) / 2));
       return go_silent("mute-half");
     }
-    if (box_.has(TroubleKind::garbage)) {
+    if (box_.has(FaultKind::garbage)) {
       stream_->write("\x16\x03 this is no HTTP\r\n\r\n\r\n");
       return go_silent("garbage");
     }
-    if (box_.has(TroubleKind::trickle)) return trickle(bytes, 0, how);
+    if (box_.has(FaultKind::byte_at_a_time)) return byte_at_a_time(bytes, 0, how);
     stream_->write(bytes);
     done(how);
   }
 
-  void trickle(const std::string& bytes, std::size_t from, const char* how) {
+  void byte_at_a_time(const std::string& bytes, std::size_t from, const char* how) {
     if (from == bytes.size()) return done(how);
     stream_->write(std::string_view(bytes).substr(from, 1));
     fleet_.reactor_.at(fleet_.reactor_.now() + trickle_every, [this, alive = weak(), bytes, from, how] {
-      if (!alive.expired() && !gone_) trickle(bytes, from + 1, how);
+      if (!alive.expired() && !gone_) byte_at_a_time(bytes, from + 1, how);
     });
   }
 
@@ -336,20 +337,20 @@
 
   std::weak_ptr<int> weak() const { return life_; }
 
-  Fleet& fleet_;
+  SimulatedServers& fleet_;
   Box& box_;
   std::shared_ptr<transport::Stream> stream_;
   transport::HttpRequestReader reader_;
   std::string in_;
   Json line_;
-  Machine::JobId job_ = 0;
+  ServerModel::JobId job_ = 0;
   std::shared_ptr<Mark> mark_;
   std::shared_ptr<int> life_ = std::make_shared<int>(0);
   int requests_ = 0;
   bool busy_ = false, open_ = false, gone_ = false, answered_at_once_ = false;
 };
 
-void Fleet::Box::listen() {
+void SimulatedServers::Box::listen() {
   if (listener) return;
   listener = std::make_unique<transport::Listener>(
       fleet_.reactor_, port->address(), true, [this](const transport::PendingConnection& arrival) {
@@ -358,7 +359,7 @@
       });
 }
 
-void Fleet::Box::deafen(bool reset) {
+void SimulatedServers::Box::deafen(bool reset) {
   listener.reset();
   while (!connections.empty()) {
     const auto held = connections.begin()->second;
@@ -366,14 +367,14 @@
   }
 }
 
-Fleet::Fleet(transport::Reactor& reactor, const Day& day, Record& record)
+SimulatedServers::SimulatedServers(transport::Reactor& reactor, const Day& day, Record& record)
     : reactor_(reactor), day_(day), record_(record), store_(day.store) {
   std::uint64_t seed = day.seed;
-  for (const MachineMake& make : day_.servers) boxes_[make.id] = std::make_unique<Box>(*this, make, ++seed);
+  for (const ServerSpec& make : day_.servers) boxes_[make.id] = std::make_unique<Box>(*this, make, ++seed);
 }
-Fleet::~Fleet() { close(); }
+SimulatedServers::~SimulatedServers() { close(); }
 
-void Fleet::close() {
+void SimulatedServers::close() {
   for (auto& [id, box] : boxes_) {
     box->listener.reset();
     while (!box->connections.empty()) {
@@ -384,14 +385,14 @@
   record_.flush();
 }
 
-transport::Address Fleet::address(const std::string& server) const {
+transport::Address SimulatedServers::address(const std::string& server) const {
   return boxes_.at(server)->port->address();
 }
-Machine& Fleet::machine(const std::string& server) { return boxes_.at(server)->machine; }
+ServerModel& SimulatedServers::machine(const std::string& server) { return boxes_.at(server)->machine; }
 
-std::string Fleet::entry(const std::string& server) const {
+std::string SimulatedServers::entry(const std::string& server) const {
   const Box& box = *boxes_.at(server);
-  const MachineMake& make = box.machine.make();
+  const ServerSpec& make = box.machine.spec();
   Json row{{"id", make.id},
            {"address", box.port->address().toString()},
            {"condition", box.condition},
@@ -403,18 +404,18 @@
   return row.dump();
 }
 
-void Fleet::announce_to(const transport::Address& roster) {
+void SimulatedServers::announce_to(const transport::Address& roster) {
   roster_ = std::make_unique<Lines>(reactor_, roster, [this] {
     for (const auto& [id, box] : boxes_) announce(id);
   });
 }
-void Fleet::announce(const std::string& server) {
+void SimulatedServers::announce(const std::string& server) {
   if (roster_ && roster_->open()) roster_->write("{\"announce\":" + entry(server) + "}");
 }
 
-std::shared_ptr<Fleet::Mark>& Fleet::mark(const Box& box, const TypeMake& type, const std::string& text,
-                                          bool& fresh) {
-  const MachineMake& make = box.machine.make();
+std::shared_ptr<SimulatedServers::Mark>& SimulatedServers::mark(const Box& box, const RequestClassSpec& type,
+                                                                const std::string& text, bool& fresh) {
+  const ServerSpec& make = box.machine.spec();
   const std::string group = type.group == "location" ? make.location
                             : type.group == "cell"   ? std::to_string(make.cell)
                                                      : "";
@@ -428,34 +429,34 @@
   return known;
 }
 
-void Fleet::unmark(const std::shared_ptr<Mark>& mark) {
+void SimulatedServers::unmark(const std::shared_ptr<Mark>& mark) {
   std::erase_if(marks_, [&](const auto& known) { return known.second == mark; });
 }
 
-void Fleet::play(Time start) {
-  for (const Trouble& trouble : day_.troubles) {
+void SimulatedServers::play(Time start) {
+  for (const Fault& fault : day_.faults) {
     const auto ring = [&](Time when, auto call) { reactor_.at(start + when, call); };
-    if (trouble.kind == TroubleKind::store_slow || trouble.kind == TroubleKind::store_refuse) {
-      const bool refuse = trouble.kind == TroubleKind::store_refuse;
-      ring(trouble.at, [this, refuse, size = trouble.size] { store_.trouble(refuse ? 1 : size, refuse); });
-      ring(trouble.at + trouble.span, [this] { store_.trouble(1, false); });
+    if (fault.kind == FaultKind::store_slow || fault.kind == FaultKind::store_refuse) {
+      const bool refuse = fault.kind == FaultKind::store_refuse;
+      ring(fault.at, [this, refuse, size = fault.size] { store_.fault(refuse ? 1 : size, refuse); });
+      ring(fault.at + fault.span, [this] { store_.fault(1, false); });
       continue;
     }
-    for (const std::string& server : trouble.servers) {
+    for (const std::string& server : fault.servers) {
       if (!boxes_.contains(server))
         throw std::invalid_argument("a trouble names the unknown server " + server);
-      if (trouble.kind == TroubleKind::drain) {
-        const auto accepts = static_cast<Time>(drain_accepts * static_cast<double>(trouble.span));
-        ring(trouble.at + accepts, [this, server] { machine(server).drain(true); });
+      if (fault.kind == FaultKind::drain) {
+        const auto accepts = static_cast<Time>(drain_accepts * static_cast<double>(fault.span));
+        ring(fault.at + accepts, [this, server] { machine(server).drain(true); });
       }
-      ring(trouble.at, [this, trouble, server] { this->trouble(trouble.kind, server, trouble.size, true); });
-      ring(trouble.at + trouble.span,
-           [this, trouble, server] { this->trouble(trouble.kind, server, trouble.size, false); });
+      ring(fault.at, [this, fault, server] { this->fault(fault.kind, server, fault.size, true); });
+      ring(fault.at + fault.span,
+           [this, fault, server] { this->fault(fault.kind, server, fault.size, false); });
     }
   }
 }
 
-void Fleet::trouble(TroubleKind kind, const std::string& server, double size, bool begins) {
+void SimulatedServers::fault(FaultKind kind, const std::string& server, double size, bool begins) {
   Box& box = *boxes_.at(server);
   record_.line({{"what", "trouble"},
                 {"kind", name_of(kind)},
@@ -473,14 +474,14 @@
     announce(server);
   };
   switch (kind) {
-    case TroubleKind::slow:
+    case FaultKind::slow:
       box.machine.slow_down(begins ? size : 1);
       break;
-    case TroubleKind::refuse:
+    case FaultKind::refuse:
       if (begins) box.deafen(false);
       if (!begins) box.listen();
       break;
-    case TroubleKind::crash:
+    case FaultKind::crash:
       if (begins) {
         box.condition = "gone";
         box.deafen(true);
@@ -490,7 +491,7 @@
         reborn();
       }
       break;
-    case TroubleKind::drain:
+    case FaultKind::drain:
       box.condition = begins ? "draining" : "gone";
       announce(server);
       if (begins) break;
@@ -498,9 +499,9 @@
       box.machine.stop();
       reactor_.at(reactor_.now() + back_after_drain, reborn);
       break;
-    case TroubleKind::silence:
-    case TroubleKind::mute_head:
-    case TroubleKind::mute_half:
+    case FaultKind::silence:
+    case FaultKind::mute_head:
+    case FaultKind::mute_half:
       // What hung stays hung; its connections go when the trouble ends.
       if (!begins) {
         box.deafen(false);
--- a/src/standin/fleet.h
+++ b/src/standin/simulated_servers.h
@@ -8,28 +8,28 @@
 #include <vector>
 
 #include "standin/day.h"
-#include "standin/machine.h"
 #include "standin/parts.h"
 #include "standin/record.h"
+#include "standin/server_model.h"
 #include "transport/reactor.h"
 
 namespace rushhill::standin {
 
-class Fleet {
+class SimulatedServers {
  public:
-  Fleet(transport::Reactor& reactor, const Day& day, Record& record);
-  ~Fleet();
+  SimulatedServers(transport::Reactor& reactor, const Day& day, Record& record);
+  ~SimulatedServers();
 
   void announce_to(const transport::Address& roster);
   // The day's troubles from that moment on.
   void play(Time start);
   // One fault by hand, for tests; span 0: until the next.
-  void trouble(TroubleKind kind, const std::string& server, double size, bool begins);
+  void fault(FaultKind kind, const std::string& server, double size, bool begins);
   // What is still open is recorded as such.
   void close();
 
   transport::Address address(const std::string& server) const;
-  Machine& machine(const std::string& server);
+  ServerModel& machine(const std::string& server);
   // The roster's entries as they stand: one JSON object a server.
   std::string entry(const std::string& server) const;
 
@@ -45,12 +45,13 @@
 
   void announce(const std::string& server);
   void unmark(const std::shared_ptr<Mark>& mark);
-  std::shared_ptr<Mark>& mark(const Box& box, const TypeMake& type, const std::string& text, bool& fresh);
+  std::shared_ptr<Mark>& mark(const Box& box, const RequestClassSpec& type, const std::string& text,
+                              bool& fresh);
 
   transport::Reactor& reactor_;
   Day day_;
   Record& record_;
-  Store store_;
+  ModelStore store_;
   std::map<std::string, std::unique_ptr<Box>> boxes_;
   std::map<std::string, std::shared_ptr<Mark>> marks_;
   std::unique_ptr<Lines> roster_;
--- a/tests/emulator/emulation_test.cpp
+++ b/tests/emulator/emulation_test.cpp
@@ -33,8 +33,7 @@
 TEST(EmulatedDay, TheBadDayKeepsAllRulesAndIsTheSameEachTime) {
   standin::Day day = standin::scripted_bad_day(300, 80, 7);
   // A router that starts again forgets what it has ordered, which in so short a day its ration does not bear.
-  std::erase_if(day.troubles,
-                [](const auto& one) { return one.kind == standin::TroubleKind::router_restart; });
+  std::erase_if(day.faults, [](const auto& one) { return one.kind == standin::FaultKind::router_restart; });
   const Played first = play(day), second = play(day);
   EXPECT_TRUE(first.verdict.good()) << checker::as_text(first.verdict);
   EXPECT_EQ(first.verdict.events, 300);
@@ -65,13 +64,13 @@
 }
 
 // Of so many seconds' lag of the roster: every server dies before the first request and is back cold at once.
-standin::Day day_of_cold_servers(double roster_lag) {
+standin::Day day_of_cold_servers(double discovery_lag) {
   standin::Day day = standin::scripted_bad_day(800, 300, 1019);
   day.servers.resize(3);
-  day.roster_lag_least = day.roster_lag_most = 0;
-  day.troubles = {{standin::TroubleKind::roster_lag, 0, 2 * day.span(), roster_lag, {}, 0}};
+  day.discovery_lag_minimum = day.discovery_lag_maximum = 0;
+  day.faults = {{standin::FaultKind::discovery_lag, 0, 2 * day.span(), discovery_lag, {}, 0}};
   for (const auto& server : day.servers)
-    day.troubles.push_back({standin::TroubleKind::crash, 1, 1, 1, {server.id}, 0});
+    day.faults.push_back({standin::FaultKind::crash, 1, 1, 1, {server.id}, 0});
   return day;
 }
 
@@ -92,9 +91,9 @@
 
 TEST(EmulatedDay, WithoutAServerEverythingIsShedAndTheDayStillEnds) {
   standin::Day day = standin::scripted_bad_day(100, 100, 1);
-  day.troubles.clear();
+  day.faults.clear();
   for (const auto& server : day.servers)
-    day.troubles.push_back({standin::TroubleKind::refuse, 0, day.span(), 1, {server.id}, 0});
+    day.faults.push_back({standin::FaultKind::refuse, 0, day.span(), 1, {server.id}, 0});
   const Played played = play(day);
   EXPECT_EQ(played.verdict.outcomes.count("none"), 0U);
   EXPECT_EQ(played.verdict.rules.at("1 one final answer").breaks, 0);
--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -49,8 +49,7 @@
 // faults of servers. No router is started again: what its first list proves is for the tests of start times.
 TEST(WallClock, InAWholeDayNothingHappensAtAnotherMomentWhateverTheSteps) {
   standin::Day day = standin::scripted_bad_day(150, 80, 3);
-  std::erase_if(day.troubles,
-                [](const auto& one) { return one.kind == standin::TroubleKind::router_restart; });
+  std::erase_if(day.faults, [](const auto& one) { return one.kind == standin::FaultKind::router_restart; });
   day.together = true;
   const std::vector<nlohmann::json> undisturbed = records_of(day, Wall::runs_on, 1);
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -9,26 +9,26 @@
 #include "loopback.h"
 #include "router/router_process.h"
 #include "standin/clients.h"
-#include "standin/fleet.h"
-#include "standin/roster_board.h"
+#include "standin/discovery_server.h"
+#include "standin/simulated_servers.h"
 
 namespace rushhill {
 namespace {
 
 using standin::Day;
-using standin::TroubleKind;
+using standin::FaultKind;
 
 Day small_day() {
   Day day = standin::scripted_bad_day(120, 60, 11, true, true);
-  day.troubles.clear();
+  day.faults.clear();
   day.servers.resize(4);
   for (auto& server : day.servers) server.location = "here", server.cell = 1;
   day.functions.resize(4);
   for (auto& function : day.functions) function.load = 500;
   for (auto& type : day.types) type.share = 1;
   day.routers = 1;
-  day.roster_lag_least = 0, day.roster_lag_most = 100;
-  day.rules.load_free = 50;
+  day.discovery_lag_minimum = 0, day.discovery_lag_maximum = 100;
+  day.rules.free_loads = 50;
   return day;
 }
 
@@ -50,9 +50,9 @@
     file = testing::TempDir() + "rushhill-" + std::to_string(reinterpret_cast<std::uintptr_t>(this)) + "-" +
            std::to_string(transport::monotonic_ns());
     record = std::make_unique<standin::Record>(file);
-    board = std::make_unique<standin::RosterBoard>(reactor, transport::numeric_address("127.0.0.1:0"), day,
-                                                   *record);
-    fleet = std::make_unique<standin::Fleet>(reactor, day, *record);
+    board = std::make_unique<standin::DiscoveryServer>(reactor, transport::numeric_address("127.0.0.1:0"),
+                                                       day, *record);
+    fleet = std::make_unique<standin::SimulatedServers>(reactor, day, *record);
     fleet->announce_to(board->address());
     pump.pass(100);
     const std::string text =
@@ -97,15 +97,15 @@
   VirtualPump pump{reactor};
   Silent silent;
   std::unique_ptr<standin::Record> record;
-  std::unique_ptr<standin::RosterBoard> board;
-  std::unique_ptr<standin::Fleet> fleet;
+  std::unique_ptr<standin::DiscoveryServer> board;
+  std::unique_ptr<standin::SimulatedServers> fleet;
   std::unique_ptr<router::RouterProcess> router;
   std::vector<nlohmann::json> seen;
   checker::Verdict verdict;
 };
 
 struct Fault {
-  TroubleKind kind;
+  FaultKind kind;
   const char* shows;  // what the servers' records must show of it
 };
 class Faults : public testing::TestWithParam<Fault> {};
@@ -113,7 +113,7 @@
 // Reissuable, numbered and at-most-once events go through each fault at two of four servers.
 TEST_P(Faults, KeepAllRules) {
   Day day = small_day();
-  day.troubles.push_back({GetParam().kind, 3'000, 15'000, 3, {day.servers[0].id, day.servers[1].id}});
+  day.faults.push_back({GetParam().kind, 3'000, 15'000, 3, {day.servers[0].id, day.servers[1].id}});
   Scene scene(day);
   scene.play();
   EXPECT_TRUE(scene.verdict.good()) << checker::as_text(scene.verdict);
@@ -125,13 +125,14 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Kinds, Faults,
-    testing::Values(Fault{TroubleKind::silence, "silent"}, Fault{TroubleKind::mute_head, "mute-head"},
-                    Fault{TroubleKind::mute_half, "mute-half"}, Fault{TroubleKind::reset, "reset"},
-                    Fault{TroubleKind::refuse, ""}, Fault{TroubleKind::slow, ""},
-                    Fault{TroubleKind::fail_fast, "error"}, Fault{TroubleKind::crash, ""},
-                    Fault{TroubleKind::lose_answers, "lost-answer"}, Fault{TroubleKind::trickle, "answered"},
-                    Fault{TroubleKind::garbage, "garbage"}, Fault{TroubleKind::close_on_use, "closed-on-use"},
-                    Fault{TroubleKind::drain, ""}, Fault{TroubleKind::roster_twice, ""}));
+    testing::Values(Fault{FaultKind::silence, "silent"}, Fault{FaultKind::mute_head, "mute-head"},
+                    Fault{FaultKind::mute_half, "mute-half"}, Fault{FaultKind::reset, "reset"},
+                    Fault{FaultKind::refuse, ""}, Fault{FaultKind::slow, ""},
+                    Fault{FaultKind::fail_fast, "error"}, Fault{FaultKind::crash, ""},
+                    Fault{FaultKind::lose_answers, "lost-answer"},
+                    Fault{FaultKind::byte_at_a_time, "answered"}, Fault{FaultKind::garbage, "garbage"},
+                    Fault{FaultKind::close_on_use, "closed-on-use"}, Fault{FaultKind::drain, ""},
+                    Fault{FaultKind::discovery_contradiction, ""}));
 
 TEST(Router, FromTheWordOnADrainingServerGetsNoEventAndNoOrder) {
   Scene scene(small_day());
@@ -172,7 +173,7 @@
 
 TEST(Router, AfterARosterThatComesAndGoesTheListStandsAsItWas) {
   Day day = small_day();
-  day.troubles.push_back({TroubleKind::roster_break, 2'000, 8'000, 1, {}});
+  day.faults.push_back({FaultKind::discovery_outage, 2'000, 8'000, 1, {}});
   Scene scene(day);
   scene.play();
   EXPECT_TRUE(scene.verdict.good()) << checker::as_text(scene.verdict);
@@ -191,9 +192,9 @@
   day.events = 1'200;
   day.rate = 2;
   const std::string dead = day.servers[0].id, drained = day.servers[1].id;
-  day.troubles = {{TroubleKind::roster_break, away_at, away_for, 1, {}},
-                  {TroubleKind::crash, 60 * second, 800 * second, 1, {dead}},
-                  {TroubleKind::drain, 200 * second, 800 * second, 1, {drained}}};
+  day.faults = {{FaultKind::discovery_outage, away_at, away_for, 1, {}},
+                {FaultKind::crash, 60 * second, 800 * second, 1, {dead}},
+                {FaultKind::drain, 200 * second, 800 * second, 1, {drained}}};
   Scene scene(day);
   const std::int64_t start = scene.reactor.clock_ns();
   scene.play();
--- a/tests/standin/links_test.cpp
+++ b/tests/standin/links_test.cpp
@@ -41,8 +41,8 @@
     pass(100);
   }
   void pass(Time span) { network.run_until(network.now() + span); }
-  void ail(TroubleKind kind, bool begins, double size = 1, int router = 0) {
-    links->trouble({.kind = kind, .size = size, .router = router}, begins);
+  void ail(FaultKind kind, bool begins, double size = 1, int router = 0) {
+    links->fault({.kind = kind, .size = size, .router = router}, begins);
   }
 
   Day day;
@@ -58,13 +58,13 @@
   dial();
   dialler.stream->write("one ");
   pass(100);
-  ail(TroubleKind::link_drop, true);
+  ail(FaultKind::link_drop, true);
   dialler.stream->write("two ");
   ends.at(0)->stream->write("back");
   pass(30'000);
   EXPECT_EQ(ends.at(0)->heard, "one ");
   EXPECT_EQ(dialler.heard, "");
-  ail(TroubleKind::link_drop, false);
+  ail(FaultKind::link_drop, false);
   dialler.stream->write("three");
   pass(100);
   EXPECT_EQ(ends.at(0)->heard, "one two three");
@@ -73,7 +73,7 @@
 
 TEST_F(LinksStory, OneWayHoldsOnlyWhatTheFirstSends) {
   dial();
-  ail(TroubleKind::link_one_way, true);
+  ail(FaultKind::link_one_way, true);
   dialler.stream->write("there");
   ends.at(0)->stream->write("back");
   pass(10'000);
@@ -83,27 +83,27 @@
 
 TEST_F(LinksStory, DelayedThrottledChangedAndDoubledEachShow) {
   dial();
-  ail(TroubleKind::link_delay, true, 200);
+  ail(FaultKind::link_delay, true, 200);
   dialler.stream->write("slow");
   pass(1'900);
   EXPECT_EQ(ends.at(0)->heard, "");
   pass(300);
   EXPECT_EQ(ends.at(0)->heard, "slow");
-  ail(TroubleKind::link_delay, false);
-  ail(TroubleKind::link_throttle, true, 1'000);  // bytes a second
+  ail(FaultKind::link_delay, false);
+  ail(FaultKind::link_throttle, true, 1'000);  // bytes a second
   dialler.stream->write(std::string(2'000, 'x'));
   pass(10'000);
   EXPECT_NEAR(static_cast<double>(ends.at(0)->heard.size()), 1'000, 100);
-  ail(TroubleKind::link_throttle, false);
+  ail(FaultKind::link_throttle, false);
   pass(100);
   ends.at(0)->heard.clear();
-  ail(TroubleKind::link_garble, true);
+  ail(FaultKind::link_garble, true);
   const std::string text(200, 'y');
   for (int i = 0; i < 40; ++i) dialler.stream->write(text), pass(10);
   EXPECT_EQ(ends.at(0)->heard.size(), 40 * text.size());
   EXPECT_NE(ends.at(0)->heard.find_first_not_of('y'), std::string::npos);
-  ail(TroubleKind::link_garble, false);
-  ail(TroubleKind::link_twice, true);
+  ail(FaultKind::link_garble, false);
+  ail(FaultKind::link_twice, true);
   End again;
   again.stream = Stream::connect(network, links->address(0, 1), again);
   pass(100);
@@ -117,14 +117,14 @@
 
 TEST_F(LinksStory, ACutComesInTheMidstAndTheNextConnectionPasses) {
   dial();
-  ail(TroubleKind::link_cut, true);
+  ail(FaultKind::link_cut, true);
   dialler.stream->write("cut in the midst");
   pass(100);
   EXPECT_TRUE(dialler.gone);
   EXPECT_LT(ends.at(0)->heard.size(), 16U);
   EXPECT_TRUE(ends.at(0)->gone);
   EXPECT_EQ(links->connections(), 0U);
-  ail(TroubleKind::link_cut, false);
+  ail(FaultKind::link_cut, false);
   End next;
   next.stream = Stream::connect(network, links->address(0, 1), next);
   pass(100);
--- a/tests/standin/machine_test.cpp
+++ b/tests/standin/server_model_test.cpp
@@ -1,5 +1,5 @@
 // The machines' model: it must fail as real ones do, or the days prove nothing.
-#include "standin/machine.h"
+#include "standin/server_model.h"
 
 #include <gtest/gtest.h>
 
@@ -33,23 +33,23 @@
 class MachineStory : public testing::Test {
  protected:
   void make(bool missing = false, bool cold = false) {
-    machine = std::make_unique<Machine>(place, rules, missing, store, clock, 3);
+    machine = std::make_unique<ServerModel>(place, rules, missing, store, clock, 3);
     machine->start(cold);
   }
-  Machine::JobId take(const FunctionMake& function, Time work = 200) {
+  ServerModel::JobId take(const FunctionSpec& function, Time work = 200) {
     return machine->take(
-        {&function, work, 0}, [this] { ++began; }, [this](const Machine::End& end) { ends.push_back(end); });
+        {&function, work, 0}, [this] { ++began; }, [this](const JobResult& end) { ends.push_back(end); });
   }
 
   HandClock clock;
-  MachineMake place{.id = "m", .cores = 2, .memory_mb = 1000, .loads_at_once = 2, .keep_alive = 5 * second};
-  RuleFigures rules;
-  Store store{{}};
-  FunctionMake a{.name = "a", .memory_mb = 400, .lanes = 1, .load = second / 2};
-  FunctionMake b{.name = "b", .memory_mb = 400, .lanes = 1, .load = second / 2};
-  FunctionMake c{.name = "c", .memory_mb = 400, .lanes = 1, .load = second / 2};
-  std::unique_ptr<Machine> machine;
-  std::vector<Machine::End> ends;
+  ServerSpec place{.id = "m", .cores = 2, .memory_mb = 1000, .concurrent_loads = 2, .keep_alive = 5 * second};
+  RuleParameters rules;
+  ModelStore store{{}};
+  FunctionSpec a{.name = "a", .memory_mb = 400, .lanes = 1, .load = second / 2};
+  FunctionSpec b{.name = "b", .memory_mb = 400, .lanes = 1, .load = second / 2};
+  FunctionSpec c{.name = "c", .memory_mb = 400, .lanes = 1, .load = second / 2};
+  std::unique_ptr<ServerModel> machine;
+  std::vector<JobResult> ends;
   int began = 0;
 };
 
@@ -62,8 +62,8 @@
   take(a);
   clock.pass(second);
   ASSERT_EQ(ends.size(), 2U);
-  EXPECT_EQ(ends[0].warmth, CopyState::load_started);
-  EXPECT_EQ(ends[1].warmth, CopyState::loaded);
+  EXPECT_EQ(ends[0].copy_state, CopyState::load_started);
+  EXPECT_EQ(ends[1].copy_state, CopyState::loaded);
 }
 
 TEST_F(MachineStory, AnIdleCopyGivesWayAndABusyOneDoesNot) {
@@ -76,29 +76,29 @@
   ASSERT_EQ(ends.size(), 2U);
   take(a);  // c's place, which is idle by now
   take(c);  // no room: a loads, b works
-  EXPECT_EQ(ends.back().fate, Fate::full);
+  EXPECT_EQ(ends.back().outcome, JobOutcome::overloaded);
 }
 
 TEST_F(MachineStory, AnIdleCopyLapses) {
   make();
   take(a);
   clock.pass(second);
-  EXPECT_EQ(machine->standing().front().second, 1);
+  EXPECT_EQ(machine->instance_counts().front().second, 1);
   clock.pass(6 * second);
-  EXPECT_EQ(machine->standing().front().second, 0);
+  EXPECT_EQ(machine->instance_counts().front().second, 0);
 }
 
 TEST_F(MachineStory, AColdMachineFallsOverWhenPushedAndAWarmOneDoesNot) {
   make(false, false);
   for (int i = 0; i < 100; ++i) take(a, 1'000);
-  EXPECT_FALSE(machine->fallen());
+  EXPECT_FALSE(machine->collapsed());
   make(false, true);
   // 0.16 of two cores, twice that for a second and a half: N is 48 requests of the mean work, 200. The budget
   // is N + 2 x root of N + 2, whatever the work of each.
   for (int i = 0; i < 63; ++i) take(a, i % 2 == 0 ? 1'000 : 10);
-  EXPECT_FALSE(machine->fallen());
+  EXPECT_FALSE(machine->collapsed());
   take(a, 10);
-  EXPECT_TRUE(machine->fallen());
+  EXPECT_TRUE(machine->collapsed());
   const std::size_t before = ends.size();
   take(b);
   clock.pass(20 * second);
@@ -110,42 +110,42 @@
   make(true, true);
   // N is 24; the budget N + 3 x root of N + 3.
   for (int i = 0; i < 41; ++i) take(a);
-  EXPECT_FALSE(machine->fallen());
+  EXPECT_FALSE(machine->collapsed());
   take(a);
-  EXPECT_TRUE(machine->fallen());
+  EXPECT_TRUE(machine->collapsed());
   ASSERT_EQ(ends.size(), 41U);
-  EXPECT_EQ(ends[0].fate, Fate::not_stored);
+  EXPECT_EQ(ends[0].outcome, JobOutcome::function_missing);
 }
 
 TEST_F(MachineStory, TheBudgetOfAColdMachineIsForASpanAndGrowsAsItWarms) {
   make(true, true);
   for (int i = 0; i < 63; ++i) take(a);
-  clock.pass(rules.fall_span);
+  clock.pass(rules.budget_span);
   // An age of 1.5 s: 0.239 of its power, and N is 71.
   for (int i = 0; i < 90; ++i) take(a);
-  EXPECT_FALSE(machine->fallen());
+  EXPECT_FALSE(machine->collapsed());
   take(a);
-  EXPECT_TRUE(machine->fallen());
+  EXPECT_TRUE(machine->collapsed());
 }
 
 TEST_F(MachineStory, WhatIsDroppedBeforeItBeginsNeverRuns) {
   make();
   const auto job = take(a);
-  machine->drop(job);
+  machine->cancel_job(job);
   clock.pass(2 * second);
   EXPECT_EQ(began, 0);
-  EXPECT_EQ(machine->in_hand(), 0);
+  EXPECT_EQ(machine->job_count(), 0);
 }
 
 TEST_F(MachineStory, AFailedFetchIsToldToAllThatWaited) {
   make();
-  store.trouble(1, true);
+  store.fault(1, true);
   take(a);
   take(a);
   clock.pass(second);
   ASSERT_EQ(ends.size(), 2U);
-  EXPECT_EQ(ends[0].fate, Fate::load_failed);
-  EXPECT_EQ(ends[1].fate, Fate::load_failed);
+  EXPECT_EQ(ends[0].outcome, JobOutcome::load_failed);
+  EXPECT_EQ(ends[1].outcome, JobOutcome::load_failed);
   EXPECT_EQ(began, 0);
 }
 
@@ -153,30 +153,32 @@
   make(true);
   take(a);
   ASSERT_EQ(ends.size(), 1U);
-  EXPECT_EQ(ends[0].fate, Fate::not_stored);
+  EXPECT_EQ(ends[0].outcome, JobOutcome::function_missing);
   int copies = 0;
-  machine->hold(a, 1, [&](Fate fate, int standing) { copies = fate == Fate::ran ? standing : -1; });
+  machine->prewarm(a, 1, [&](JobOutcome outcome, int standing) {
+    copies = outcome == JobOutcome::completed ? standing : -1;
+  });
   take(a);  // waits on the load that was ordered
   clock.pass(second);
   EXPECT_EQ(copies, 1);
-  EXPECT_EQ(ends.back().fate, Fate::ran);
+  EXPECT_EQ(ends.back().outcome, JobOutcome::completed);
 }
 
 TEST_F(MachineStory, WorkWhoseTimeIsUpIsNotBegun) {
   make();
   machine->take(
       {&a, 200, clock.now() + 10}, [this] { ++began; },
-      [this](const Machine::End& end) { ends.push_back(end); });
+      [this](const JobResult& end) { ends.push_back(end); });
   clock.pass(second);
   ASSERT_EQ(ends.size(), 1U);
-  EXPECT_EQ(ends[0].fate, Fate::expired);
+  EXPECT_EQ(ends[0].outcome, JobOutcome::expired);
   EXPECT_EQ(began, 0);
 }
 
 TEST_F(MachineStory, ACrowdedStoreIsSlower) {
   make();
-  StoreMake small{.fetches_at_once = 1, .most_fetches = 2};
-  Store crowded(small);
+  ModelStoreSpec small{.concurrent_fetches = 1, .max_fetches = 2};
+  ModelStore crowded(small);
   const Time first = crowded.begin(1'000);
   const Time second_fetch = crowded.begin(1'000);
   EXPECT_GT(second_fetch, first);
