--- a/src/lab/badday.cpp
+++ b/src/lab/badday.cpp
@@ -20,7 +20,7 @@
 #include "checker/judge.h"
 #include "lab/processes.h"
 #include "standin/day.h"
-#include "standin/parts.h"
+#include "standin/day_start.h"
 #include "standin/record.h"
 #include "transport/reactor.h"
 
--- a/src/lab/bench.cpp
+++ b/src/lab/bench.cpp
@@ -16,7 +16,6 @@
 #include <vector>
 
 #include "lab/processes.h"
-#include "standin/parts.h"
 
 namespace rushhill::lab {
 namespace {
--- a/src/scale/hollow.cpp
+++ b/src/scale/hollow.cpp
@@ -227,7 +227,8 @@
   for (const Endpoint& told : server_list(servers)) {
     standin::ServerSpec make{.id = told.id, .kind = told.kind, .location = told.location, .cell = told.cell};
     make.keep_alive = copy_life;
-    auto machine = std::make_unique<standin::ServerModel>(make, rules, false, store_, clock_, 1);
+    auto machine =
+        std::make_unique<standin::ServerModel>(make, rules, standin::ServerModelSettings{}, store_, clock_);
     machine->start(false);
     machines_.emplace(told.id, std::move(machine));
   }
--- a/src/standin/broker.h
+++ b/src/standin/broker.h
@@ -12,7 +12,6 @@
 
 #include "mqtt/packets.h"
 #include "standin/day.h"
-#include "standin/parts.h"
 #include "standin/record.h"
 #include "transport/listener.h"
 
