--- a/src/command/simulation.cpp
+++ b/src/command/simulation.cpp
@@ -11,6 +11,7 @@
 #include "command/run_until_signal.h"
 #include "standin/broker.h"
 #include "standin/clients.h"
+#include "standin/day_json.h"
 #include "standin/day_start.h"
 #include "standin/discovery_server.h"
 #include "standin/links.h"
--- a/src/emulator/emulation.cpp
+++ b/src/emulator/emulation.cpp
@@ -4,6 +4,7 @@
 #include <stdexcept>
 
 #include "deployment/deployment_file.h"
+#include "standin/day_deployment.h"
 #include "transport/reactor.h"
 
 namespace rushhill::emulator {
@@ -57,9 +58,12 @@
                                : seats_[other].replica->address())
                            .toString());
   }
-  const std::string text = standin::deployment_of(
-      day_, static_cast<int>(number), seat.http->address().toString(), roster_.address().toString(),
-      seat.peers->address().toString(), peers, "", replicas);
+  const std::string text = standin::deployment_of(day_, static_cast<int>(number),
+                                                  {.listen = seat.http->address().toString(),
+                                                   .discovery = roster_.address().toString(),
+                                                   .peer_listen = seat.peers->address().toString(),
+                                                   .peers = peers,
+                                                   .replicas = replicas});
   const deployment::DeploymentConfiguration configuration =
       deployment::read_text("router-" + std::to_string(number) + ".ini", text);
   const std::uint64_t seed = day_.seed * 1'000'003 + number * 1'009 + ++seat.lives;
@@ -113,8 +117,8 @@
   network_.run_until(network_.now() + announcing);
   std::vector<transport::Address> copies;
   for (const Seat& seat : seats_) copies.push_back(seat.replica->address());
-  const bool links = std::ranges::any_of(
-      day_.faults, [](const auto& fault) { return fault.kind >= standin::FaultKind::link_drop; });
+  const bool links =
+      std::ranges::any_of(day_.faults, [](const auto& fault) { return standin::is_link_fault(fault.kind); });
   if (day_.together && links) links_ = std::make_unique<standin::Links>(network_, day_, copies);
   for (std::size_t i = 0; i < seats_.size(); ++i) start(i);
   std::vector<transport::Address> addresses;
--- a/src/lab/badday.cpp
+++ b/src/lab/badday.cpp
@@ -19,9 +19,13 @@
 
 #include "checker/judge.h"
 #include "lab/processes.h"
+#include "standin/bad_day.h"
 #include "standin/day.h"
+#include "standin/day_deployment.h"
+#include "standin/day_json.h"
 #include "standin/day_start.h"
 #include "standin/record.h"
+#include "standin/router_faults.h"
 #include "transport/reactor.h"
 
 namespace rushhill::lab {
@@ -135,8 +139,8 @@
     servers_->ready();
     std::this_thread::sleep_for(std::chrono::milliseconds(200));  // the servers announce themselves
     for (int i = 0; i < day.routers; ++i) routers_.push_back(std::make_unique<RouterPlace>());
-    const bool links = std::ranges::any_of(
-        day.faults, [](const auto& fault) { return fault.kind >= standin::FaultKind::link_drop; });
+    const bool links =
+        std::ranges::any_of(day.faults, [](const auto& fault) { return standin::is_link_fault(fault.kind); });
     if (day.together && links) {
       std::vector<std::string> of_links{"standin",           "links",   "--day",
                                         folder / "day.json", "--start", folder / "start"};
@@ -251,9 +255,13 @@
     const std::string name = "router-" + std::to_string(number);
     RouterPlace& place = *routers_[static_cast<std::size_t>(number)];
     const std::string file = folder_ / (name + ".ini");
-    std::string deployment =
-        standin::deployment_of(day_, number, place.port.address().toString(), roster_address_,
-                               "fd:" + std::to_string(peer_descriptor), peers, broker_address_, replicas);
+    std::string deployment = standin::deployment_of(day_, number,
+                                                    {.listen = place.port.address().toString(),
+                                                     .discovery = roster_address_,
+                                                     .peer_listen = "fd:" + std::to_string(peer_descriptor),
+                                                     .peers = peers,
+                                                     .broker = broker_address_,
+                                                     .replicas = replicas});
     if (std::getenv(storage_faults_variable) != nullptr)
       deployment.insert(deployment.find(roster_section) + roster_section.size(),
                         "remembered = " + (folder_ / (name + remembered_suffix)) + "\n");
@@ -317,9 +325,12 @@
 }
 
 int play(const BadDay& of) {
-  Day day = of.day_file.empty()
-                ? standin::scripted_bad_day(of.events, of.rate, of.seed, !of.loads_by_themselves, of.calm)
-                : standin::day_from_json(text_of(of.day_file));
+  Day day = of.day_file.empty() ? standin::scripted_bad_day({.events = of.events,
+                                                             .rate = of.rate,
+                                                             .seed = of.seed,
+                                                             .missing_answers = !of.loads_by_themselves,
+                                                             .calm = of.calm})
+                                : standin::day_from_json(text_of(of.day_file));
   make_among_routers(day, of);
   if (std::ranges::find(of.faults, "storage") != of.faults.end())
     setenv(storage_faults_variable, std::to_string(day.seed).c_str(), 1);  // the routers inherit it
--- a/src/lab/emulate.cpp
+++ b/src/lab/emulate.cpp
@@ -13,7 +13,10 @@
 
 #include "checker/judge.h"
 #include "emulator/emulation.h"
+#include "standin/bad_day.h"
 #include "standin/day.h"
+#include "standin/day_json.h"
+#include "standin/grown_day.h"
 
 namespace rushhill::lab {
 namespace {
@@ -26,9 +29,14 @@
     if (!in.is_open()) throw std::runtime_error(of.day_file + ": cannot be read");
     return standin::day_from_json(std::string{std::istreambuf_iterator<char>(in), {}});
   }
-  if (of.servers == 0) return standin::scripted_bad_day(of.events, of.rate, of.seed);
-  return standin::grown_day(of.servers, of.routers == 0 ? 4 : of.routers, of.functions, of.events, of.rate,
-                            of.seed);
+  if (of.servers == 0)
+    return standin::scripted_bad_day({.events = of.events, .rate = of.rate, .seed = of.seed});
+  return standin::grown_day({.servers = of.servers,
+                             .routers = of.routers == 0 ? 4 : of.routers,
+                             .functions = of.functions,
+                             .events = of.events,
+                             .rate = of.rate,
+                             .seed = of.seed});
 }
 
 void print(const emulator::Spent& spent, const std::string& trace) {
--- /dev/null
+++ b/src/standin/bad_day.h
@@ -0,0 +1,21 @@
+// The scripted bad day: every fault of servers, discovery, store and broker once at least, a rolling drain
+// and a router restarted.
+#pragma once
+
+#include <cstdint>
+
+#include "standin/day.h"
+
+namespace rushhill::standin {
+
+struct BadDayOptions {
+  std::int64_t events = 0;
+  double rate = 0;  // events a second
+  std::uint64_t seed = 1;
+  bool missing_answers = true;  // as in Day
+  bool calm = false;            // slow hosts have more time: longer limits and ticks, the same faults
+};
+
+Day scripted_bad_day(const BadDayOptions& options);
+
+}  // namespace rushhill::standin
--- a/src/standin/broker.h
+++ b/src/standin/broker.h
@@ -1,96 +1,107 @@
-// A broker's stand-in from the public MQTT specifications, no more than the triggers need: sessions, QoS 0 to
-// 2, retained messages, shared subscriptions, will, expiry, receive maximum; and faults by script.
+// A simulated broker by the public MQTT specifications, no more than the MQTT front end needs: sessions, QoS
+// 0 to 2, retained messages, shared subscriptions, will, expiry, receive maximum; and faults by script.
 #pragma once
 
-#include <deque>
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <memory>
-#include <set>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
 #include "mqtt/packets.h"
+#include "standin/broker_connection.h"
+#include "standin/broker_session.h"
 #include "standin/day.h"
 #include "standin/record.h"
 #include "transport/listener.h"
 
 namespace rushhill::standin {
 
-class Broker {
+class Broker final : public BrokerConnectionOwner {
  public:
   Broker(transport::Reactor& reactor, const transport::Address& address, Record& record);
-  ~Broker();
+  Broker(const Broker&) = delete;
+  Broker& operator=(const Broker&) = delete;
+  Broker(Broker&&) = delete;
+  Broker& operator=(Broker&&) = delete;
+  ~Broker() override;
+
   transport::Address address() const { return address_; }
 
-  // As if a client had published it.
+  // Publishes as if a client had.
   void publish(const mqtt::Packet& message);
 
+  // Plays the day's faults from that moment on.
   void play(const Day& day, Time start);
 
-  // Faults.
-  void drop_clients();        // every connection ends; sessions live on
-  void restart(bool forget);  // the same, sessions forgotten or not; connections are refused for so long
-  void cut_next_publish(std::size_t bytes) {
-    cut_at_ = bytes;
-    cut_due_ = true;
-  }                                                          // then drops that connection
-  void cut_after(std::size_t bytes) { cut_total_ = bytes; }  // of all it sends on the next connection
-  void duplicate(bool on) { duplicating_ = on; }             // every QoS 1 message goes out twice
-  void refuse(std::uint8_t reason) { refusal_ = reason; }    // CONNACK's reason; 0: none
-  void read_slowly(bool on);                                 // takes nothing from clients
+  // Ends every connection; sessions live on.
+  void drop_clients();
+  // The same, and connections are refused for a while; sessions are forgotten or not.
+  void restart(bool forget);
+  // Cuts the next message after so many bytes and ends that connection.
+  void cut_next_publish(std::size_t bytes);
+  // Cuts the next connection after so many bytes of all that is sent on it.
+  void cut_after(std::size_t bytes) { faults_.cut_after = bytes; }
+  // Sends every QoS 1 message twice.
+  void duplicate(bool on) { faults_.duplicates = on; }
+  // The reason of the next CONNACKs; 0: accepted.
+  void refuse(std::uint8_t reason) { faults_.connect_refusal = reason; }
+  // Reads nothing from clients.
+  void read_slowly(bool on);
 
-  // What tests ask.
+  // For tests.
   std::size_t sessions() const { return sessions_.size(); }
   std::size_t unacknowledged(const std::string& client) const;
   std::size_t queued(const std::string& client) const;
   bool connected(const std::string& client) const;
-  std::size_t subscribed() const;  // sessions with a subscription
-  std::size_t most_unacknowledged() const { return most_out_; }
-  const std::vector<std::string>& acknowledged() const { return acknowledged_; }  // payloads, in their order
-  std::vector<mqtt::Packet> seen;                                                 // every message routed
+  // Sessions with a subscription.
+  std::size_t subscribed() const;
+  std::size_t most_unacknowledged() const { return most_unacknowledged_; }
+  // Payloads, in the order of their acknowledgements.
+  const std::vector<std::string>& acknowledged() const { return acknowledged_; }
+  std::vector<mqtt::Packet> seen;  // every message published
 
  private:
-  class Link;
-  struct Out {
-    mqtt::Packet message;
-    bool released = false;  // QoS 2: PUBREC came
-    std::int64_t order = 0;
-  };
-  struct Session {
-    std::string client;
-    int version = 5;
-    std::vector<std::pair<std::string, int>> filters;
-    std::deque<mqtt::Packet> queue;
-    std::map<std::uint16_t, Out> out;
-    std::set<std::uint16_t> in;  // QoS 2 from the client: received and not released
-    std::uint16_t next_id = 0, receive_maximum = 65'535;
-    std::int64_t order = 0;
-    Link* link = nullptr;
-  };
+  using Members =
+      std::vector<std::pair<BrokerSession*, int>>;  // of a shared subscription, with their most QoS
 
   void listen();
-  void take(Link& link, mqtt::Packet& packet);
-  void connect(Link& link, mqtt::Packet& packet);
+  void connect(BrokerConnection& connection, const mqtt::Packet& packet);
+  void take_over(BrokerSession& session);
+  void resend(BrokerSession& session, BrokerConnection& connection);
+  void receive_publish(BrokerConnection& connection, const mqtt::Packet& packet);
+  void receive_pubrec(BrokerConnection& connection, const mqtt::Packet& packet);
+  void receive_acknowledgement(BrokerSession& session, std::uint16_t packet_id);
+  void subscribe(BrokerConnection& connection, const mqtt::Packet& packet);
+  void unsubscribe(BrokerConnection& connection, const mqtt::Packet& packet);
+  void send_retained(BrokerSession& session, const std::string& filter, int most_qos);
   void route(const mqtt::Packet& message);
-  void deliver(Session& session, mqtt::Packet message, int most);
-  void pump(Session& session);
-  void note(const Session& session, const mqtt::Packet& message);
-  void gone(Link& link);
+  void deliver_shared(const std::string& filter, Members& members, const mqtt::Packet& message);
+  void deliver(BrokerSession& session, mqtt::Packet message, int most_qos);
+  void send_queued(BrokerSession& session);
+  void send_duplicate(BrokerSession& session, const mqtt::Packet& message);
+  bool set_remaining_expiry(mqtt::Packet& message) const;
+  std::uint32_t now_seconds() const;
+  void record_delivery(const BrokerSession& session, const mqtt::Packet& message);
+
+  void received(BrokerConnection& connection, mqtt::Packet& packet) override;
+  void will_due(const mqtt::Packet& message) override;
+  void connection_ended(BrokerConnection& connection) override;
 
   transport::Reactor& reactor_;
-  std::unique_ptr<transport::BoundSocket> holder_;
+  std::unique_ptr<transport::BoundSocket> port_;  // keeps the address while nobody listens
   transport::Address address_;
   Record& record_;
+  BrokerFaults faults_;
   std::unique_ptr<transport::Listener> listener_;
-  std::unordered_map<Link*, std::shared_ptr<Link>> links_;
-  std::map<std::string, Session> sessions_;
-  std::map<std::string, mqtt::Packet> retained_;
-  std::map<std::string, std::size_t> turns_;  // of shared subscriptions
+  std::unordered_map<BrokerConnection*, std::shared_ptr<BrokerConnection>> connections_;
+  std::map<std::string, BrokerSession> sessions_;   // by client
+  std::map<std::string, mqtt::Packet> retained_;    // by topic
+  std::map<std::string, std::size_t> next_member_;  // of shared subscriptions, by filter
   std::vector<std::string> acknowledged_;
-  std::size_t cut_at_ = 0, cut_total_ = 0, most_out_ = 0;
-  std::uint8_t refusal_ = 0;
-  bool cut_due_ = false, duplicating_ = false, reading_slowly_ = false;
+  std::size_t most_unacknowledged_ = 0;
 };
 
 }  // namespace rushhill::standin
--- a/src/standin/clients.h
+++ b/src/standin/clients.h
@@ -1,68 +1,81 @@
-// The clients of a day: events in CloudEvents' binary mode at their planned moments, each followed to its one
-// final answer, and everything seen on the sockets recorded.
+// The clients of a day: sends events in CloudEvents' binary mode at their planned times, follows each to its
+// one final answer, and records everything that is seen on the sockets.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
-#include <random>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
 #include "mqtt/packets.h"
+#include "standin/client_connection.h"
+#include "standin/client_request.h"
 #include "standin/day.h"
 #include "standin/record.h"
+#include "standin/request_plan.h"
+#include "standin/request_publisher.h"
 #include "transport/http.h"
 #include "transport/numbered.h"
 #include "transport/reactor.h"
 
 namespace rushhill::standin {
 
-class Clients {
+class Clients final : public ClientConnectionOwner {
  public:
-  // `over` is called once every event has ended and nothing more has come for a while after it.
-  // `broker`: where that share of the events is published instead; empty: none.
+  // `over` is called once every request has ended and nothing more has come for a while after it.
+  // `broker`: where that share of the requests is published instead; empty: none.
   Clients(transport::Reactor& reactor, const Day& day, std::vector<transport::Address> routers,
           Record& record, std::function<void()> over, const std::string& broker = "", double mqtt_share = 0);
-  ~Clients();
+  Clients(const Clients&) = delete;
+  Clients& operator=(const Clients&) = delete;
+  Clients(Clients&&) = delete;
+  Clients& operator=(Clients&&) = delete;
+  ~Clients() override;
+
   void play(Time start);
 
  private:
-  struct Event;
-  class Link;
-  friend class Link;
-
-  class Publisher;
-  friend class Publisher;
   void plan_next();
-  void send(Event& event);
-  void publish(Event& event);
-  void told(const mqtt::Packet& answer);
-  void tried(Event& event, const char* how);
-  void answered(Event& event, const transport::HttpResponse& response);
-  void end(Event& event, const char* outcome);
-  Link* idle_link(std::size_t router);
-  double draw() { return (static_cast<double>(chance_()) + 0.5) / (static_cast<double>(chance_.max()) + 1); }
-  double rate_at(Time since) const;
+  ClientRequest& add_request();
+  void await_answer(ClientRequest& request);
+  void send(ClientRequest& request);
+  std::string bytes_of(const ClientRequest& request) const;
+  void send_duplicate(ClientRequest& request, const std::string& bytes);
+  void start_patience(ClientRequest& request);
+  ClientConnection& connect(std::size_t router);
+  ClientConnection* idle_connection(std::size_t router);
+  void publish(ClientRequest& request);
+  void publish_answered(const mqtt::Packet& answer);
+  void answered_again(const std::string& id, const std::string& outcome);
+  void send_once_more(ClientRequest& request, ClientOutcome first_outcome);
+  void end(ClientRequest& request, ClientOutcome outcome);
+
+  void answered(ClientRequest& request, const transport::HttpResponse& response) override;
+  void attempt_failed(ClientRequest& request, ClientAttemptEnd attempt_end) override;
+  void unexpected_bytes(const std::string& request_id, std::size_t count) override;
+  void connection_idle(ClientConnection& connection) override;
+  void connection_ended(ClientConnection& connection) override;
 
   transport::Reactor& reactor_;
   Day day_;
   std::vector<transport::Address> routers_;
   Record& record_;
   std::function<void()> over_;
-  std::ranlux24_base chance_;
-  std::vector<double> function_steps_, type_steps_;
-  std::unordered_map<std::int64_t, std::unique_ptr<Event>> events_;
-  std::map<Link*, std::shared_ptr<Link>, transport::ByNumber> links_;
-  std::vector<std::vector<Link*>> idle_;
-  std::shared_ptr<Publisher> publisher_;
+  RequestPlan plan_;
+  std::string source_;                                                         // of the events
+  std::unordered_map<std::int64_t, std::unique_ptr<ClientRequest>> requests_;  // by number
+  std::map<ClientConnection*, std::shared_ptr<ClientConnection>, transport::ByNumber> connections_;
+  std::vector<std::vector<ClientConnection*>> idle_;  // by router
+  std::unique_ptr<RequestPublisher> publisher_;
   double mqtt_share_ = 0;
-  std::unordered_map<std::string, std::string> answered_as_;  // outcomes of published events
-  std::unordered_map<std::string, std::int64_t> published_;   // events by id
+  std::unordered_map<std::string, std::string> published_outcomes_;  // of answered ones, by id
+  std::unordered_map<std::string, std::int64_t> published_;          // numbers of open ones, by id
   Time start_ = 0;
-  double planned_ = 0;  // since the start, of the next event
-  std::int64_t sent_ = 0, ended_ = 0;
+  std::int64_t sent_count_ = 0;
+  std::int64_t ended_count_ = 0;
 };
 
 }  // namespace rushhill::standin
--- a/src/standin/discovery_server.h
+++ b/src/standin/discovery_server.h
@@ -1,7 +1,8 @@
-// The roster's stand-in: servers announce themselves, routers follow. It tells changes late, each follower in
-// its own time, and can lag more, contradict itself and break. docs/roster.md is the contract.
+// A simulated service discovery by docs/roster.md: servers announce themselves, routers follow. It reports
+// changes late, to each follower in its own time, and can lag more, contradict itself and be away.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <memory>
 #include <nlohmann/json.hpp>
@@ -9,43 +10,55 @@
 #include <string>
 
 #include "standin/day.h"
+#include "standin/discovery_connection.h"
 #include "standin/record.h"
 #include "transport/listener.h"
 #include "transport/numbered.h"
 
 namespace rushhill::standin {
 
-class DiscoveryServer {
+class DiscoveryServer final : public DiscoveryConnectionOwner {
  public:
   DiscoveryServer(transport::Reactor& reactor, const transport::Address& address, const Day& day,
                   Record& record);
-  ~DiscoveryServer();
+  DiscoveryServer(const DiscoveryServer&) = delete;
+  DiscoveryServer& operator=(const DiscoveryServer&) = delete;
+  DiscoveryServer(DiscoveryServer&&) = delete;
+  DiscoveryServer& operator=(DiscoveryServer&&) = delete;
+  ~DiscoveryServer() override;
+
   transport::Address address() const { return address_; }
+  // Plays the day's faults from that moment on.
   void play(Time start);
-  void announce(const nlohmann::json& entry);
-  // For tests: what every follower is told now, as it is written here.
-  void tell_now(const nlohmann::json& word);
+  // Takes a server's entry; followers are notified of a change.
+  void announce(const nlohmann::json& entry) override;
+  // For tests: sends the message to every follower at once, as it is.
+  void send_now(const nlohmann::json& message);
 
  private:
-  class Caller;
-  friend class Caller;
   void listen();
-  void break_off();
-  void tell_complete(Caller& caller);
-  void tell_change(const nlohmann::json& entry);
-  void send(Caller& caller, const nlohmann::json& word);
+  void end_all_connections();
+  Time draw_lag();
+  void notify(const nlohmann::json& entry);
+  void contradict(const std::string& server);
+  void repeat(const std::string& server);
+  void play_contradiction(const Fault& fault, Time begin);
+  void send(DiscoveryConnection& connection, const nlohmann::json& message);
+
+  void send_complete_list(DiscoveryConnection& connection) override;
+  void connection_ended(DiscoveryConnection& connection) override;
 
   transport::Reactor& reactor_;
   transport::Address address_;
   Day day_;
   Record& record_;
-  std::ranlux24_base chance_;
-  std::unique_ptr<transport::BoundSocket> holder_;  // keeps the port while the roster is down
+  std::ranlux24_base random_;
+  std::unique_ptr<transport::BoundSocket> port_;  // keeps the address while nobody listens
   std::unique_ptr<transport::Listener> listener_;
-  std::map<Caller*, std::shared_ptr<Caller>, transport::ByNumber> callers_;
-  std::map<std::string, nlohmann::json> entries_;
+  std::map<DiscoveryConnection*, std::shared_ptr<DiscoveryConnection>, transport::ByNumber> connections_;
+  std::map<std::string, nlohmann::json> entries_;  // by server
   std::int64_t revision_ = 0;
-  Time more_lag_ = 0;
+  Time additional_lag_ = 0;
 };
 
 }  // namespace rushhill::standin
--- a/src/standin/faulty_file_system.cpp
+++ b/src/standin/faulty_file_system.cpp
@@ -17,6 +17,9 @@
 constexpr double interrupted_share = 0.05;  // of calls
 constexpr double short_share = 0.3;         // of writes
 constexpr double longest_short = 100;       // bytes of a short write
+constexpr double always_share = 0.5;        // of spans with faults: those in which every hit operation fails
+constexpr double least_share = 0.2;         // of hit operations that fail in the others
+constexpr double most_share = 0.8;
 
 constexpr std::array failing_operations{
     Operation::open,   Operation::write,          Operation::sync,           Operation::close,
@@ -57,7 +60,7 @@
     faulty_ = !faulty_;
     first_ = pick(failing_operations);
     second_ = pick(failing_operations);
-    share_ = draw(0, 1) < 0.5 ? 1 : draw(0.2, 0.8);
+    share_ = draw(0, 1) < always_share ? 1 : draw(least_share, most_share);
     error_ = pick(std::array{ENOSPC, EIO, EDQUOT});
     opening_error_ = pick(std::array{ENOSPC, EIO, EMFILE, ENFILE, EACCES, EROFS});
   }
@@ -67,9 +70,11 @@
   std::function<std::int64_t()> now_;
   std::int64_t span_ends_ = 0;
   bool faulty_ = false;
-  Operation first_ = Operation::open, second_ = Operation::open;
+  Operation first_ = Operation::open;
+  Operation second_ = Operation::open;
   double share_ = 1;
-  int error_ = EIO, opening_error_ = EIO;
+  int error_ = EIO;
+  int opening_error_ = EIO;
 };
 
 }  // namespace
--- a/src/standin/faulty_file_system.h
+++ b/src/standin/faulty_file_system.h
@@ -1,4 +1,5 @@
-// Files that fail as the manual pages document: by a plan that a test writes, or one drawn from a seed.
+// A file system that fails as the manual pages document: by a plan that a test writes, or one drawn from a
+// seed.
 #pragma once
 
 #include <cstdint>
@@ -19,6 +20,7 @@
 // Asked before each call.
 using StorageFaultPlan = std::function<StorageFault(storage::Operation)>;
 
+// Forwards calls to another file system, but for those that fail by the plan.
 class FaultyFileSystem final : public storage::FileSystem {
  public:
   FaultyFileSystem(std::shared_ptr<storage::FileSystem> files, StorageFaultPlan plan);
@@ -35,7 +37,7 @@
   StorageFault fault_of(storage::Operation operation);
 
   std::shared_ptr<storage::FileSystem> files_;
-  std::mutex mutex_;  // over the plan
+  std::mutex mutex_;  // guards the plan
   StorageFaultPlan plan_;
 };
 
--- a/src/standin/faulty_system_calls.cpp
+++ b/src/standin/faulty_system_calls.cpp
@@ -8,7 +8,7 @@
 
 using enum SystemCall;
 
-constexpr double accusing_part = 0.1;  // of a rate: failures that break a connection or accuse its peer
+constexpr double harsh_part = 0.1;  // of a rate: failures that break a connection or accuse its peer
 
 constexpr SystemCallFailure breaking(SystemCall call, int error) {
   return {.call = call, .error = error, .breaks_connection = true};
@@ -17,7 +17,7 @@
   return {.call = call, .error = error, .accuses_peer = true};
 }
 
-constexpr auto known = std::to_array<SystemCallFailure>({
+constexpr auto documented = std::to_array<SystemCallFailure>({
     {socket, EMFILE},
     {socket, ENFILE},
     {socket, ENOBUFS},
@@ -99,6 +99,9 @@
     {epoll_wait, EINTR},
 });
 
+bool is_harsh(const SystemCallFailure& failure) { return failure.breaks_connection || failure.accuses_peer; }
+
+// Fails as the system does.
 int fail(const SystemCallFailure& failure) {
   errno = failure.error;
   return -1;
@@ -106,7 +109,7 @@
 
 }  // namespace
 
-std::span<const SystemCallFailure> documented_failures() { return known; }
+std::span<const SystemCallFailure> documented_failures() { return documented; }
 
 void FaultySystemCalls::fail_at_rate(SystemCall call, double rate) {
   rates_[static_cast<std::size_t>(call)] = rate;
@@ -122,33 +125,44 @@
 template <typename Permits>
 std::optional<SystemCallFailure> FaultySystemCalls::draw(SystemCall call, Permits permits) {
   ++calls_;
-  const auto chosen = [&]() -> std::optional<SystemCallFailure> {
-    if (always_ && always_->call == call && permits(*always_)) return always_;
-    if (once_ && once_->failure.call == call && permits(once_->failure) && --once_->left <= 0) {
-      const SystemCallFailure failure = once_->failure;
-      once_.reset();
-      return failure;
-    }
-    const double rate = rates_[static_cast<std::size_t>(call)];
-    if (rate <= 0 || uniform() >= rate) return std::nullopt;
-    const bool harsh = uniform() < accusing_part;
-    std::vector<SystemCallFailure> ways;
-    for (const SystemCallFailure& way : known) {
-      if (way.call == call && (way.breaks_connection || way.accuses_peer) == harsh && permits(way))
-        ways.push_back(way);
-    }
-    if (ways.empty()) return std::nullopt;
-    return ways[std::uniform_int_distribution<std::size_t>(0, ways.size() - 1)(chance_)];
-  }();
-  if (chosen) ++failures_;
-  return chosen;
+  std::optional<SystemCallFailure> failure = scripted(call, permits);
+  if (!failure) failure = draw_at_rate(call, permits);
+  if (failure) ++failures_;
+  return failure;
 }
+
+// The failure that a test has asked for, where it is due.
+template <typename Permits>
+std::optional<SystemCallFailure> FaultySystemCalls::scripted(SystemCall call, Permits permits) {
+  if (always_ && always_->call == call && permits(*always_)) return always_;
+  if (!once_ || once_->failure.call != call || !permits(once_->failure)) return std::nullopt;
+  if (--once_->left > 0) return std::nullopt;
+  const SystemCallFailure failure = once_->failure;
+  once_.reset();
+  return failure;
+}
+
+template <typename Permits>
+std::optional<SystemCallFailure> FaultySystemCalls::draw_at_rate(SystemCall call, Permits permits) {
+  const double rate = rates_[static_cast<std::size_t>(call)];
+  if (rate <= 0 || uniform() >= rate) return std::nullopt;
+  const bool harsh = uniform() < harsh_part;
+  std::vector<SystemCallFailure> candidates;
+  for (const SystemCallFailure& failure : documented) {
+    const bool fits = failure.call == call && is_harsh(failure) == harsh;
+    if (fits && permits(failure)) candidates.push_back(failure);
+  }
+  if (candidates.empty()) return std::nullopt;
+  return candidates[std::uniform_int_distribution<std::size_t>(0, candidates.size() - 1)(random_)];
+}
+
 std::optional<SystemCallFailure> FaultySystemCalls::draw(SystemCall call) {
   return draw(call, [](const SystemCallFailure&) { return true; });
 }
 std::optional<SystemCallFailure> FaultySystemCalls::draw_of_connection(SystemCall call, int descriptor) {
   const bool ours = opened_.contains(descriptor);
-  auto failure = draw(call, [&](const SystemCallFailure& way) { return ours || !way.breaks_connection; });
+  auto failure =
+      draw(call, [&](const SystemCallFailure& candidate) { return ours || !candidate.breaks_connection; });
   if (failure && failure->breaks_connection) broken_.insert(descriptor);
   return failure;
 }
@@ -242,8 +256,8 @@
 }
 
 int FaultySystemCalls::epoll_ctl(int poller, int operation, int descriptor, epoll_event* event) {
-  const auto failure = draw(SystemCall::epoll_ctl, [operation](const SystemCallFailure& way) {
-    return way.error != ENOSPC || operation == EPOLL_CTL_ADD;
+  const auto failure = draw(SystemCall::epoll_ctl, [operation](const SystemCallFailure& candidate) {
+    return candidate.error != ENOSPC || operation == EPOLL_CTL_ADD;
   });
   return failure ? fail(*failure) : SystemCalls::epoll_ctl(poller, operation, descriptor, event);
 }
--- a/src/standin/faulty_system_calls.h
+++ b/src/standin/faulty_system_calls.h
@@ -1,6 +1,6 @@
-// System calls that fail in the ways that Linux documents: drawn from a seed at a rate for each call, or one
+// System calls that fail as Linux documents: drawn from a seed at a rate for each call, or one
 // call once. A failure is what the manual says of it: where the call has done its work all the same (close(),
-// an interrupted connect()) the double does it, and a connection that breaks stays broken.
+// an interrupted connect()) the call is made, and a connection that breaks stays broken.
 #pragma once
 
 #include <array>
@@ -15,7 +15,8 @@
 
 namespace rushhill::standin {
 
-enum class SystemCall {
+// The calls that can fail.
+enum class SystemCall : std::uint8_t {
   socket,
   bind,
   connect,
@@ -36,7 +37,7 @@
 };
 constexpr std::size_t system_call_count = static_cast<std::size_t>(SystemCall::epoll_wait) + 1;
 
-// One documented way to fail.
+// One documented failure.
 struct SystemCallFailure {
   SystemCall call = SystemCall::socket;
   int error = 0;  // errno; 0: no failure but fewer bytes than asked for
@@ -46,21 +47,23 @@
   bool accuses_peer = false;
 };
 
-// All that the double knows, each once.
+// All known failures, each once.
 std::span<const SystemCallFailure> documented_failures();
 
+// Counts all calls and makes some fail.
 class FaultySystemCalls final : public transport::SystemCalls {
  public:
-  explicit FaultySystemCalls(std::uint64_t seed) : chance_(seed) {}
+  explicit FaultySystemCalls(std::uint64_t seed) : random_(seed) {}
 
-  // From now on that share of these calls fails, in ways drawn from the documented ones.
+  // From now on that share of these calls fails, as drawn from the documented failures.
   void fail_at_rate(SystemCall call, double rate);
-  // Every call at the same rate; of the ways that break a connection or accuse the peer, a tenth of it.
+  // Every call at the same rate; of it, a tenth are failures that break a connection or accuse the peer.
   void fail_all_at_rate(double rate);
   // The nth of the calls for which this failure is possible, counted from 1 from now on, fails, once.
   void fail_once(const SystemCallFailure& failure, int nth);
-  // Every such call fails from now on, until the next word.
+  // Every such call fails from now on, until heal().
   void fail_always(const SystemCallFailure& failure) { always_ = failure; }
+  // No call fails any more.
   void heal();
 
   std::uint64_t calls() const { return calls_; }
@@ -90,21 +93,26 @@
     SystemCallFailure failure;
     int left = 0;
   };
-  // How this call fails, if it does; `permits` tells which of its ways are possible now.
+  // How this call fails, if it does; `permits` tells which failures are possible now.
   template <typename Permits>
   std::optional<SystemCallFailure> draw(SystemCall call, Permits permits);
+  template <typename Permits>
+  std::optional<SystemCallFailure> scripted(SystemCall call, Permits permits);
+  template <typename Permits>
+  std::optional<SystemCallFailure> draw_at_rate(SystemCall call, Permits permits);
   std::optional<SystemCallFailure> draw(SystemCall call);
-  // Likewise of an open connection, with the ways that break it where this process opened it.
+  // The same of an open connection; one that this process opened can break.
   std::optional<SystemCallFailure> draw_of_connection(SystemCall call, int descriptor);
-  double uniform() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
+  double uniform() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
-  std::mt19937_64 chance_;
+  std::mt19937_64 random_;
   std::array<double, system_call_count> rates_{};
   std::optional<Once> once_;
   std::optional<SystemCallFailure> always_;
   std::set<int> opened_;  // descriptors of connections that this process opened
   std::set<int> broken_;
-  std::uint64_t calls_ = 0, failures_ = 0;
+  std::uint64_t calls_ = 0;
+  std::uint64_t failures_ = 0;
 };
 
 }  // namespace rushhill::standin
--- a/src/standin/links.h
+++ b/src/standin/links.h
@@ -1,48 +1,48 @@
-// What stands between every two routers' copies: connections are passed on byte by byte, and the day's
-// troubles hold, slow, cut, change or double them.
+// The links between every two routers' replicas: connections are forwarded byte by byte, and the day's faults
+// hold, slow, cut, change or duplicate what passes.
 #pragma once
 
+#include <cstddef>
 #include <map>
 #include <memory>
-#include <random>
 #include <vector>
 
 #include "standin/day.h"
+#include "standin/link_faults.h"
+#include "standin/linked_connection.h"
 #include "transport/listener.h"
 #include "transport/numbered.h"
 
 namespace rushhill::standin {
 
-class Links {
+class Links final : public LinkedConnectionOwner {
  public:
-  // `copies`: where each router takes connections of the others.
-  Links(transport::Reactor& reactor, const Day& day, std::vector<transport::Address> copies);
-  ~Links();
+  // `replicas`: where each router accepts connections of the others.
+  Links(transport::Reactor& reactor, const Day& day, std::vector<transport::Address> replicas);
   Links(const Links&) = delete;
   Links& operator=(const Links&) = delete;
+  Links(Links&&) = delete;
+  Links& operator=(Links&&) = delete;
+  ~Links() override;
 
-  // Where router `from` reaches the copy of router `to`.
+  // Where one router reaches the replica of another.
   transport::Address address(int from, int to) const;
+  // Plays the day's faults from that moment on.
   void play(Time start);
-  // One fault by hand, for tests.
-  void fault(const Fault& fault, bool begins);
-  std::size_t connections() const { return passes_.size(); }
+  // Begins or ends one fault.
+  void set_fault(const Fault& fault, bool active);
+  std::size_t connections() const { return connections_.size(); }
 
  private:
-  class Pass;
-  struct Ailing {
-    std::map<FaultKind, double> kinds{};  // and the size of each
-  };
-  Ailing& way(int from, int to) { return ways_[static_cast<std::size_t>(from * day_.routers + to)]; }
-  const double* ails(int from, int to, FaultKind kind);
+  void listen(Direction direction);
+  void connection_ended(LinkedConnection& connection) override;
 
   transport::Reactor& reactor_;
   Day day_;
-  std::vector<transport::Address> copies_;
+  std::vector<transport::Address> replicas_;
   std::vector<std::unique_ptr<transport::Listener>> listeners_;  // by from and to
-  std::vector<Ailing> ways_;
-  std::map<Pass*, std::shared_ptr<Pass>, transport::ByNumber> passes_;
-  std::mt19937_64 chance_;
+  LinkFaults faults_;
+  std::map<LinkedConnection*, std::shared_ptr<LinkedConnection>, transport::ByNumber> connections_;
 };
 
 }  // namespace rushhill::standin
--- /dev/null
+++ b/src/standin/router_faults.h
@@ -0,0 +1,18 @@
+// Faults of the routers themselves and of the links between them, over the length of any day.
+#pragma once
+
+#include "standin/day.h"
+
+namespace rushhill::standin {
+
+// Which kinds are drawn.
+struct RouterFaults {
+  bool links = false;
+  bool stalls = false;
+  bool crashes = false;
+  bool restarts = false;
+};
+
+void add_router_faults(Day& day, const RouterFaults& faults);
+
+}  // namespace rushhill::standin
--- a/tests/emulator/emulation_test.cpp
+++ b/tests/emulator/emulation_test.cpp
@@ -6,6 +6,9 @@
 #include <algorithm>
 
 #include "checker/judge.h"
+#include "standin/bad_day.h"
+#include "standin/day_json.h"
+#include "standin/grown_day.h"
 
 namespace rushhill::emulator {
 namespace {
@@ -31,7 +34,7 @@
 }
 
 TEST(EmulatedDay, TheBadDayKeepsAllRulesAndIsTheSameEachTime) {
-  standin::Day day = standin::scripted_bad_day(300, 80, 7);
+  standin::Day day = standin::scripted_bad_day({.events = 300, .rate = 80, .seed = 7});
   // A router that starts again forgets what it has ordered, which in so short a day its ration does not bear.
   std::erase_if(day.faults, [](const auto& one) { return one.kind == standin::FaultKind::router_restart; });
   const Played first = play(day), second = play(day);
@@ -46,7 +49,7 @@
 // it back. The same days without it are the fault that must be found.
 TEST(EmulatedDay, RoutersThatStartAgainKeepTheirRationWhereAllHoldItTogether) {
   for (const std::uint64_t seed : {3U, 7U, 9U}) {
-    standin::Day day = standin::scripted_bad_day(400, 80, seed);
+    standin::Day day = standin::scripted_bad_day({.events = 400, .rate = 80, .seed = seed});
     EXPECT_GT(play(day).verdict.rules.at("5 loads rationed").breaks, 0) << seed;
     day.together = true;
     const Played played = play(day);
@@ -57,7 +60,8 @@
 }
 
 TEST(EmulatedDay, ManyServersAndRoutersWithACrashABurstAndASlowStore) {
-  const Played played = play(standin::grown_day(24, 8, 60, 600, 200, 3));
+  const Played played = play(standin::grown_day(
+      {.servers = 24, .routers = 8, .functions = 60, .events = 600, .rate = 200, .seed = 3}));
   EXPECT_TRUE(played.verdict.good()) << checker::as_text(played.verdict);
   EXPECT_EQ(played.spent.tally.expired, 0U);
   EXPECT_GT(played.verdict.due_share, 0.5);
@@ -65,7 +69,7 @@
 
 // Of so many seconds' lag of the roster: every server dies before the first request and is back cold at once.
 standin::Day day_of_cold_servers(double discovery_lag) {
-  standin::Day day = standin::scripted_bad_day(800, 300, 1019);
+  standin::Day day = standin::scripted_bad_day({.events = 800, .rate = 300, .seed = 1019});
   day.servers.resize(3);
   day.discovery_lag_minimum = day.discovery_lag_maximum = 0;
   day.faults = {{standin::FaultKind::discovery_lag, 0, 2 * day.span(), discovery_lag, {}, 0}};
@@ -90,7 +94,7 @@
 }
 
 TEST(EmulatedDay, WithoutAServerEverythingIsShedAndTheDayStillEnds) {
-  standin::Day day = standin::scripted_bad_day(100, 100, 1);
+  standin::Day day = standin::scripted_bad_day({.events = 100, .rate = 100, .seed = 1});
   day.faults.clear();
   for (const auto& server : day.servers)
     day.faults.push_back({standin::FaultKind::refuse, 0, day.span(), 1, {server.id}, 0});
--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -12,6 +12,8 @@
 #include "emulator/emulation.h"
 #include "platform_story.h"
 #include "process.h"
+#include "standin/bad_day.h"
+#include "standin/day_json.h"
 
 namespace rushhill::node {
 namespace {
@@ -48,7 +50,7 @@
 // The timers of routers, clients of discovery, links between routers and fronts are in use in this day, with
 // faults of servers. No router is started again: what its first list proves is for the tests of start times.
 TEST(WallClock, InAWholeDayNothingHappensAtAnotherMomentWhateverTheSteps) {
-  standin::Day day = standin::scripted_bad_day(150, 80, 3);
+  standin::Day day = standin::scripted_bad_day({.events = 150, .rate = 80, .seed = 3});
   std::erase_if(day.faults, [](const auto& one) { return one.kind == standin::FaultKind::router_restart; });
   day.together = true;
   const std::vector<nlohmann::json> undisturbed = records_of(day, Wall::runs_on, 1);
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -8,7 +8,10 @@
 #include "emulator/network.h"
 #include "loopback.h"
 #include "router/router_process.h"
+#include "standin/bad_day.h"
 #include "standin/clients.h"
+#include "standin/day_deployment.h"
+#include "standin/day_json.h"
 #include "standin/discovery_server.h"
 #include "standin/simulated_servers.h"
 
@@ -19,7 +22,7 @@
 using standin::FaultKind;
 
 Day small_day() {
-  Day day = standin::scripted_bad_day(120, 60, 11, true, true);
+  Day day = standin::scripted_bad_day({.events = 120, .rate = 60, .seed = 11, .calm = true});
   day.faults.clear();
   day.servers.resize(4);
   for (auto& server : day.servers) server.location = "here", server.cell = 1;
@@ -56,7 +59,7 @@
     fleet->announce_to(board->address());
     pump.pass(100);
     const std::string text =
-        standin::deployment_of(day, 0, "127.0.0.1:0", board->address().toString(), "", {});
+        standin::deployment_of(day, 0, {.listen = "127.0.0.1:0", .discovery = board->address().toString()});
     router = std::make_unique<router::RouterProcess>(reactor, deployment::read_text("f", text), 3, silent);
     for (const auto& server : day.servers)
       EXPECT_TRUE(reached_at(server.id, fleet->address(server.id).toString()));
@@ -155,7 +158,7 @@
   Scene scene(small_day());
   nlohmann::json entry = nlohmann::json::parse(scene.fleet->entry(scene.day.servers[0].id));
   entry["address"] = scene.fleet->address(scene.day.servers[1].id).toString();
-  scene.board->tell_now({{"form", "changes"}, {"revision", 9}, {"servers", nlohmann::json::array({entry})}});
+  scene.board->send_now({{"form", "changes"}, {"revision", 9}, {"servers", nlohmann::json::array({entry})}});
   ASSERT_TRUE(
       scene.reached_at(scene.day.servers[0].id, scene.fleet->address(scene.day.servers[1].id).toString()));
   scene.play();
@@ -228,7 +231,8 @@
   Scene scene(small_day());
   std::ofstream(file) << R"({"form":"complete","revision":1,"servers":[)"
                       << scene.fleet->entry(scene.day.servers[2].id) << "]}\n";
-  std::string text = standin::deployment_of(scene.day, 0, "127.0.0.1:0", "127.0.0.1:1", "", {});
+  std::string text =
+      standin::deployment_of(scene.day, 0, {.listen = "127.0.0.1:0", .discovery = "127.0.0.1:1"});
   text.insert(text.find("[roster]\n") + 9, "remembered = " + file + "\n");
   scene.router = std::make_unique<router::RouterProcess>(scene.reactor, deployment::read_text("f", text), 3,
                                                          scene.silent);
--- a/tests/standin/links_test.cpp
+++ b/tests/standin/links_test.cpp
@@ -42,7 +42,7 @@
   }
   void pass(Time span) { network.run_until(network.now() + span); }
   void ail(FaultKind kind, bool begins, double size = 1, int router = 0) {
-    links->fault({.kind = kind, .size = size, .router = router}, begins);
+    links->set_fault({.kind = kind, .size = size, .router = router}, begins);
   }
 
   Day day;
