--- a/src/standin/bad_day.cpp
+++ b/src/standin/bad_day.cpp
@@ -16,7 +16,10 @@
 constexpr int server_count = 14;
 constexpr int function_count = 40;
 constexpr FunctionRanges function_ranges{
-    .least_memory_mb = 300, .most_memory_mb = 700, .popularity_exponent = 0.9};
+    .least_memory_mb = 300,
+    .most_memory_mb = 700,
+    .popularity_exponent = 0.9,
+};
 constexpr int servers_per_cell = 4;
 constexpr int first_office_cell = 100;
 
--- a/src/standin/bad_day.h
+++ b/src/standin/bad_day.h
@@ -8,6 +8,7 @@
 
 namespace rushhill::standin {
 
+// The size of the day and what its seed draws.
 struct BadDayOptions {
   std::int64_t events = 0;
   double rate = 0;  // events a second
--- a/src/standin/broker.cpp
+++ b/src/standin/broker.cpp
@@ -234,30 +234,32 @@
 }
 
 void Broker::route(const Packet& message) {
-  std::map<std::string, Members> shared;
-  for (auto& [client, session] : sessions_) {
-    for (const auto& [filter, most_qos] : session.subscriptions) {
-      if (is_shared(filter)) {
-        if (shared_matches(filter, message.topic)) shared[filter].emplace_back(&session, most_qos);
-      } else if (mqtt::matches(filter, message.topic)) {
-        deliver(session, message, most_qos);
-      }
-    }
-  }
+  SharedSubscriptions shared;
+  for (auto& [client, session] : sessions_) deliver_to(session, message, shared);
   for (auto& [filter, members] : shared) deliver_shared(filter, members, message);
 }
 
+// Delivers by the session's own subscriptions; its shared ones are added to the others'.
+void Broker::deliver_to(BrokerSession& session, const Packet& message, SharedSubscriptions& shared) {
+  for (const auto& [filter, most_qos] : session.subscriptions) {
+    const bool is_share = is_shared(filter);
+    if (is_share && shared_matches(filter, message.topic))
+      shared[filter].push_back({.session = &session, .most_qos = most_qos});
+    if (!is_share && mqtt::matches(filter, message.topic)) deliver(session, message, most_qos);
+  }
+}
+
 // Round robin among the members that are connected and have nothing queued, else among the connected ones,
 // else among all.
 void Broker::deliver_shared(const std::string& filter, Members& members, const Packet& message) {
   const std::size_t turn = next_member_[filter]++;
   std::ranges::rotate(members, members.begin() + static_cast<std::ptrdiff_t>(turn % members.size()));
-  const auto connected = [](const auto& member) { return member.first->connection != nullptr; };
-  const auto free = [&](const auto& member) { return connected(member) && member.first->queue.empty(); };
+  const auto connected = [](const Member& member) { return member.session->connection != nullptr; };
+  const auto free = [&](const Member& member) { return connected(member) && member.session->queue.empty(); };
   auto chosen = std::ranges::find_if(members, free);
   if (chosen == members.end()) chosen = std::ranges::find_if(members, connected);
   if (chosen == members.end()) chosen = members.begin();
-  deliver(*chosen->first, message, chosen->second);
+  deliver(*chosen->session, message, chosen->most_qos);
 }
 
 void Broker::deliver(BrokerSession& session, Packet message, int most_qos) {
--- a/src/standin/broker.h
+++ b/src/standin/broker.h
@@ -19,6 +19,7 @@
 
 namespace rushhill::standin {
 
+// Accepts clients while it lives.
 class Broker final : public BrokerConnectionOwner {
  public:
   Broker(transport::Reactor& reactor, const transport::Address& address, Record& record);
@@ -64,8 +65,13 @@
   std::vector<mqtt::Packet> seen;  // every message published
 
  private:
-  using Members =
-      std::vector<std::pair<BrokerSession*, int>>;  // of a shared subscription, with their most QoS
+  // A session that shares a subscription, and the most QoS that it asked for.
+  struct Member {
+    BrokerSession* session = nullptr;
+    int most_qos = 0;
+  };
+  using Members = std::vector<Member>;
+  using SharedSubscriptions = std::map<std::string, Members>;  // by filter
 
   void listen();
   void connect(BrokerConnection& connection, const mqtt::Packet& packet);
@@ -78,6 +84,7 @@
   void unsubscribe(BrokerConnection& connection, const mqtt::Packet& packet);
   void send_retained(BrokerSession& session, const std::string& filter, int most_qos);
   void route(const mqtt::Packet& message);
+  void deliver_to(BrokerSession& session, const mqtt::Packet& message, SharedSubscriptions& shared);
   void deliver_shared(const std::string& filter, Members& members, const mqtt::Packet& message);
   void deliver(BrokerSession& session, mqtt::Packet message, int most_qos);
   void send_queued(BrokerSession& session);
--- a/src/standin/broker_connection.h
+++ b/src/standin/broker_connection.h
@@ -42,6 +42,7 @@
   virtual void connection_ended(BrokerConnection& connection) = 0;
 };
 
+// Reads packets for its owner and writes them, but for what a fault cuts.
 class BrokerConnection final : public transport::StreamHandler {
  public:
   BrokerConnection(transport::Reactor& reactor, BrokerConnectionOwner& owner, BrokerFaults& faults,
--- a/src/standin/broker_session.h
+++ b/src/standin/broker_session.h
@@ -15,11 +15,13 @@
 
 class BrokerConnection;
 
+// A filter that a client has subscribed to.
 struct Subscription {
   std::string filter;
   int most_qos = 0;
 };
 
+// Outlives the connections of its client.
 struct BrokerSession {
   // A message to the client that it has not acknowledged.
   struct Outgoing {
--- a/src/standin/client_connection.h
+++ b/src/standin/client_connection.h
@@ -35,6 +35,7 @@
   virtual void connection_ended(ClientConnection& connection) = 0;
 };
 
+// Owned by its owner, which ends its requests.
 class ClientConnection final : public transport::StreamHandler, public transport::Numbered {
  public:
   ClientConnection(transport::Reactor& reactor, ClientConnectionOwner& owner,
--- a/src/standin/client_request.h
+++ b/src/standin/client_request.h
@@ -37,6 +37,7 @@
   unknown       // the connection broke, and the client may not send again
 };
 
+// One attempt of a request at a router.
 struct ClientAttempt {
   int router = unknown_router;
   std::int64_t sent_ns = 0;
@@ -47,13 +48,14 @@
   static constexpr int unknown_router = -1;  // the broker chooses
 };
 
+// Lives until its final answer, or until its client waits no longer.
 struct ClientRequest {
   std::int64_t number = 0;
   const RequestClassSpec* request_class = nullptr;
   const FunctionSpec* function = nullptr;
   Time deadline = 0;
-  std::size_t router = 0;        // of the next attempt
-  int unreachable_in_a_row = 0;  // routers
+  std::size_t router = 0;  // of the next attempt
+  int unreachable_attempts = 0;
   std::int64_t sent_ns = 0;
   Time time_limit = 0;  // from then on
   bool over_mqtt = false;
--- a/src/standin/clients.cpp
+++ b/src/standin/clients.cpp
@@ -27,7 +27,7 @@
 constexpr int most_unreachable_rounds = 2;  // over all routers
 
 // HTTP statuses.
-constexpr int ok = 200;
+constexpr int status_ok = 200;
 constexpr int conflict = 409;
 constexpr int service_unavailable = 503;
 constexpr int gateway_timeout = 504;
@@ -44,7 +44,7 @@
 }
 
 ClientOutcome outcome_of(const HttpResponse& response, const std::string& id) {
-  if (response.status == ok)
+  if (response.status == status_ok)
     return answers(response.body, id) ? ClientOutcome::succeeded : ClientOutcome::wrong_answer;
   if (response.status == service_unavailable) {
     const std::string stated = stated_outcome(response);
@@ -55,11 +55,27 @@
   return ClientOutcome::other_answer;
 }
 
-ClientOutcome outcome_of(const mqtt::Packet& answer, const std::string& stated, const std::string& id) {
-  if (stated == "honoured")
-    return answers(answer.payload, id) ? ClientOutcome::succeeded : ClientOutcome::wrong_answer;
-  if (stated == "shed") return ClientOutcome::rejected;
-  if (stated == "abandoned") return ClientOutcome::failed;
+// The answer to a published request.
+struct PublishedAnswer {
+  std::string id{};
+  std::string outcome{};
+  int router = ClientAttempt::unknown_router;
+};
+
+PublishedAnswer read_answer(const mqtt::Packet& packet) {
+  PublishedAnswer answer{.id = packet.properties.correlation_data.value_or("")};
+  for (const auto& [name, value] : packet.properties.user) {
+    if (name == "outcome") answer.outcome = value;
+    if (name == "router") answer.router = std::atoi(value.c_str());
+  }
+  return answer;
+}
+
+ClientOutcome outcome_of(const PublishedAnswer& answer, const mqtt::Packet& packet) {
+  if (answer.outcome == "honoured")
+    return answers(packet.payload, answer.id) ? ClientOutcome::succeeded : ClientOutcome::wrong_answer;
+  if (answer.outcome == "shed") return ClientOutcome::rejected;
+  if (answer.outcome == "abandoned") return ClientOutcome::failed;
   return ClientOutcome::other_answer;
 }
 
@@ -81,8 +97,9 @@
       plan_(day_), source_("/clients/" + std::to_string(day.seed)), idle_(routers_.size()) {
   if (broker.empty()) return;
   mqtt_share_ = mqtt_share;
-  publisher_ = std::make_unique<RequestPublisher>(
-      reactor_, broker, source_, [this](const mqtt::Packet& answer) { publish_answered(answer); });
+  publisher_ =
+      std::make_unique<RequestPublisher>(reactor_, transport::numeric_address(broker), source_,
+                                         [this](const mqtt::Packet& answer) { publish_answered(answer); });
 }
 Clients::~Clients() = default;
 
@@ -216,8 +233,8 @@
   request.end_attempt(attempt_end, reactor_.clock_ns());
   request.router = (request.router + 1) % routers_.size();
   const bool unreached = attempt_end == ClientAttemptEnd::no_connection;
-  if (unreached) ++request.unreachable_in_a_row;
-  const bool routers_left = !unreached || request.unreachable_in_a_row <
+  if (unreached) ++request.unreachable_attempts;
+  const bool routers_left = !unreached || request.unreachable_attempts <
                                               static_cast<int>(most_unreachable_rounds * routers_.size());
   const bool allowed = unreached || day_.repeats || may_run_again(*request.request_class);
   if (allowed && routers_left && reactor_.now() < request.deadline) return send(request);
@@ -256,29 +273,23 @@
   publisher_->publish(request);
 }
 
-void Clients::publish_answered(const mqtt::Packet& answer) {
-  const std::string id = answer.properties.correlation_data.value_or("");
-  std::string stated;
-  int router = ClientAttempt::unknown_router;
-  for (const auto& [name, value] : answer.properties.user) {
-    if (name == "outcome") stated = value;
-    if (name == "router") router = std::atoi(value.c_str());
+void Clients::publish_answered(const mqtt::Packet& packet) {
+  const PublishedAnswer answer = read_answer(packet);
+  const auto it = published_.find(answer.id);
+  if (it == published_.end()) {
+    // The same answer delivered again is harmless; another one is a second final answer.
+    const auto first = published_outcomes_.find(answer.id);
+    const bool same = first != published_outcomes_.end() && first->second == answer.outcome;
+    record_.line(
+        {{"what", same ? "repeated-answer" : "extra"}, {"at", reactor_.clock_ns()}, {"id", answer.id}});
+    return;
   }
-  const auto it = published_.find(id);
-  if (it == published_.end()) return answered_again(id, stated);
   ClientRequest& request = *requests_.at(it->second);
   published_.erase(it);
-  published_outcomes_[id] = stated;
-  request.attempt->router = router;
+  published_outcomes_[answer.id] = answer.outcome;
+  request.attempt->router = answer.router;
   request.end_attempt(ClientAttemptEnd::answered, reactor_.clock_ns());
-  end(request, outcome_of(answer, stated, id));
-}
-
-// The same answer delivered again is harmless; another one is a second final answer.
-void Clients::answered_again(const std::string& id, const std::string& outcome) {
-  const auto first = published_outcomes_.find(id);
-  const bool same = first != published_outcomes_.end() && first->second == outcome;
-  record_.line({{"what", same ? "repeated-answer" : "extra"}, {"at", reactor_.clock_ns()}, {"id", id}});
+  end(request, outcome_of(answer, packet));
 }
 
 void Clients::end(ClientRequest& request, ClientOutcome outcome) {
--- a/src/standin/clients.h
+++ b/src/standin/clients.h
@@ -23,6 +23,7 @@
 
 namespace rushhill::standin {
 
+// All clients of a day in one process.
 class Clients final : public ClientConnectionOwner {
  public:
   // `over` is called once every request has ended and nothing more has come for a while after it.
@@ -48,8 +49,7 @@
   ClientConnection& connect(std::size_t router);
   ClientConnection* idle_connection(std::size_t router);
   void publish(ClientRequest& request);
-  void publish_answered(const mqtt::Packet& answer);
-  void answered_again(const std::string& id, const std::string& outcome);
+  void publish_answered(const mqtt::Packet& packet);
   void send_once_more(ClientRequest& request, ClientOutcome first_outcome);
   void end(ClientRequest& request, ClientOutcome outcome);
 
--- a/src/standin/day.h
+++ b/src/standin/day.h
@@ -12,6 +12,7 @@
 
 namespace rushhill::standin {
 
+// A model server.
 struct ServerSpec {
   std::string id{};
   std::string kind{};
@@ -25,12 +26,14 @@
   Time keep_alive = 120'000;  // an idle instance stays loaded that long
 };
 
+// The store from which servers load functions.
 struct ModelStoreSpec {
   double concurrent_fetches = 12;  // more slow one another down
   double max_fetches = 60;         // more are refused
   double fetch_share = 0.6;        // of a load's time
 };
 
+// A function that servers load and run.
 struct FunctionSpec {
   std::string name{};
   double memory_mb = 400;
@@ -40,6 +43,7 @@
   double weight = 1;  // of its share of the requests
 };
 
+// A class of requests: the type of their events, and the promises that hold for them.
 struct RequestClassSpec {
   std::string name{};
   Time latency_objective = 0;
@@ -64,6 +68,7 @@
   bool hedging = false;
 };
 
+// All that a day is played by.
 struct Day {
   std::uint64_t seed = 1;
   int routers = 3;
--- a/src/standin/discovery_connection.h
+++ b/src/standin/discovery_connection.h
@@ -30,6 +30,7 @@
   virtual void connection_ended(DiscoveryConnection& connection) = 0;
 };
 
+// Reads messages for its owner and writes what that sends.
 class DiscoveryConnection final : public transport::StreamHandler, public transport::Numbered {
  public:
   DiscoveryConnection(transport::Reactor& reactor, DiscoveryConnectionOwner& owner,
--- a/src/standin/discovery_server.h
+++ b/src/standin/discovery_server.h
@@ -17,6 +17,7 @@
 
 namespace rushhill::standin {
 
+// Accepts connections while it lives, but for outages.
 class DiscoveryServer final : public DiscoveryConnectionOwner {
  public:
   DiscoveryServer(transport::Reactor& reactor, const transport::Address& address, const Day& day,
--- a/src/standin/fault.h
+++ b/src/standin/fault.h
@@ -53,6 +53,7 @@
 
 inline bool is_link_fault(FaultKind kind) { return kind >= FaultKind::link_drop; }
 
+// One fault: what it is, when and where. Fields that its kind does not need keep their defaults.
 struct Fault {
   FaultKind kind = FaultKind::silence;
   Time at = 0;  // from the day's start
--- a/src/standin/faulty_system_calls.h
+++ b/src/standin/faulty_system_calls.h
@@ -89,6 +89,7 @@
   int epoll_wait(int poller, epoll_event* events, int most, int timeout_ms) override;
 
  private:
+  // A failure that is due after so many calls.
   struct Once {
     SystemCallFailure failure;
     int left = 0;
--- a/src/standin/group_deduplication.h
+++ b/src/standin/group_deduplication.h
@@ -20,8 +20,10 @@
 };
 using KeyedRequestPointer = std::shared_ptr<KeyedRequest>;
 
+// Shared by all servers of a day.
 class GroupDeduplication {
  public:
+  // A request and whether it is new.
   struct Lookup {
     KeyedRequestPointer request;
     bool first = false;  // the group did not know it
--- a/src/standin/grown_day.cpp
+++ b/src/standin/grown_day.cpp
@@ -13,7 +13,10 @@
 namespace {
 
 constexpr FunctionRanges function_ranges{
-    .least_memory_mb = 200, .most_memory_mb = 500, .popularity_exponent = 1.1};
+    .least_memory_mb = 200,
+    .most_memory_mb = 500,
+    .popularity_exponent = 1.1,
+};
 constexpr std::array locations{"old-godown", "new-office", "river-side"};
 constexpr int servers_per_cell = 12;
 constexpr int cells_per_location = 1'000;
--- a/src/standin/grown_day.h
+++ b/src/standin/grown_day.h
@@ -8,6 +8,7 @@
 
 namespace rushhill::standin {
 
+// The size of the day and what its seed draws.
 struct GrownDayOptions {
   int servers = 0;
   int routers = 0;
--- a/src/standin/link_faults.h
+++ b/src/standin/link_faults.h
@@ -2,13 +2,12 @@
 #pragma once
 
 #include <cstddef>
-#include <cstdint>
 #include <map>
 #include <random>
 #include <string>
 #include <vector>
 
-#include "standin/fault.h"
+#include "standin/day.h"
 
 namespace rushhill::standin {
 
@@ -20,10 +19,12 @@
   Direction reversed() const { return {.from = to, .to = from}; }
 };
 
+// Knows the active faults and draws what those do that are left to chance.
 class LinkFaults {
  public:
-  LinkFaults(int routers, std::uint64_t seed)
-      : routers_(routers), active_(static_cast<std::size_t>(routers * routers)), random_(seed) {}
+  explicit LinkFaults(const Day& day)
+      : routers_(day.routers), active_(static_cast<std::size_t>(day.routers * day.routers)),
+        random_(day.seed) {}
 
   void set(const Fault& fault, bool active);
   // The size of an active fault; nullptr: it is not active.
--- a/src/standin/linked_connection.h
+++ b/src/standin/linked_connection.h
@@ -32,6 +32,7 @@
   virtual void connection_ended(LinkedConnection& connection) = 0;
 };
 
+// Lives until one end closes or a fault cuts it.
 class LinkedConnection final : public transport::Numbered {
  public:
   // `there`: the replica of the router at the other end.
--- a/src/standin/links.cpp
+++ b/src/standin/links.cpp
@@ -10,7 +10,7 @@
 }  // namespace
 
 Links::Links(transport::Reactor& reactor, const Day& day, std::vector<transport::Address> replicas)
-    : reactor_(reactor), day_(day), replicas_(std::move(replicas)), faults_(day.routers, day.seed) {
+    : reactor_(reactor), day_(day), replicas_(std::move(replicas)), faults_(day) {
   for (int from = 0; from < day_.routers; ++from) {
     for (int to = 0; to < day_.routers; ++to) listen({.from = from, .to = to});
   }
--- a/src/standin/links.h
+++ b/src/standin/links.h
@@ -15,6 +15,7 @@
 
 namespace rushhill::standin {
 
+// Accepts connections in the place of every router while it lives.
 class Links final : public LinkedConnectionOwner {
  public:
   // `replicas`: where each router accepts connections of the others.
--- a/src/standin/model_store.h
+++ b/src/standin/model_store.h
@@ -8,6 +8,7 @@
 
 namespace rushhill::standin {
 
+// Counts the fetches under way and tells how long the next one takes.
 class ModelStore {
  public:
   explicit ModelStore(const ModelStoreSpec& spec) : spec_(spec) {}
--- a/src/standin/random_draws.h
+++ b/src/standin/random_draws.h
@@ -8,6 +8,7 @@
 
 namespace rushhill::standin {
 
+// The same seed gives the same draws.
 class RandomDraws {
  public:
   explicit RandomDraws(std::uint64_t seed) : engine_(seed) {}
--- a/src/standin/record.h
+++ b/src/standin/record.h
@@ -12,6 +12,7 @@
 
 namespace rushhill::standin {
 
+// Writes to a file, keeps in memory, or does neither.
 class Record {
  public:
   explicit Record(const std::string& path) {
--- a/src/standin/request_plan.h
+++ b/src/standin/request_plan.h
@@ -10,6 +10,7 @@
 
 namespace rushhill::standin {
 
+// What is drawn of a request.
 struct PlannedRequest {
   const RequestClassSpec* request_class = nullptr;
   const FunctionSpec* function = nullptr;
--- a/src/standin/request_publisher.cpp
+++ b/src/standin/request_publisher.cpp
@@ -17,10 +17,10 @@
 
 }  // namespace
 
-RequestPublisher::RequestPublisher(transport::Reactor& reactor, const std::string& broker, std::string source,
-                                   std::function<void(const mqtt::Packet&)> answered)
-    : reactor_(reactor), broker_(transport::numeric_address(broker)), source_(std::move(source)),
-      answered_(std::move(answered)), reader_(mqtt_version, longest_packet) {
+RequestPublisher::RequestPublisher(transport::Reactor& reactor, const transport::Address& broker,
+                                   std::string source, std::function<void(const mqtt::Packet&)> answered)
+    : reactor_(reactor), broker_(broker), source_(std::move(source)), answered_(std::move(answered)),
+      reader_(mqtt_version, longest_packet) {
   connect();
 }
 RequestPublisher::~RequestPublisher() { stream_->close(); }
--- a/src/standin/request_publisher.h
+++ b/src/standin/request_publisher.h
@@ -17,10 +17,11 @@
 // How long a message may lie at the broker.
 constexpr Time broker_patience = 60'000;  // tenths of a millisecond
 
+// Connects again after a break and sends again what was not acknowledged.
 class RequestPublisher final : public transport::StreamHandler {
  public:
   // `source`: of the events. `answered` is called with every answer.
-  RequestPublisher(transport::Reactor& reactor, const std::string& broker, std::string source,
+  RequestPublisher(transport::Reactor& reactor, const transport::Address& broker, std::string source,
                    std::function<void(const mqtt::Packet&)> answered);
   RequestPublisher(const RequestPublisher&) = delete;
   RequestPublisher& operator=(const RequestPublisher&) = delete;
--- a/src/standin/server_model.h
+++ b/src/standin/server_model.h
@@ -37,6 +37,7 @@
   Time expires = 0;  // work is not begun after that; 0: never
 };
 
+// What a server reports of a job when it has ended.
 struct JobResult {
   JobOutcome outcome = JobOutcome::completed;
   CopyState copy_state = CopyState::unknown;  // when the job came
@@ -49,6 +50,7 @@
   int instances = 0;
 };
 
+// What does not differ between the servers of a day, but for the seed.
 struct ServerModelSettings {
   bool missing_answers = false;  // the server answers that it lacks a function instead of loading it
   std::uint64_t seed = 1;
@@ -56,6 +58,7 @@
   double mean_work = static_cast<double>(FunctionSpec{}.work);
 };
 
+// Owns the jobs and instances of one server. Callbacks may call it again.
 class ServerModel {
  public:
   using JobId = std::uint64_t;
@@ -103,6 +106,7 @@
 
  private:
   struct FunctionState;
+  // A job that waits or runs.
   struct PendingJob {
     Job job;
     Began began;
@@ -111,6 +115,7 @@
     bool on_core = false;
     FunctionState* function = nullptr;
   };
+  // A prewarm request whose instances are being loaded.
   struct PendingPrewarm {
     int instances = 0;
     Prewarmed prewarmed;
--- a/src/standin/simulated_server.h
+++ b/src/standin/simulated_server.h
@@ -29,6 +29,7 @@
   GroupDeduplication& deduplication;
 };
 
+// Listens on a port of its own, but while it is gone or refuses connections.
 class SimulatedServer {
  public:
   // `condition_changed` is called when service discovery is to be notified.
@@ -56,6 +57,7 @@
   void release(ServerConnection& connection);
 
  private:
+  // As service discovery reports it.
   enum class Condition : std::uint8_t { active, draining, gone };
 
   static const char* name_of(Condition condition);
--- a/src/standin/simulated_servers.h
+++ b/src/standin/simulated_servers.h
@@ -16,6 +16,7 @@
 
 namespace rushhill::standin {
 
+// Owns the servers and what they share.
 class SimulatedServers {
  public:
   SimulatedServers(transport::Reactor& reactor, const Day& day, Record& record);
