--- a/src/standin/broker.cpp
+++ b/src/standin/broker.cpp
@@ -31,8 +31,9 @@
 
 }  // namespace
 
-Broker::Broker(transport::Reactor& reactor, const transport::Address& address, Record& record)
-    : reactor_(reactor), port_(reactor.reserve(address)), address_(port_->address()), record_(record) {
+Broker::Broker(transport::Reactor& reactor, const transport::Address& listen_address, Record& record)
+    : reactor_(reactor), port_(reactor_.reserve(listen_address)), address_(port_->address()),
+      record_(record) {
   listen();
 }
 Broker::~Broker() = default;
--- a/src/standin/broker.h
+++ b/src/standin/broker.h
@@ -22,7 +22,7 @@
 // Accepts clients while it lives.
 class Broker final : public BrokerConnectionOwner {
  public:
-  Broker(transport::Reactor& reactor, const transport::Address& address, Record& record);
+  Broker(transport::Reactor& reactor, const transport::Address& listen_address, Record& record);
   Broker(const Broker&) = delete;
   Broker& operator=(const Broker&) = delete;
   Broker(Broker&&) = delete;
