--- a/src/checker/slow_starts.cpp
+++ b/src/checker/slow_starts.cpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "checker/rules.h"
-#include "standin/slow_start.h"
+#include "simulation/slow_start.h"
 
 namespace rushhill::checker {
 namespace {
@@ -78,7 +78,7 @@
     const double capacity = rules_.initial_capacity + (1 - rules_.initial_capacity) * age;
     const double able =
         incarnation.cores * incarnation.speed * capacity * static_cast<double>(rules_.budget_span / day_tick);
-    return standin::slow_start_budget(rules_.budget_multiple * able / rules_.mean_work);
+    return simulation::slow_start_budget(rules_.budget_multiple * able / rules_.mean_work);
   }
 
   void check_incarnation(const Incarnation& incarnation, const Attempts& attempts) {
--- a/src/command/fault_injection.cpp
+++ b/src/command/fault_injection.cpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "standin/faulty_file_system.h"
+#include "simulation/faulty_file_system.h"
 
 namespace rushhill::command {
 namespace {
@@ -36,17 +36,17 @@
   router::StorageAccess access;
   const auto seed = seed_for(storage_faults, router, event_log);
   if (!seed) return access;
-  access.files = std::make_shared<standin::FaultyFileSystem>(
-      access.files, standin::seeded_storage_faults(*seed, [&reactor] { return reactor.now(); }));
+  access.files = std::make_shared<simulation::FaultyFileSystem>(
+      access.files, simulation::seeded_storage_faults(*seed, [&reactor] { return reactor.now(); }));
   return access;
 }
 
-std::unique_ptr<standin::FaultySystemCalls> faulty_system_calls(int router, core::EventLog& event_log) {
+std::unique_ptr<simulation::FaultySystemCalls> faulty_system_calls(int router, core::EventLog& event_log) {
   const auto seed = seed_for(system_call_faults, router, event_log);
-  return seed ? std::make_unique<standin::FaultySystemCalls>(*seed) : nullptr;
+  return seed ? std::make_unique<simulation::FaultySystemCalls>(*seed) : nullptr;
 }
 
-void start_failing(standin::FaultySystemCalls& system_calls) {
+void start_failing(simulation::FaultySystemCalls& system_calls) {
   system_calls.fail_all_at_rate(system_call_fault_rate);
 }
 
--- a/src/command/fault_injection.h
+++ b/src/command/fault_injection.h
@@ -5,7 +5,7 @@
 
 #include "core/event_log.h"
 #include "router/router_process.h"
-#include "standin/faulty_system_calls.h"
+#include "simulation/faulty_system_calls.h"
 #include "transport/reactor.h"
 
 namespace rushhill::command {
@@ -16,7 +16,7 @@
 
 // Where RUSHHILL_SYSTEM_CALL_FAULTS holds a seed: system calls that fail once start_failing() was called,
 // drawn from it and the router's number. Else null.
-std::unique_ptr<standin::FaultySystemCalls> faulty_system_calls(int router, core::EventLog& event_log);
-void start_failing(standin::FaultySystemCalls& system_calls);
+std::unique_ptr<simulation::FaultySystemCalls> faulty_system_calls(int router, core::EventLog& event_log);
+void start_failing(simulation::FaultySystemCalls& system_calls);
 
 }  // namespace rushhill::command
--- a/src/command/simulation.cpp
+++ b/src/command/simulation.cpp
@@ -9,13 +9,13 @@
 
 #include "command/ready_line.h"
 #include "command/run_until_signal.h"
-#include "standin/broker.h"
-#include "standin/clients.h"
-#include "standin/day_json.h"
-#include "standin/day_start.h"
-#include "standin/discovery_server.h"
-#include "standin/links.h"
-#include "standin/simulated_servers.h"
+#include "simulation/broker.h"
+#include "simulation/clients.h"
+#include "simulation/day_json.h"
+#include "simulation/day_start.h"
+#include "simulation/discovery_server.h"
+#include "simulation/links.h"
+#include "simulation/simulated_servers.h"
 #include "transport/loop.h"
 #include "transport/reactor.h"
 
@@ -62,8 +62,8 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-standin::Day read_day(const DayOptions& options) {
-  return standin::day_from_json(file_text(options.day_file));
+simulation::Day read_day(const DayOptions& options) {
+  return simulation::day_from_json(file_text(options.day_file));
 }
 
 std::vector<transport::Address> numeric_addresses(const std::vector<std::string>& texts) {
@@ -73,57 +73,57 @@
 }
 
 ExitCode run_discovery(const DiscoveryOptions& options) {
-  const standin::Day day = read_day(options.day);
-  standin::Record record(options.day.record_file);
+  const simulation::Day day = read_day(options.day);
+  simulation::Record record(options.day.record_file);
   transport::Loop reactor;
-  standin::DiscoveryServer discovery(reactor, transport::numeric_address(options.listen), day, record);
+  simulation::DiscoveryServer discovery(reactor, transport::numeric_address(options.listen), day, record);
   print_ready(discovery.address().toString());
   if (!options.day.start_file.empty())
-    standin::await_start(reactor, options.day.start_file, [&](Time start) { discovery.play(start); });
+    simulation::await_start(reactor, options.day.start_file, [&](Time start) { discovery.play(start); });
   run_until_signal(reactor);
   record.flush();
   return ExitCode::success;
 }
 
 ExitCode run_servers(const ServersOptions& options) {
-  const standin::Day day = read_day(options.day);
-  standin::Record record(options.day.record_file);
+  const simulation::Day day = read_day(options.day);
+  simulation::Record record(options.day.record_file);
   transport::Loop reactor;
-  standin::SimulatedServers fleet(reactor, day, record);
+  simulation::SimulatedServers fleet(reactor, day, record);
   if (!options.discovery.empty()) fleet.announce_to(transport::numeric_address(options.discovery));
   print_ready(fleet.address(day.servers.front().id).toString());
   if (!options.day.start_file.empty())
-    standin::await_start(reactor, options.day.start_file, [&](Time start) { fleet.play(start); });
+    simulation::await_start(reactor, options.day.start_file, [&](Time start) { fleet.play(start); });
   run_until_signal(reactor);
   fleet.close();
   return ExitCode::success;
 }
 
 ExitCode run_broker(const BrokerOptions& options) {
-  const standin::Day day = read_day(options.day);
-  standin::Record record(options.day.record_file);
+  const simulation::Day day = read_day(options.day);
+  simulation::Record record(options.day.record_file);
   transport::Loop reactor;
-  standin::Broker broker(reactor, transport::numeric_address(options.listen), record);
+  simulation::Broker broker(reactor, transport::numeric_address(options.listen), record);
   print_ready(broker.address().toString());
   if (!options.day.start_file.empty())
-    standin::await_start(reactor, options.day.start_file, [&](Time start) { broker.play(day, start); });
+    simulation::await_start(reactor, options.day.start_file, [&](Time start) { broker.play(day, start); });
   run_until_signal(reactor);
   record.flush();
   return ExitCode::success;
 }
 
 ExitCode run_clients(const ClientsOptions& options) {
-  const standin::Day day = read_day(options.day);
-  standin::Record record(options.day.record_file);
+  const simulation::Day day = read_day(options.day);
+  simulation::Record record(options.day.record_file);
   transport::Loop reactor;
-  standin::Clients clients(
+  simulation::Clients clients(
       reactor, day, numeric_addresses(options.routers), record, [&] { reactor.halt(); }, options.broker,
       options.mqtt_share);
   print_ready();
   if (options.day.start_file.empty()) {
     clients.play(reactor.now());
   } else {
-    standin::await_start(reactor, options.day.start_file, [&](Time start) { clients.play(start); });
+    simulation::await_start(reactor, options.day.start_file, [&](Time start) { clients.play(start); });
   }
   run_until_signal(reactor);
   record.flush();
@@ -131,12 +131,12 @@
 }
 
 ExitCode run_links(const LinksOptions& options) {
-  const standin::Day day = read_day(options.day);
+  const simulation::Day day = read_day(options.day);
   transport::Loop reactor;
   const std::vector<transport::Address> routers = numeric_addresses(options.routers);
   if (static_cast<int>(routers.size()) != day.routers)
     throw std::invalid_argument("as many --router as the day has routers are needed");
-  standin::Links links(reactor, day, routers);
+  simulation::Links links(reactor, day, routers);
   std::string addresses;
   for (int from = 0; from < day.routers; ++from) {
     for (int to = 0; to < day.routers; ++to)
@@ -144,7 +144,7 @@
   }
   print_ready(addresses);
   if (!options.day.start_file.empty())
-    standin::await_start(reactor, options.day.start_file, [&](Time start) { links.play(start); });
+    simulation::await_start(reactor, options.day.start_file, [&](Time start) { links.play(start); });
   run_until_signal(reactor);
   return ExitCode::success;
 }
--- a/src/emulator/emulation.cpp
+++ b/src/emulator/emulation.cpp
@@ -4,7 +4,7 @@
 #include <stdexcept>
 
 #include "deployment/deployment_file.h"
-#include "standin/day_deployment.h"
+#include "simulation/day_deployment.h"
 #include "transport/reactor.h"
 
 namespace rushhill::emulator {
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-Emulation::Emulation(const standin::Day& day, standin::Record& record)
+Emulation::Emulation(const simulation::Day& day, simulation::Record& record)
     : day_(day), record_(record), network_(latency),
       roster_(network_, transport::numeric_address(any_port), day, record), fleet_(network_, day, record),
       seats_(static_cast<std::size_t>(day.routers)) {
@@ -58,12 +58,12 @@
                                : seats_[other].replica->address())
                            .toString());
   }
-  const std::string text = standin::deployment_of(day_, static_cast<int>(number),
-                                                  {.listen = seat.http->address().toString(),
-                                                   .discovery = roster_.address().toString(),
-                                                   .peer_listen = seat.peers->address().toString(),
-                                                   .peers = peers,
-                                                   .replicas = replicas});
+  const std::string text = simulation::deployment_of(day_, static_cast<int>(number),
+                                                     {.listen = seat.http->address().toString(),
+                                                      .discovery = roster_.address().toString(),
+                                                      .peer_listen = seat.peers->address().toString(),
+                                                      .peers = peers,
+                                                      .replicas = replicas});
   const deployment::DeploymentConfiguration configuration =
       deployment::read_text("router-" + std::to_string(number) + ".ini", text);
   const std::uint64_t seed = day_.seed * 1'000'003 + number * 1'009 + ++seat.lives;
@@ -88,9 +88,9 @@
   roster_.play(start_at);
   if (links_) links_->play(start_at);
   fleet_.play(start_at);
-  for (const standin::Fault& fault : day_.faults) {
-    const bool killed = fault.kind == standin::FaultKind::router_kill;
-    if (!killed && fault.kind != standin::FaultKind::router_restart) continue;
+  for (const simulation::Fault& fault : day_.faults) {
+    const bool killed = fault.kind == simulation::FaultKind::router_kill;
+    if (!killed && fault.kind != simulation::FaultKind::router_restart) continue;
     const auto number = static_cast<std::size_t>(fault.router);
     if (number >= seats_.size()) throw std::invalid_argument("a trouble names an unknown router");
     network_.at(start_at + fault.at, [this, number, killed] {
@@ -104,7 +104,7 @@
       if (!seats_[number].router) start(number);
       record_.line({{"what", "router"},
                     {"router", number},
-                    {"kind", standin::name_of(kind)},
+                    {"kind", simulation::name_of(kind)},
                     {"from", seats_[number].since},
                     {"to", network_.clock_ns()}});
     });
@@ -117,14 +117,14 @@
   network_.run_until(network_.now() + announcing);
   std::vector<transport::Address> copies;
   for (const Seat& seat : seats_) copies.push_back(seat.replica->address());
-  const bool links =
-      std::ranges::any_of(day_.faults, [](const auto& fault) { return standin::is_link_fault(fault.kind); });
-  if (day_.together && links) links_ = std::make_unique<standin::Links>(network_, day_, copies);
+  const bool links = std::ranges::any_of(
+      day_.faults, [](const auto& fault) { return simulation::is_link_fault(fault.kind); });
+  if (day_.together && links) links_ = std::make_unique<simulation::Links>(network_, day_, copies);
   for (std::size_t i = 0; i < seats_.size(); ++i) start(i);
   std::vector<transport::Address> addresses;
   for (const Seat& seat : seats_) addresses.push_back(seat.http->address());
   const Time start_at = network_.now() + lead;
-  clients_ = std::make_unique<standin::Clients>(network_, day_, addresses, record_, [this] {
+  clients_ = std::make_unique<simulation::Clients>(network_, day_, addresses, record_, [this] {
     over_ = true;
     network_.halt();
   });
--- a/src/emulator/emulation.h
+++ b/src/emulator/emulation.h
@@ -11,12 +11,12 @@
 #include "emulator/network.h"
 #include "router/router_process.h"
 #include "routing/time.h"
-#include "standin/clients.h"
-#include "standin/day.h"
-#include "standin/discovery_server.h"
-#include "standin/links.h"
-#include "standin/record.h"
-#include "standin/simulated_servers.h"
+#include "simulation/clients.h"
+#include "simulation/day.h"
+#include "simulation/discovery_server.h"
+#include "simulation/links.h"
+#include "simulation/record.h"
+#include "simulation/simulated_servers.h"
 #include "transport/bound_socket.h"
 
 namespace rushhill::emulator {
@@ -31,7 +31,7 @@
 class Emulation {
  public:
   // What is seen goes to `record`, as on sockets.
-  Emulation(const standin::Day& day, standin::Record& record);
+  Emulation(const simulation::Day& day, simulation::Record& record);
   ~Emulation();
   Spent run();  // the whole day; throws where it comes to no end
   Network& network() { return network_; }
@@ -54,15 +54,15 @@
   void leave(std::size_t number);
   void play(Time start);
 
-  standin::Day day_;
-  standin::Record& record_;
+  simulation::Day day_;
+  simulation::Record& record_;
   Quiet quiet_;
   Network network_;
-  standin::DiscoveryServer roster_;
-  standin::SimulatedServers fleet_;
-  std::unique_ptr<standin::Links> links_;  // none: routers reach one another's copies straight
+  simulation::DiscoveryServer roster_;
+  simulation::SimulatedServers fleet_;
+  std::unique_ptr<simulation::Links> links_;  // none: routers reach one another's copies straight
   std::vector<Seat> seats_;
-  std::unique_ptr<standin::Clients> clients_;
+  std::unique_ptr<simulation::Clients> clients_;
   Spent spent_;
   bool over_ = false;
 };
--- a/src/lab/badday.cpp
+++ b/src/lab/badday.cpp
@@ -19,20 +19,20 @@
 
 #include "checker/judge.h"
 #include "lab/processes.h"
-#include "standin/bad_day.h"
-#include "standin/day.h"
-#include "standin/day_deployment.h"
-#include "standin/day_json.h"
-#include "standin/day_start.h"
-#include "standin/record.h"
-#include "standin/router_faults.h"
+#include "simulation/bad_day.h"
+#include "simulation/day.h"
+#include "simulation/day_deployment.h"
+#include "simulation/day_json.h"
+#include "simulation/day_start.h"
+#include "simulation/record.h"
+#include "simulation/router_faults.h"
 #include "transport/reactor.h"
 
 namespace rushhill::lab {
 namespace {
 
 namespace fs = std::filesystem;
-using standin::Day;
+using simulation::Day;
 
 constexpr int peer_descriptor = 20;            // what a router's datagram socket is handed down as
 constexpr std::int64_t lead_ns = 300'000'000;  // from all being ready to the day's start
@@ -123,7 +123,7 @@
  public:
   Stage(const Day& day, const Folder& folder, const std::string& front, bool steps_wall_clock)
       : day_(day), folder_(folder), steps_wall_clock_(steps_wall_clock), record_(folder / "routers.jsonl") {
-    write(folder / "day.json", standin::to_json(day));
+    write(folder / "day.json", simulation::to_json(day));
     const std::vector<std::string> common{"--day", folder / "day.json", "--start", folder / "start"};
     roster_ = std::make_unique<Process>("roster", joined({"standin", "roster"}, common, "roster.jsonl"),
                                         folder / "roster.log");
@@ -139,8 +139,8 @@
     servers_->ready();
     std::this_thread::sleep_for(std::chrono::milliseconds(200));  // the servers announce themselves
     for (int i = 0; i < day.routers; ++i) routers_.push_back(std::make_unique<RouterPlace>());
-    const bool links =
-        std::ranges::any_of(day.faults, [](const auto& fault) { return standin::is_link_fault(fault.kind); });
+    const bool links = std::ranges::any_of(
+        day.faults, [](const auto& fault) { return simulation::is_link_fault(fault.kind); });
     if (day.together && links) {
       std::vector<std::string> of_links{"standin",           "links",   "--day",
                                         folder / "day.json", "--start", folder / "start"};
@@ -165,7 +165,7 @@
 
   void play() {
     const std::int64_t start = transport::monotonic_ns() + lead_ns;
-    standin::write_start(folder_ / "start", start);
+    simulation::write_start(folder_ / "start", start);
     const std::int64_t last = start + day_.span() * 100'000 + std::int64_t{grace_seconds} * 1'000'000'000;
     std::vector<bool> begun(day_.faults.size()), ended(day_.faults.size());
     while (clients_->running()) {
@@ -173,7 +173,7 @@
       const std::int64_t since = (transport::monotonic_ns() - start) / 100'000;
       if (start + since * 100'000 > last) throw std::runtime_error("the clients did not come to an end");
       for (std::size_t i = 0; i < day_.faults.size(); ++i) {
-        const standin::Fault& fault = day_.faults[i];
+        const simulation::Fault& fault = day_.faults[i];
         if (!of_router(fault.kind)) continue;
         if (!begun[i] && since >= fault.at) {
           begun[i] = true;
@@ -206,30 +206,30 @@
   }
 
  private:
-  static bool of_router(standin::FaultKind kind) {
-    using enum standin::FaultKind;
+  static bool of_router(simulation::FaultKind kind) {
+    using enum simulation::FaultKind;
     return kind == router_restart || kind == router_kill || kind == router_stall;
   }
-  void began(const standin::Fault& fault) {
+  void began(const simulation::Fault& fault) {
     since_[fault.router] = transport::monotonic_ns();
     Process& process = *routers_.at(static_cast<std::size_t>(fault.router))->process;
-    if (fault.kind == standin::FaultKind::router_restart) process.ask_to_end();
-    if (fault.kind == standin::FaultKind::router_kill) process.crash();
-    if (fault.kind == standin::FaultKind::router_stall) process.stall(true);
+    if (fault.kind == simulation::FaultKind::router_restart) process.ask_to_end();
+    if (fault.kind == simulation::FaultKind::router_kill) process.crash();
+    if (fault.kind == simulation::FaultKind::router_stall) process.stall(true);
   }
-  void ended_now(const standin::Fault& fault) {
+  void ended_now(const simulation::Fault& fault) {
     std::int64_t until = transport::monotonic_ns();  // a router that was stopped does nothing before
-    if (fault.kind == standin::FaultKind::router_stall) {
+    if (fault.kind == simulation::FaultKind::router_stall) {
       routers_[static_cast<std::size_t>(fault.router)]->process->stall(false);
     } else {
-      if (fault.kind == standin::FaultKind::router_restart) finish_router(fault.router);
+      if (fault.kind == simulation::FaultKind::router_restart) finish_router(fault.router);
       start_router(fault.router);
       routers_[static_cast<std::size_t>(fault.router)]->process->ready();
       until = transport::monotonic_ns();
     }
     record_.line({{"what", "router"},
                   {"router", fault.router},
-                  {"kind", standin::name_of(fault.kind)},
+                  {"kind", simulation::name_of(fault.kind)},
                   {"from", since_[fault.router]},
                   {"to", until}});
   }
@@ -255,13 +255,14 @@
     const std::string name = "router-" + std::to_string(number);
     RouterPlace& place = *routers_[static_cast<std::size_t>(number)];
     const std::string file = folder_ / (name + ".ini");
-    std::string deployment = standin::deployment_of(day_, number,
-                                                    {.listen = place.port.address().toString(),
-                                                     .discovery = roster_address_,
-                                                     .peer_listen = "fd:" + std::to_string(peer_descriptor),
-                                                     .peers = peers,
-                                                     .broker = broker_address_,
-                                                     .replicas = replicas});
+    std::string deployment =
+        simulation::deployment_of(day_, number,
+                                  {.listen = place.port.address().toString(),
+                                   .discovery = roster_address_,
+                                   .peer_listen = "fd:" + std::to_string(peer_descriptor),
+                                   .peers = peers,
+                                   .broker = broker_address_,
+                                   .replicas = replicas});
     if (std::getenv(storage_faults_variable) != nullptr)
       deployment.insert(deployment.find(roster_section) + roster_section.size(),
                         "remembered = " + (folder_ / (name + remembered_suffix)) + "\n");
@@ -286,7 +287,7 @@
   std::vector<std::unique_ptr<RouterPlace>> routers_;
   std::unique_ptr<Process> roster_, broker_, servers_, clients_, links_;
   std::vector<std::string> link_addresses_;  // by from and to
-  standin::Record record_;
+  simulation::Record record_;
   std::map<int, std::int64_t> since_;  // when a router's present trouble began
   std::string broker_address_;
 };
@@ -318,19 +319,19 @@
   day.repeats = day.repeats || of.repeats;
   if (!of.marks.empty()) day.marks = of.marks;
   const auto has = [&](const char* kind) { return std::ranges::find(of.faults, kind) != of.faults.end(); };
-  standin::add_router_faults(day, {.links = has("links"),
-                                   .stalls = has("stalls"),
-                                   .crashes = has("crashes"),
-                                   .restarts = has("restarts")});
+  simulation::add_router_faults(day, {.links = has("links"),
+                                      .stalls = has("stalls"),
+                                      .crashes = has("crashes"),
+                                      .restarts = has("restarts")});
 }
 
 int play(const BadDay& of) {
-  Day day = of.day_file.empty() ? standin::scripted_bad_day({.events = of.events,
-                                                             .rate = of.rate,
-                                                             .seed = of.seed,
-                                                             .missing_answers = !of.loads_by_themselves,
-                                                             .calm = of.calm})
-                                : standin::day_from_json(text_of(of.day_file));
+  Day day = of.day_file.empty() ? simulation::scripted_bad_day({.events = of.events,
+                                                                .rate = of.rate,
+                                                                .seed = of.seed,
+                                                                .missing_answers = !of.loads_by_themselves,
+                                                                .calm = of.calm})
+                                : simulation::day_from_json(text_of(of.day_file));
   make_among_routers(day, of);
   if (std::ranges::find(of.faults, "storage") != of.faults.end())
     setenv(storage_faults_variable, std::to_string(day.seed).c_str(), 1);  // the routers inherit it
--- a/src/lab/badday.h
+++ b/src/lab/badday.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "standin/day.h"
+#include "simulation/day.h"
 
 namespace rushhill::lab {
 
@@ -26,7 +26,7 @@
 };
 
 // The day with what is told of its routers.
-void make_among_routers(standin::Day& day, const BadDay& of);
+void make_among_routers(simulation::Day& day, const BadDay& of);
 
 // 0: every event ended once and in time and no rule was broken; 1: not; throws where a process fails.
 int play(const BadDay& day);
--- a/src/lab/emulate.cpp
+++ b/src/lab/emulate.cpp
@@ -13,30 +13,30 @@
 
 #include "checker/judge.h"
 #include "emulator/emulation.h"
-#include "standin/bad_day.h"
-#include "standin/day.h"
-#include "standin/day_json.h"
-#include "standin/grown_day.h"
+#include "simulation/bad_day.h"
+#include "simulation/day.h"
+#include "simulation/day_json.h"
+#include "simulation/grown_day.h"
 
 namespace rushhill::lab {
 namespace {
 
 using Json = nlohmann::json;
 
-standin::Day day_of(const Emulate& of) {
+simulation::Day day_of(const Emulate& of) {
   if (!of.day_file.empty()) {
     std::ifstream in(of.day_file, std::ios::binary);
     if (!in.is_open()) throw std::runtime_error(of.day_file + ": cannot be read");
-    return standin::day_from_json(std::string{std::istreambuf_iterator<char>(in), {}});
+    return simulation::day_from_json(std::string{std::istreambuf_iterator<char>(in), {}});
   }
   if (of.servers == 0)
-    return standin::scripted_bad_day({.events = of.events, .rate = of.rate, .seed = of.seed});
-  return standin::grown_day({.servers = of.servers,
-                             .routers = of.routers == 0 ? 4 : of.routers,
-                             .functions = of.functions,
-                             .events = of.events,
-                             .rate = of.rate,
-                             .seed = of.seed});
+    return simulation::scripted_bad_day({.events = of.events, .rate = of.rate, .seed = of.seed});
+  return simulation::grown_day({.servers = of.servers,
+                                .routers = of.routers == 0 ? 4 : of.routers,
+                                .functions = of.functions,
+                                .events = of.events,
+                                .rate = of.rate,
+                                .seed = of.seed});
 }
 
 void print(const emulator::Spent& spent, const std::string& trace) {
@@ -58,14 +58,14 @@
 }  // namespace
 
 int emulate(const Emulate& of) {
-  standin::Day day = day_of(of);
+  simulation::Day day = day_of(of);
   BadDay among = of.among;
   if (of.servers == 0) among.routers = of.routers;
   make_among_routers(day, among);
-  standin::Record record(of.folder.empty() ? "" : of.folder + "/emulated.jsonl");
+  simulation::Record record(of.folder.empty() ? "" : of.folder + "/emulated.jsonl");
   if (!of.folder.empty()) {
     std::filesystem::create_directories(of.folder);
-    std::ofstream(of.folder + "/day.json") << standin::to_json(day);
+    std::ofstream(of.folder + "/day.json") << simulation::to_json(day);
   }
   std::vector<Json> seen;
   record.keep(of.judge ? &seen : nullptr);
@@ -73,7 +73,7 @@
   const emulator::Spent spent = emulation.run();
   print(spent, record.digest());
   if (!of.judge) return 0;
-  const checker::Verdict verdict = checker::judge(Json::parse(standin::to_json(day)), seen);
+  const checker::Verdict verdict = checker::judge(Json::parse(simulation::to_json(day)), seen);
   if (of.json) {
     std::cout << checker::as_json(verdict).dump(2) << '\n';
   } else {
--- a/src/scale/hollow.cpp
+++ b/src/scale/hollow.cpp
@@ -223,18 +223,19 @@
     const std::string name = function_name(i);
     functions_[name] = {.name = name, .memory_mb = 150, .lanes = 2, .load = load, .work = work};
   }
-  const standin::RuleParameters rules;
+  const simulation::RuleParameters rules;
   for (const Endpoint& told : server_list(servers)) {
-    standin::ServerSpec make{.id = told.id, .kind = told.kind, .location = told.location, .cell = told.cell};
+    simulation::ServerSpec make{
+        .id = told.id, .kind = told.kind, .location = told.location, .cell = told.cell};
     make.keep_alive = copy_life;
-    auto machine =
-        std::make_unique<standin::ServerModel>(make, rules, standin::ServerModelSettings{}, store_, clock_);
+    auto machine = std::make_unique<simulation::ServerModel>(make, rules, simulation::ServerModelSettings{},
+                                                             store_, clock_);
     machine->start(false);
     machines_.emplace(told.id, std::move(machine));
   }
 }
 HollowServers::~HollowServers() = default;
-standin::ServerModel& HollowServers::at(const EndpointId& server) { return *machines_.at(server); }
+simulation::ServerModel& HollowServers::at(const EndpointId& server) { return *machines_.at(server); }
 
 void HollowServers::stop(const EndpointId& server) {
   stopped_.insert(server);
@@ -296,7 +297,7 @@
     });
     return;
   }
-  const auto done = [this, key, alive = std::weak_ptr(life_)](const standin::JobResult& end) {
+  const auto done = [this, key, alive = std::weak_ptr(life_)](const simulation::JobResult& end) {
     servers_.clock().post([this, key, end, alive] {
       if (!alive.expired()) hear(key, end);
     });
@@ -306,13 +307,13 @@
                            {&servers_.function(open->second.first), work, now + call.time_left}, [] {}, done);
   jobs_[key] = {call.endpoint, job};
 }
-void HollowRouter::hear(const std::pair<RequestId, int>& attempt, const standin::JobResult& end) {
+void HollowRouter::hear(const std::pair<RequestId, int>& attempt, const simulation::JobResult& end) {
   const auto it = jobs_.find(attempt);
   if (it == jobs_.end()) return;
   const bool reached = servers_.reached(region_, it->second.first);
   jobs_.erase(it);
   if (!reached) return;  // the answer is lost on its way
-  const bool ran = end.outcome == standin::JobOutcome::completed;
+  const bool ran = end.outcome == simulation::JobOutcome::completed;
   const auto open = open_.find(attempt.first);
   if (ran && end.copy_state != CopyState::loaded && open != open_.end()) {
     ++cold;
@@ -340,10 +341,10 @@
 void HollowRouter::prewarm(const EndpointId& server, const FunctionId& function, int copies, Time) {
   servers_.at(server).prewarm(
       servers_.function(function), copies,
-      [this, server, function, alive = std::weak_ptr(life_)](standin::JobOutcome outcome, int standing) {
+      [this, server, function, alive = std::weak_ptr(life_)](simulation::JobOutcome outcome, int standing) {
         servers_.clock().post([this, server, function, outcome, standing, alive] {
           if (alive.expired()) return;
-          const AttemptOutcome ending = outcome == standin::JobOutcome::completed
+          const AttemptOutcome ending = outcome == simulation::JobOutcome::completed
                                             ? AttemptOutcome::succeeded
                                             : AttemptOutcome::overloaded;
           gateway_.prewarm_ended(server, function, ending, standing);
--- a/src/scale/hollow.h
+++ b/src/scale/hollow.h
@@ -22,7 +22,7 @@
 #include "emulator/network.h"
 #include "routing/routing_policy.h"
 #include "scale/counter.h"
-#include "standin/server_model.h"
+#include "simulation/server_model.h"
 
 namespace rushhill::scale {
 
@@ -126,8 +126,8 @@
  public:
   HollowServers(core::TimerService& clock, int servers, int functions);
   ~HollowServers();
-  standin::ServerModel& at(const EndpointId& server);
-  const standin::FunctionSpec& function(const std::string& name) const { return functions_.at(name); }
+  simulation::ServerModel& at(const EndpointId& server);
+  const simulation::FunctionSpec& function(const std::string& name) const { return functions_.at(name); }
   core::TimerService& clock() { return clock_; }
   std::vector<core::EndpointListEntry> list() const;
   // A machine that is gone is silent: what it had in hand is never heard of, and no connection comes up.
@@ -140,9 +140,9 @@
 
  private:
   core::TimerService& clock_;
-  standin::ModelStore store_;
-  std::map<std::string, standin::FunctionSpec> functions_;
-  std::map<EndpointId, std::unique_ptr<standin::ServerModel>> machines_;
+  simulation::ModelStore store_;
+  std::map<std::string, simulation::FunctionSpec> functions_;
+  std::map<EndpointId, std::unique_ptr<simulation::ServerModel>> machines_;
   std::set<EndpointId> stopped_;
   bool parted_ = false;
 };
@@ -164,7 +164,7 @@
 
  private:
   void send(const core::AttemptCall& call) override;
-  void hear(const std::pair<RequestId, int>& attempt, const standin::JobResult& end);
+  void hear(const std::pair<RequestId, int>& attempt, const simulation::JobResult& end);
   void cancel(RequestId event, int leg) override;
   bool cancel_unsent(RequestId, int) override { return false; }
   void cancel_all_unsent(const EndpointId&) override {}
@@ -183,7 +183,7 @@
 
   HollowServers& servers_;
   std::map<RequestId, std::pair<std::string, Time>> open_;  // function, when it came
-  std::map<std::pair<RequestId, int>, std::pair<EndpointId, standin::ServerModel::JobId>> jobs_;
+  std::map<std::pair<RequestId, int>, std::pair<EndpointId, simulation::ServerModel::JobId>> jobs_;
   std::shared_ptr<int> life_ = std::make_shared<int>(0);
   std::string calling_, region_;
   core::Gateway gateway_;
--- a/src/scale/size.cpp
+++ b/src/scale/size.cpp
@@ -38,7 +38,7 @@
     const std::size_t at = chance() % list.size();
     servers.at(list[at].endpoint.id)
         .prewarm(servers.function(function_name(function)), ++copies[{at, function}],
-                 [](standin::JobOutcome, int) {});
+                 [](simulation::JobOutcome, int) {});
     if ((i + 1) % (size.sizes.servers * at_once) == 0) network.run_until(network.now() + loading);
   }
   network.run_until(network.now() + loading);
--- a/src/standin/bad_day.cpp
+++ b/src/simulation/bad_day.cpp
@@ -1,14 +1,14 @@
-#include "standin/bad_day.h"
+#include "simulation/bad_day.h"
 
 #include <array>
 #include <string>
 #include <utility>
 #include <vector>
 
-#include "standin/made_day.h"
-#include "standin/random_draws.h"
+#include "simulation/made_day.h"
+#include "simulation/random_draws.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using enum FaultKind;
@@ -121,4 +121,4 @@
   return day;
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/bad_day.h
+++ b/src/simulation/bad_day.h
@@ -4,9 +4,9 @@
 
 #include <cstdint>
 
-#include "standin/day.h"
+#include "simulation/day.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // The size of the day and what its seed draws.
 struct BadDayOptions {
@@ -19,4 +19,4 @@
 
 Day scripted_bad_day(const BadDayOptions& options);
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/broker.cpp
+++ b/src/simulation/broker.cpp
@@ -1,11 +1,11 @@
-#include "standin/broker.h"
+#include "simulation/broker.h"
 
 #include <algorithm>
 #include <optional>
 #include <string_view>
 #include <utility>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using mqtt::Packet;
@@ -337,4 +337,4 @@
   }
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/broker.h
+++ b/src/simulation/broker.h
@@ -11,13 +11,13 @@
 #include <vector>
 
 #include "mqtt/packets.h"
-#include "standin/broker_connection.h"
-#include "standin/broker_session.h"
-#include "standin/day.h"
-#include "standin/record.h"
+#include "simulation/broker_connection.h"
+#include "simulation/broker_session.h"
+#include "simulation/day.h"
+#include "simulation/record.h"
 #include "transport/listener.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // Accepts clients while it lives.
 class Broker final : public BrokerConnectionOwner {
@@ -111,4 +111,4 @@
   std::size_t most_unacknowledged_ = 0;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/broker_connection.cpp
+++ b/src/simulation/broker_connection.cpp
@@ -1,9 +1,9 @@
-#include "standin/broker_connection.h"
+#include "simulation/broker_connection.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using mqtt::Packet;
@@ -62,4 +62,4 @@
   owner_.connection_ended(*this);
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/broker_connection.h
+++ b/src/simulation/broker_connection.h
@@ -9,10 +9,10 @@
 #include <string_view>
 
 #include "mqtt/packets.h"
-#include "standin/broker_session.h"
+#include "simulation/broker_session.h"
 #include "transport/reactor.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 class BrokerConnection;
 
@@ -75,4 +75,4 @@
   bool closed_ = false;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/broker_session.cpp
+++ b/src/simulation/broker_session.cpp
@@ -1,8 +1,8 @@
-#include "standin/broker_session.h"
+#include "simulation/broker_session.h"
 
 #include <algorithm>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 void BrokerSession::subscribe(const std::string& filter, int most_qos) {
   unsubscribe(filter);
@@ -28,4 +28,4 @@
   return ids;
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/broker_session.h
+++ b/src/simulation/broker_session.h
@@ -11,7 +11,7 @@
 
 #include "mqtt/packets.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 class BrokerConnection;
 
@@ -52,4 +52,4 @@
   std::vector<std::uint16_t> unacknowledged() const;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/client_connection.cpp
+++ b/src/simulation/client_connection.cpp
@@ -1,8 +1,8 @@
-#include "standin/client_connection.h"
+#include "simulation/client_connection.h"
 
 #include <utility>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using transport::HttpProgress;
@@ -96,4 +96,4 @@
   owner_.attempt_failed(*request, end);
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/client_connection.h
+++ b/src/simulation/client_connection.h
@@ -6,12 +6,12 @@
 #include <string>
 #include <string_view>
 
-#include "standin/client_request.h"
+#include "simulation/client_request.h"
 #include "transport/http.h"
 #include "transport/numbered.h"
 #include "transport/reactor.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 class ClientConnection;
 
@@ -77,4 +77,4 @@
   bool ignores_answer_ = false;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/client_request.cpp
+++ b/src/simulation/client_request.cpp
@@ -1,6 +1,6 @@
-#include "standin/client_request.h"
+#include "simulation/client_request.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using Json = nlohmann::json;
@@ -66,7 +66,7 @@
 
 Json ClientRequest::to_json(ClientOutcome outcome) const {
   Json tries = Json::array();
-  for (const ClientAttempt& ended : attempts) tries.push_back(standin::to_json(ended));
+  for (const ClientAttempt& ended : attempts) tries.push_back(simulation::to_json(ended));
   Json record{{"what", "event"},
               {"id", id()},
               {"type", request_class->name},
@@ -81,4 +81,4 @@
   return record;
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/client_request.h
+++ b/src/simulation/client_request.h
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "core/timer_service.h"
-#include "standin/day.h"
+#include "simulation/day.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 class ClientConnection;
 
@@ -75,4 +75,4 @@
   nlohmann::json to_json(ClientOutcome outcome) const;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/clients.cpp
+++ b/src/simulation/clients.cpp
@@ -1,4 +1,4 @@
-#include "standin/clients.h"
+#include "simulation/clients.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -8,7 +8,7 @@
 
 #include "events/cloudevent.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using Json = nlohmann::json;
@@ -305,4 +305,4 @@
   });
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/clients.h
+++ b/src/simulation/clients.h
@@ -11,17 +11,17 @@
 #include <vector>
 
 #include "mqtt/packets.h"
-#include "standin/client_connection.h"
-#include "standin/client_request.h"
-#include "standin/day.h"
-#include "standin/record.h"
-#include "standin/request_plan.h"
-#include "standin/request_publisher.h"
+#include "simulation/client_connection.h"
+#include "simulation/client_request.h"
+#include "simulation/day.h"
+#include "simulation/record.h"
+#include "simulation/request_plan.h"
+#include "simulation/request_publisher.h"
 #include "transport/http.h"
 #include "transport/numbered.h"
 #include "transport/reactor.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // All clients of a day in one process.
 class Clients final : public ClientConnectionOwner {
@@ -78,4 +78,4 @@
   std::int64_t ended_count_ = 0;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/day.cpp
+++ b/src/simulation/day.cpp
@@ -1,8 +1,8 @@
-#include "standin/day.h"
+#include "simulation/day.h"
 
 #include <algorithm>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr double ticks_per_second = 10'000;
@@ -31,4 +31,4 @@
 
 Time Day::span() const { return static_cast<Time>(static_cast<double>(events) / rate * ticks_per_second); }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/day.h
+++ b/src/simulation/day.h
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "routing/time.h"
-#include "standin/fault.h"
+#include "simulation/fault.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // A model server.
 struct ServerSpec {
@@ -97,4 +97,4 @@
   double mean_work() const;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/day_deployment.cpp
+++ b/src/simulation/day_deployment.cpp
@@ -1,8 +1,8 @@
-#include "standin/day_deployment.h"
+#include "simulation/day_deployment.h"
 
 #include <sstream>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr double ticks_per_millisecond = 10;
@@ -94,4 +94,4 @@
   return out.str();
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/day_deployment.h
+++ b/src/simulation/day_deployment.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "standin/day.h"
+#include "simulation/day.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // Where a router listens and whom it reaches; empty: not at all.
 struct DeploymentAddresses {
@@ -21,4 +21,4 @@
 // The deployment file of one of the day's routers.
 std::string deployment_of(const Day& day, int router, const DeploymentAddresses& addresses);
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/day_json.cpp
+++ b/src/simulation/day_json.cpp
@@ -1,11 +1,11 @@
-#include "standin/day_json.h"
+#include "simulation/day_json.h"
 
 #include <nlohmann/json.hpp>
 #include <optional>
 #include <stdexcept>
 #include <vector>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using Json = nlohmann::json;
@@ -196,4 +196,4 @@
   return day;
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/day_json.h
+++ b/src/simulation/day_json.h
@@ -4,13 +4,13 @@
 #include <string>
 #include <string_view>
 
-#include "standin/day.h"
+#include "simulation/day.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 std::string to_json(const Day& day);
 
 // Throws std::invalid_argument that names the field.
 Day day_from_json(std::string_view text);
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/day_start.cpp
+++ b/src/simulation/day_start.cpp
@@ -1,11 +1,11 @@
-#include "standin/day_start.h"
+#include "simulation/day_start.h"
 
 #include <cstdio>
 #include <fstream>
 #include <stdexcept>
 #include <utility>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr Time poll_interval = 200;  // tenths of a millisecond between two looks for the file
@@ -27,4 +27,4 @@
   if (std::rename(part.c_str(), path.c_str()) != 0) throw std::runtime_error(path + ": cannot be written");
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/day_start.h
+++ b/src/simulation/day_start.h
@@ -7,7 +7,7 @@
 
 #include "transport/reactor.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // Calls once the file is there.
 void await_start(transport::Reactor& reactor, const std::string& path, std::function<void(Time start)> call);
@@ -15,4 +15,4 @@
 // Writes the file; it is there whole or not at all.
 void write_start(const std::string& path, std::int64_t start_ns);
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/discovery_connection.cpp
+++ b/src/simulation/discovery_connection.cpp
@@ -1,9 +1,9 @@
-#include "standin/discovery_connection.h"
+#include "simulation/discovery_connection.h"
 
 #include <algorithm>
 #include <cstddef>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using Json = nlohmann::json;
@@ -52,4 +52,4 @@
   owner_.connection_ended(*this);
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/discovery_connection.h
+++ b/src/simulation/discovery_connection.h
@@ -10,7 +10,7 @@
 #include "transport/numbered.h"
 #include "transport/reactor.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 class DiscoveryConnection;
 
@@ -63,4 +63,4 @@
   Time last_moment_ = 0;  // of the messages so far
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/discovery_server.cpp
+++ b/src/simulation/discovery_server.cpp
@@ -1,8 +1,8 @@
-#include "standin/discovery_server.h"
+#include "simulation/discovery_server.h"
 
 #include <utility>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using Json = nlohmann::json;
@@ -138,4 +138,4 @@
   if (const auto it = entries_.find(server); it != entries_.end()) notify(it->second);
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/discovery_server.h
+++ b/src/simulation/discovery_server.h
@@ -9,13 +9,13 @@
 #include <random>
 #include <string>
 
-#include "standin/day.h"
-#include "standin/discovery_connection.h"
-#include "standin/record.h"
+#include "simulation/day.h"
+#include "simulation/discovery_connection.h"
+#include "simulation/record.h"
 #include "transport/listener.h"
 #include "transport/numbered.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // Accepts connections while it lives, but for outages.
 class DiscoveryServer final : public DiscoveryConnectionOwner {
@@ -62,4 +62,4 @@
   Time additional_lag_ = 0;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/exchange_record.cpp
+++ b/src/simulation/exchange_record.cpp
@@ -1,6 +1,6 @@
-#include "standin/exchange_record.h"
+#include "simulation/exchange_record.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using Json = nlohmann::json;
@@ -83,4 +83,4 @@
   return record;
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/exchange_record.h
+++ b/src/simulation/exchange_record.h
@@ -8,7 +8,7 @@
 
 #include "routing/time.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // What a router asked for. Other requests, such as health checks, are not recorded.
 enum class ExchangeKind : std::uint8_t { attempt, misdirected, prewarm, evict };
@@ -55,4 +55,4 @@
   void write_request(nlohmann::json& record) const;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/fault.cpp
+++ b/src/simulation/fault.cpp
@@ -1,9 +1,9 @@
-#include "standin/fault.h"
+#include "simulation/fault.h"
 
 #include <algorithm>
 #include <array>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr std::array kind_names{
@@ -25,4 +25,4 @@
   return static_cast<FaultKind>(it - kind_names.begin());
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/fault.h
+++ b/src/simulation/fault.h
@@ -9,7 +9,7 @@
 
 #include "routing/time.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // In the order of their names. Those of links between routers come last.
 enum class FaultKind : std::uint8_t {
@@ -66,4 +66,4 @@
   static constexpr int every_router = -1;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/faulty_file_system.cpp
+++ b/src/simulation/faulty_file_system.cpp
@@ -1,4 +1,4 @@
-#include "standin/faulty_file_system.h"
+#include "simulation/faulty_file_system.h"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <random>
 #include <utility>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using storage::Operation;
@@ -126,4 +126,4 @@
   return SeededFaults(seed, std::move(now));
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/faulty_file_system.h
+++ b/src/simulation/faulty_file_system.h
@@ -10,7 +10,7 @@
 
 #include "storage/file_system.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // What happens to one call; the default: nothing.
 struct StorageFault {
@@ -46,4 +46,4 @@
 // are short at times. `now`: monotonic, in tenths of a millisecond.
 StorageFaultPlan seeded_storage_faults(std::uint64_t seed, std::function<std::int64_t()> now);
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/faulty_system_calls.cpp
+++ b/src/simulation/faulty_system_calls.cpp
@@ -1,9 +1,9 @@
-#include "standin/faulty_system_calls.h"
+#include "simulation/faulty_system_calls.h"
 
 #include <cerrno>
 #include <vector>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using enum SystemCall;
@@ -270,4 +270,4 @@
   return fail(*failure);
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/faulty_system_calls.h
+++ b/src/simulation/faulty_system_calls.h
@@ -13,7 +13,7 @@
 
 #include "transport/system_calls.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // The calls that can fail.
 enum class SystemCall : std::uint8_t {
@@ -116,4 +116,4 @@
   std::uint64_t failures_ = 0;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/group_deduplication.cpp
+++ b/src/simulation/group_deduplication.cpp
@@ -1,8 +1,8 @@
-#include "standin/group_deduplication.h"
+#include "simulation/group_deduplication.h"
 
 #include <utility>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 // The group of servers that deduplicate requests of the class together.
@@ -35,4 +35,4 @@
   for (const auto& waiter : std::exchange(request->waiters, {})) waiter();
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/group_deduplication.h
+++ b/src/simulation/group_deduplication.h
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "core/timer_service.h"
-#include "standin/day.h"
+#include "simulation/day.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // One keyed request that a group remembers.
 struct KeyedRequest {
@@ -45,4 +45,4 @@
   std::map<std::string, KeyedRequestPointer> requests_;  // by group and key
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/grown_day.cpp
+++ b/src/simulation/grown_day.cpp
@@ -1,4 +1,4 @@
-#include "standin/grown_day.h"
+#include "simulation/grown_day.h"
 
 #include <algorithm>
 #include <array>
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "standin/made_day.h"
-#include "standin/random_draws.h"
+#include "simulation/made_day.h"
+#include "simulation/random_draws.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr FunctionRanges function_ranges{
@@ -82,4 +82,4 @@
   return day;
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/grown_day.h
+++ b/src/simulation/grown_day.h
@@ -4,9 +4,9 @@
 
 #include <cstdint>
 
-#include "standin/day.h"
+#include "simulation/day.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // The size of the day and what its seed draws.
 struct GrownDayOptions {
@@ -20,4 +20,4 @@
 
 Day grown_day(const GrownDayOptions& options);
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/line_client.cpp
+++ b/src/simulation/line_client.cpp
@@ -1,8 +1,8 @@
-#include "standin/line_client.h"
+#include "simulation/line_client.h"
 
 #include <utility>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr Time retry_interval = 500;  // tenths of a millisecond between attempts to connect
@@ -33,4 +33,4 @@
   retry_timer_ = reactor_.at(reactor_.now() + retry_interval, [this] { connect(); });
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/line_client.h
+++ b/src/simulation/line_client.h
@@ -8,7 +8,7 @@
 
 #include "transport/reactor.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // Writes lines; what comes is ignored.
 class LineClient final : public transport::StreamHandler {
@@ -38,4 +38,4 @@
   bool connected_ = false;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/link_faults.cpp
+++ b/src/simulation/link_faults.cpp
@@ -1,6 +1,6 @@
-#include "standin/link_faults.h"
+#include "simulation/link_faults.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr double garbled_share = 0.3;  // of what comes in one piece
@@ -45,4 +45,4 @@
 
 std::string LinkFaults::cut(const std::string& bytes) { return bytes.substr(0, draw_offset(bytes)); }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/link_faults.h
+++ b/src/simulation/link_faults.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "standin/day.h"
+#include "simulation/day.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // From one router to another.
 struct Direction {
@@ -52,4 +52,4 @@
   std::mt19937_64 random_;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/linked_connection.cpp
+++ b/src/simulation/linked_connection.cpp
@@ -1,9 +1,9 @@
-#include "standin/linked_connection.h"
+#include "simulation/linked_connection.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr std::size_t most_held = 1024 * 1024;  // bytes in one direction; then the sender has to wait
@@ -112,4 +112,4 @@
   forward(end);
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/linked_connection.h
+++ b/src/simulation/linked_connection.h
@@ -10,11 +10,11 @@
 #include <string_view>
 
 #include "core/timer_service.h"
-#include "standin/link_faults.h"
+#include "simulation/link_faults.h"
 #include "transport/numbered.h"
 #include "transport/reactor.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 class LinkedConnection;
 
@@ -94,4 +94,4 @@
   bool closed_ = false;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/links.cpp
+++ b/src/simulation/links.cpp
@@ -1,8 +1,8 @@
-#include "standin/links.h"
+#include "simulation/links.h"
 
 #include <utility>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr const char* loopback = "127.0.0.1:0";
@@ -56,4 +56,4 @@
   connections_.erase(it);
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/links.h
+++ b/src/simulation/links.h
@@ -7,13 +7,13 @@
 #include <memory>
 #include <vector>
 
-#include "standin/day.h"
-#include "standin/link_faults.h"
-#include "standin/linked_connection.h"
+#include "simulation/day.h"
+#include "simulation/link_faults.h"
+#include "simulation/linked_connection.h"
 #include "transport/listener.h"
 #include "transport/numbered.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // Accepts connections in the place of every router while it lives.
 class Links final : public LinkedConnectionOwner {
@@ -46,4 +46,4 @@
   std::map<LinkedConnection*, std::shared_ptr<LinkedConnection>, transport::ByNumber> connections_;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/made_day.cpp
+++ b/src/simulation/made_day.cpp
@@ -1,9 +1,9 @@
-#include "standin/made_day.h"
+#include "simulation/made_day.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr Time load_window = 50'000;  // tenths of a millisecond
@@ -86,4 +86,4 @@
   return static_cast<Time>(part * static_cast<double>(day.span()));
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/made_day.h
+++ b/src/simulation/made_day.h
@@ -4,10 +4,10 @@
 #include <string>
 #include <vector>
 
-#include "standin/day.h"
-#include "standin/random_draws.h"
+#include "simulation/day.h"
+#include "simulation/random_draws.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // Ranges from which functions are drawn.
 struct FunctionRanges {
@@ -28,4 +28,4 @@
 // The speed of a server of the plain kind or of the quick one.
 double draw_speed(RandomDraws& draws, bool plain);
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/model_store.cpp
+++ b/src/simulation/model_store.cpp
@@ -1,8 +1,8 @@
-#include "standin/model_store.h"
+#include "simulation/model_store.h"
 
 #include <algorithm>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 std::optional<Time> ModelStore::begin_fetch(Time usual) {
   if (refuses_ || under_way_ >= spec_.max_fetches) return std::nullopt;
@@ -12,4 +12,4 @@
   return static_cast<Time>(static_cast<double>(usual) * contention * slowness_);
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/model_store.h
+++ b/src/simulation/model_store.h
@@ -4,9 +4,9 @@
 #include <cstdint>
 #include <optional>
 
-#include "standin/day.h"
+#include "simulation/day.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // Counts the fetches under way and tells how long the next one takes.
 class ModelStore {
@@ -34,4 +34,4 @@
   std::int64_t fetch_count_ = 0;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/random_draws.h
+++ b/src/simulation/random_draws.h
@@ -6,7 +6,7 @@
 
 #include "routing/time.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // The same seed gives the same draws.
 class RandomDraws {
@@ -26,4 +26,4 @@
   std::mt19937_64 engine_;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/record.h
+++ b/src/simulation/record.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // Writes to a file, keeps in memory, or does neither.
 class Record {
@@ -42,4 +42,4 @@
   Poco::SHA1Engine engine_;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/request_plan.cpp
+++ b/src/simulation/request_plan.cpp
@@ -1,11 +1,11 @@
-#include "standin/request_plan.h"
+#include "simulation/request_plan.h"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdint>
 #include <iterator>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr std::uint64_t seed_modulus = 16'777'183;
@@ -53,4 +53,4 @@
   return request;
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/request_plan.h
+++ b/src/simulation/request_plan.h
@@ -6,9 +6,9 @@
 #include <random>
 #include <vector>
 
-#include "standin/day.h"
+#include "simulation/day.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // What is drawn of a request.
 struct PlannedRequest {
@@ -41,4 +41,4 @@
   double next_time_ = 0;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/request_publisher.cpp
+++ b/src/simulation/request_publisher.cpp
@@ -1,8 +1,8 @@
-#include "standin/request_publisher.h"
+#include "simulation/request_publisher.h"
 
 #include <utility>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr int mqtt_version = 5;
@@ -107,4 +107,4 @@
   stream_->write(mqtt::encode(packet, mqtt_version));
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/request_publisher.h
+++ b/src/simulation/request_publisher.h
@@ -9,10 +9,10 @@
 #include <string_view>
 
 #include "mqtt/packets.h"
-#include "standin/client_request.h"
+#include "simulation/client_request.h"
 #include "transport/reactor.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // How long a message may lie at the broker.
 constexpr Time broker_patience = 60'000;  // tenths of a millisecond
@@ -55,4 +55,4 @@
   bool subscribed_ = false;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/router_faults.cpp
+++ b/src/simulation/router_faults.cpp
@@ -1,11 +1,11 @@
-#include "standin/router_faults.h"
+#include "simulation/router_faults.h"
 
 #include <cstdint>
 #include <vector>
 
-#include "standin/random_draws.h"
+#include "simulation/random_draws.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using enum FaultKind;
@@ -94,4 +94,4 @@
              .shortest_fault = shortest_link_fault});
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/router_faults.h
+++ b/src/simulation/router_faults.h
@@ -1,9 +1,9 @@
 // Faults of the routers themselves and of the links between them, over the length of any day.
 #pragma once
 
-#include "standin/day.h"
+#include "simulation/day.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // Which kinds are drawn.
 struct RouterFaults {
@@ -15,4 +15,4 @@
 
 void add_router_faults(Day& day, const RouterFaults& faults);
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/server_answers.cpp
+++ b/src/simulation/server_answers.cpp
@@ -1,10 +1,10 @@
-#include "standin/server_answers.h"
+#include "simulation/server_answers.h"
 
 #include <nlohmann/json.hpp>
 #include <string>
 #include <utility>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using Json = nlohmann::json;
@@ -137,4 +137,4 @@
   return {.response = {.headers = {{content_type_header, json_content_type}}, .body = rows.dump()}};
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/server_answers.h
+++ b/src/simulation/server_answers.h
@@ -4,11 +4,11 @@
 #include <cstdint>
 
 #include "events/cloudevent.h"
-#include "standin/exchange_record.h"
-#include "standin/server_model.h"
+#include "simulation/exchange_record.h"
+#include "simulation/server_model.h"
 #include "transport/http.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // The header of a rejection, with its reason.
 constexpr const char* never_ran_header = "rushhill-never-ran";
@@ -33,4 +33,4 @@
 ServerAnswer health_answer(const ServerModel& model);
 ServerAnswer repository_index_answer(const ServerModel& model);
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/server_connection.cpp
+++ b/src/simulation/server_connection.cpp
@@ -1,4 +1,4 @@
-#include "standin/server_connection.h"
+#include "simulation/server_connection.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -6,7 +6,7 @@
 #include <optional>
 #include <utility>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using Json = nlohmann::json;
@@ -278,4 +278,4 @@
   environment_.record.line(record_.to_json(end, environment_.reactor.clock_ns()));
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/server_connection.h
+++ b/src/simulation/server_connection.h
@@ -8,15 +8,15 @@
 #include <string_view>
 
 #include "events/cloudevent.h"
-#include "standin/exchange_record.h"
-#include "standin/group_deduplication.h"
-#include "standin/server_answers.h"
-#include "standin/simulated_server.h"
+#include "simulation/exchange_record.h"
+#include "simulation/group_deduplication.h"
+#include "simulation/server_answers.h"
+#include "simulation/simulated_server.h"
 #include "transport/http.h"
 #include "transport/numbered.h"
 #include "transport/reactor.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 class ServerConnection final : public transport::StreamHandler,
                                public transport::Numbered,
@@ -72,4 +72,4 @@
   bool job_ended_ = false;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/server_model.cpp
+++ b/src/simulation/server_model.cpp
@@ -1,11 +1,11 @@
-#include "standin/server_model.h"
+#include "simulation/server_model.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "standin/slow_start.h"
+#include "simulation/slow_start.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr std::size_t most_queued_loads = 20;  // loads that wait; more work is rejected
@@ -325,4 +325,4 @@
   return counts;
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/server_model.h
+++ b/src/simulation/server_model.h
@@ -15,10 +15,10 @@
 
 #include "core/timer_service.h"
 #include "routing/types.h"
-#include "standin/day.h"
-#include "standin/model_store.h"
+#include "simulation/day.h"
+#include "simulation/model_store.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // How a job or a prewarm request ended.
 enum class JobOutcome : std::uint8_t {
@@ -179,4 +179,4 @@
   std::shared_ptr<int> incarnation_ = std::make_shared<int>(0);  // timers of an earlier one are void
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/simulated_server.cpp
+++ b/src/simulation/simulated_server.cpp
@@ -1,11 +1,11 @@
-#include "standin/simulated_server.h"
+#include "simulation/simulated_server.h"
 
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "standin/server_connection.h"
+#include "simulation/server_connection.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using Json = nlohmann::json;
@@ -162,10 +162,10 @@
 
 void SimulatedServer::record_fault(FaultKind kind, bool begins) {
   environment_.record.line({{"what", "trouble"},
-                            {"kind", standin::name_of(kind)},
+                            {"kind", simulation::name_of(kind)},
                             {"server", id()},
                             {"begins", begins},
                             {"at", environment_.reactor.clock_ns()}});
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/simulated_server.h
+++ b/src/simulation/simulated_server.h
@@ -7,16 +7,16 @@
 #include <memory>
 #include <string>
 
-#include "standin/day.h"
-#include "standin/exchange_record.h"
-#include "standin/group_deduplication.h"
-#include "standin/record.h"
-#include "standin/server_model.h"
+#include "simulation/day.h"
+#include "simulation/exchange_record.h"
+#include "simulation/group_deduplication.h"
+#include "simulation/record.h"
+#include "simulation/server_model.h"
 #include "transport/listener.h"
 #include "transport/numbered.h"
 #include "transport/reactor.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 class ServerConnection;
 
@@ -80,4 +80,4 @@
   double started_ms_ = 0;  // Unix time; 0: long ago
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/simulated_servers.cpp
+++ b/src/simulation/simulated_servers.cpp
@@ -1,8 +1,8 @@
-#include "standin/simulated_servers.h"
+#include "simulation/simulated_servers.h"
 
 #include <stdexcept>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr double accepting_part = 0.6;  // of a drain's span, in which the server still accepts work
@@ -78,4 +78,4 @@
   reactor_.at(begin + fault.span, [&server, fault] { server.end_fault(fault.kind); });
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/simulated_servers.h
+++ b/src/simulation/simulated_servers.h
@@ -6,15 +6,15 @@
 #include <memory>
 #include <string>
 
-#include "standin/day.h"
-#include "standin/group_deduplication.h"
-#include "standin/line_client.h"
-#include "standin/record.h"
-#include "standin/server_model.h"
-#include "standin/simulated_server.h"
+#include "simulation/day.h"
+#include "simulation/group_deduplication.h"
+#include "simulation/line_client.h"
+#include "simulation/record.h"
+#include "simulation/server_model.h"
+#include "simulation/simulated_server.h"
 #include "transport/reactor.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 // Owns the servers and what they share.
 class SimulatedServers {
@@ -52,4 +52,4 @@
   std::unique_ptr<LineClient> discovery_;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/src/standin/slow_start.h
+++ b/src/simulation/slow_start.h
@@ -5,7 +5,7 @@
 
 #include <cmath>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
 constexpr double few_allowed = 30;  // requests; under that many chance weighs more
 
@@ -15,4 +15,4 @@
   return allowed < few_allowed ? allowed + 3 * root + 3 : allowed + 2 * root + 2;
 }
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/tests/emulator/emulation_test.cpp
+++ b/tests/emulator/emulation_test.cpp
@@ -6,9 +6,9 @@
 #include <algorithm>
 
 #include "checker/judge.h"
-#include "standin/bad_day.h"
-#include "standin/day_json.h"
-#include "standin/grown_day.h"
+#include "simulation/bad_day.h"
+#include "simulation/day_json.h"
+#include "simulation/grown_day.h"
 
 namespace rushhill::emulator {
 namespace {
@@ -20,8 +20,8 @@
   std::int64_t falls = 0;  // of servers
 };
 
-Played play(const standin::Day& day) {
-  standin::Record record("");
+Played play(const simulation::Day& day) {
+  simulation::Record record("");
   std::vector<nlohmann::json> seen;
   record.keep(&seen);
   Emulation emulation(day, record);
@@ -29,14 +29,15 @@
   played.spent = emulation.run();
   played.trace = record.digest();
   played.falls = std::ranges::count_if(seen, [](const auto& line) { return line.at("what") == "fell"; });
-  played.verdict = checker::judge(nlohmann::json::parse(standin::to_json(day)), seen);
+  played.verdict = checker::judge(nlohmann::json::parse(simulation::to_json(day)), seen);
   return played;
 }
 
 TEST(EmulatedDay, TheBadDayKeepsAllRulesAndIsTheSameEachTime) {
-  standin::Day day = standin::scripted_bad_day({.events = 300, .rate = 80, .seed = 7});
+  simulation::Day day = simulation::scripted_bad_day({.events = 300, .rate = 80, .seed = 7});
   // A router that starts again forgets what it has ordered, which in so short a day its ration does not bear.
-  std::erase_if(day.faults, [](const auto& one) { return one.kind == standin::FaultKind::router_restart; });
+  std::erase_if(day.faults,
+                [](const auto& one) { return one.kind == simulation::FaultKind::router_restart; });
   const Played first = play(day), second = play(day);
   EXPECT_TRUE(first.verdict.good()) << checker::as_text(first.verdict);
   EXPECT_EQ(first.verdict.events, 300);
@@ -49,7 +50,7 @@
 // it back. The same days without it are the fault that must be found.
 TEST(EmulatedDay, RoutersThatStartAgainKeepTheirRationWhereAllHoldItTogether) {
   for (const std::uint64_t seed : {3U, 7U, 9U}) {
-    standin::Day day = standin::scripted_bad_day({.events = 400, .rate = 80, .seed = seed});
+    simulation::Day day = simulation::scripted_bad_day({.events = 400, .rate = 80, .seed = seed});
     EXPECT_GT(play(day).verdict.rules.at("5 loads rationed").breaks, 0) << seed;
     day.together = true;
     const Played played = play(day);
@@ -60,7 +61,7 @@
 }
 
 TEST(EmulatedDay, ManyServersAndRoutersWithACrashABurstAndASlowStore) {
-  const Played played = play(standin::grown_day(
+  const Played played = play(simulation::grown_day(
       {.servers = 24, .routers = 8, .functions = 60, .events = 600, .rate = 200, .seed = 3}));
   EXPECT_TRUE(played.verdict.good()) << checker::as_text(played.verdict);
   EXPECT_EQ(played.spent.tally.expired, 0U);
@@ -68,13 +69,13 @@
 }
 
 // Of so many seconds' lag of the roster: every server dies before the first request and is back cold at once.
-standin::Day day_of_cold_servers(double discovery_lag) {
-  standin::Day day = standin::scripted_bad_day({.events = 800, .rate = 300, .seed = 1019});
+simulation::Day day_of_cold_servers(double discovery_lag) {
+  simulation::Day day = simulation::scripted_bad_day({.events = 800, .rate = 300, .seed = 1019});
   day.servers.resize(3);
   day.discovery_lag_minimum = day.discovery_lag_maximum = 0;
-  day.faults = {{standin::FaultKind::discovery_lag, 0, 2 * day.span(), discovery_lag, {}, 0}};
+  day.faults = {{simulation::FaultKind::discovery_lag, 0, 2 * day.span(), discovery_lag, {}, 0}};
   for (const auto& server : day.servers)
-    day.faults.push_back({standin::FaultKind::crash, 1, 1, 1, {server.id}, 0});
+    day.faults.push_back({simulation::FaultKind::crash, 1, 1, 1, {server.id}, 0});
   return day;
 }
 
@@ -94,10 +95,10 @@
 }
 
 TEST(EmulatedDay, WithoutAServerEverythingIsShedAndTheDayStillEnds) {
-  standin::Day day = standin::scripted_bad_day({.events = 100, .rate = 100, .seed = 1});
+  simulation::Day day = simulation::scripted_bad_day({.events = 100, .rate = 100, .seed = 1});
   day.faults.clear();
   for (const auto& server : day.servers)
-    day.faults.push_back({standin::FaultKind::refuse, 0, day.span(), 1, {server.id}, 0});
+    day.faults.push_back({simulation::FaultKind::refuse, 0, day.span(), 1, {server.id}, 0});
   const Played played = play(day);
   EXPECT_EQ(played.verdict.outcomes.count("none"), 0U);
   EXPECT_EQ(played.verdict.rules.at("1 one final answer").breaks, 0);
--- a/tests/frontends/mqtt_front_test.cpp
+++ b/tests/frontends/mqtt_front_test.cpp
@@ -5,7 +5,7 @@
 
 #include "loopback.h"
 #include "router/router_process.h"
-#include "standin/broker.h"
+#include "simulation/broker.h"
 #include "transport/loop.h"
 
 namespace rushhill {
@@ -105,8 +105,8 @@
   transport::Loop reactor;
   Pump pump{reactor};
   Silent silent;
-  standin::Record record{""};
-  standin::Broker broker{reactor, transport::numeric_address("127.0.0.1:0"), record};
+  simulation::Record record{""};
+  simulation::Broker broker{reactor, transport::numeric_address("127.0.0.1:0"), record};
   RawServer server{reactor};
   std::unique_ptr<router::RouterProcess> router;
   std::map<std::string, int> shots;
--- a/tests/node/system_calls_test.cpp
+++ b/tests/node/system_calls_test.cpp
@@ -4,15 +4,15 @@
 
 #include "node/node.h"
 #include "platform_story.h"
-#include "standin/faulty_system_calls.h"
+#include "simulation/faulty_system_calls.h"
 #include "transport/datagram_endpoint.h"
 
 namespace rushhill::node {
 namespace {
 
-using standin::FaultySystemCalls;
-using standin::SystemCall;
-using standin::SystemCallFailure;
+using simulation::FaultySystemCalls;
+using simulation::SystemCall;
+using simulation::SystemCallFailure;
 
 constexpr Time a_step = 5;                  // tenths of a millisecond, of each loop in turn
 constexpr Time owed_within = 30'000;        // likewise; what a client is owed that misbehaves, too
@@ -127,7 +127,7 @@
 // Beside a connection to a server that is lost, and words of a peer. Every call fails in every way once: at
 // the start, and at its first and third time from then on.
 TEST_F(SystemCallDay, NoSingleFailureCostsARequestItsAnswer) {
-  for (const SystemCallFailure& failure : standin::documented_failures()) {
+  for (const SystemCallFailure& failure : simulation::documented_failures()) {
     std::uint64_t fired = 0;
     for (const int nth : {0, 1, 3}) {
       const std::string at = named(failure) + " at " + std::to_string(nth);
@@ -181,7 +181,7 @@
 // While no connection can be begun for want of something here, nothing is held against a server or said to
 // peers, and the requests that come after it are answered well.
 TEST_F(SystemCallDay, WhatThisMachineLacksIsNoEvidenceAgainstAServer) {
-  for (const SystemCallFailure& failure : standin::documented_failures()) {
+  for (const SystemCallFailure& failure : simulation::documented_failures()) {
     const bool connecting = failure.call == SystemCall::socket || failure.call == SystemCall::connect ||
                             failure.call == SystemCall::connect_outcome;
     if (!connecting || failure.accuses_peer || failure.error == EINTR) continue;
--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -12,8 +12,8 @@
 #include "emulator/emulation.h"
 #include "platform_story.h"
 #include "process.h"
-#include "standin/bad_day.h"
-#include "standin/day_json.h"
+#include "simulation/bad_day.h"
+#include "simulation/day_json.h"
 
 namespace rushhill::node {
 namespace {
@@ -24,8 +24,8 @@
 
 enum class Wall { runs_on, is_stepped };
 
-std::vector<nlohmann::json> records_of(const standin::Day& day, Wall wall, std::uint64_t seed) {
-  standin::Record record("");
+std::vector<nlohmann::json> records_of(const simulation::Day& day, Wall wall, std::uint64_t seed) {
+  simulation::Record record("");
   std::vector<nlohmann::json> seen;
   record.keep(&seen);
   emulator::Emulation emulation(day, record);
@@ -37,7 +37,7 @@
     network.at(at, [&network, by] { network.step_wall_clock(by * nanoseconds_a_second); });
   }
   emulation.run();
-  const checker::Verdict verdict = checker::judge(nlohmann::json::parse(standin::to_json(day)), seen);
+  const checker::Verdict verdict = checker::judge(nlohmann::json::parse(simulation::to_json(day)), seen);
   EXPECT_TRUE(verdict.good()) << seed << '\n' << checker::as_text(verdict);
   // The simulated list tells starts by the stepped clock.
   for (nlohmann::json& line : seen) {
@@ -50,8 +50,9 @@
 // The timers of routers, clients of discovery, links between routers and fronts are in use in this day, with
 // faults of servers. No router is started again: what its first list proves is for the tests of start times.
 TEST(WallClock, InAWholeDayNothingHappensAtAnotherMomentWhateverTheSteps) {
-  standin::Day day = standin::scripted_bad_day({.events = 150, .rate = 80, .seed = 3});
-  std::erase_if(day.faults, [](const auto& one) { return one.kind == standin::FaultKind::router_restart; });
+  simulation::Day day = simulation::scripted_bad_day({.events = 150, .rate = 80, .seed = 3});
+  std::erase_if(day.faults,
+                [](const auto& one) { return one.kind == simulation::FaultKind::router_restart; });
   day.together = true;
   const std::vector<nlohmann::json> undisturbed = records_of(day, Wall::runs_on, 1);
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
--- a/tests/router/remembered_endpoint_list_test.cpp
+++ b/tests/router/remembered_endpoint_list_test.cpp
@@ -7,14 +7,14 @@
 #include <algorithm>
 
 #include "emulator/network.h"
-#include "standin/faulty_file_system.h"
+#include "simulation/faulty_file_system.h"
 #include "storage/documented_failures.h"
 #include "storage/temporary_directory.h"
 
 namespace rushhill::router {
 namespace {
 
-using standin::StorageFault;
+using simulation::StorageFault;
 using storage::Operation;
 
 constexpr Time second = 10'000;
@@ -53,7 +53,7 @@
       if (operation == Operation::open) written_at.push_back(network.now());
       return fault(operation);
     };
-    return {.files = std::make_shared<standin::FaultyFileSystem>(storage::system_files(), plan),
+    return {.files = std::make_shared<simulation::FaultyFileSystem>(storage::system_files(), plan),
             .execute = storage::run_inline};
   }
   void start(const StorageAccess& storage_access, std::uint64_t seed = 1) {
@@ -81,7 +81,7 @@
   const std::string path = directory / "list";
   emulator::Network network{1};
   RecordingLog log;
-  standin::StorageFaultPlan fault = [](Operation) { return StorageFault{}; };
+  simulation::StorageFaultPlan fault = [](Operation) { return StorageFault{}; };
   std::vector<Time> written_at;
   std::int64_t revision = 0;
   std::unique_ptr<RememberedEndpointList> list;
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -8,21 +8,21 @@
 #include "emulator/network.h"
 #include "loopback.h"
 #include "router/router_process.h"
-#include "standin/bad_day.h"
-#include "standin/clients.h"
-#include "standin/day_deployment.h"
-#include "standin/day_json.h"
-#include "standin/discovery_server.h"
-#include "standin/simulated_servers.h"
+#include "simulation/bad_day.h"
+#include "simulation/clients.h"
+#include "simulation/day_deployment.h"
+#include "simulation/day_json.h"
+#include "simulation/discovery_server.h"
+#include "simulation/simulated_servers.h"
 
 namespace rushhill {
 namespace {
 
-using standin::Day;
-using standin::FaultKind;
+using simulation::Day;
+using simulation::FaultKind;
 
 Day small_day() {
-  Day day = standin::scripted_bad_day({.events = 120, .rate = 60, .seed = 11, .calm = true});
+  Day day = simulation::scripted_bad_day({.events = 120, .rate = 60, .seed = 11, .calm = true});
   day.faults.clear();
   day.servers.resize(4);
   for (auto& server : day.servers) server.location = "here", server.cell = 1;
@@ -52,14 +52,14 @@
   explicit Scene(const Day& of) : day(of) {
     file = testing::TempDir() + "rushhill-" + std::to_string(reinterpret_cast<std::uintptr_t>(this)) + "-" +
            std::to_string(transport::monotonic_ns());
-    record = std::make_unique<standin::Record>(file);
-    board = std::make_unique<standin::DiscoveryServer>(reactor, transport::numeric_address("127.0.0.1:0"),
-                                                       day, *record);
-    fleet = std::make_unique<standin::SimulatedServers>(reactor, day, *record);
+    record = std::make_unique<simulation::Record>(file);
+    board = std::make_unique<simulation::DiscoveryServer>(reactor, transport::numeric_address("127.0.0.1:0"),
+                                                          day, *record);
+    fleet = std::make_unique<simulation::SimulatedServers>(reactor, day, *record);
     fleet->announce_to(board->address());
     pump.pass(100);
-    const std::string text =
-        standin::deployment_of(day, 0, {.listen = "127.0.0.1:0", .discovery = board->address().toString()});
+    const std::string text = simulation::deployment_of(
+        day, 0, {.listen = "127.0.0.1:0", .discovery = board->address().toString()});
     router = std::make_unique<router::RouterProcess>(reactor, deployment::read_text("f", text), 3, silent);
     for (const auto& server : day.servers)
       EXPECT_TRUE(reached_at(server.id, fleet->address(server.id).toString()));
@@ -73,7 +73,7 @@
 
   void play() {
     bool over = false;
-    standin::Clients clients(reactor, day, {router->address()}, *record, [&] { over = true; });
+    simulation::Clients clients(reactor, day, {router->address()}, *record, [&] { over = true; });
     const Time start = reactor.now();
     fleet->play(start);
     board->play(start);
@@ -83,7 +83,7 @@
     record->flush();
     std::ifstream in(file);
     seen = checker::read_records(in, "records");
-    verdict = checker::judge(nlohmann::json::parse(standin::to_json(day)), seen);
+    verdict = checker::judge(nlohmann::json::parse(simulation::to_json(day)), seen);
   }
   // How often a shot at a server ended so, or with such a fault.
   int count(const std::string& word) const {
@@ -99,9 +99,9 @@
   emulator::Network reactor{1};
   VirtualPump pump{reactor};
   Silent silent;
-  std::unique_ptr<standin::Record> record;
-  std::unique_ptr<standin::DiscoveryServer> board;
-  std::unique_ptr<standin::SimulatedServers> fleet;
+  std::unique_ptr<simulation::Record> record;
+  std::unique_ptr<simulation::DiscoveryServer> board;
+  std::unique_ptr<simulation::SimulatedServers> fleet;
   std::unique_ptr<router::RouterProcess> router;
   std::vector<nlohmann::json> seen;
   checker::Verdict verdict;
@@ -232,7 +232,7 @@
   std::ofstream(file) << R"({"form":"complete","revision":1,"servers":[)"
                       << scene.fleet->entry(scene.day.servers[2].id) << "]}\n";
   std::string text =
-      standin::deployment_of(scene.day, 0, {.listen = "127.0.0.1:0", .discovery = "127.0.0.1:1"});
+      simulation::deployment_of(scene.day, 0, {.listen = "127.0.0.1:0", .discovery = "127.0.0.1:1"});
   text.insert(text.find("[roster]\n") + 9, "remembered = " + file + "\n");
   scene.router = std::make_unique<router::RouterProcess>(scene.reactor, deployment::read_text("f", text), 3,
                                                          scene.silent);
--- a/tests/router/storage_faults_test.cpp
+++ b/tests/router/storage_faults_test.cpp
@@ -9,14 +9,14 @@
 #include "loopback.h"
 #include "process.h"
 #include "router/router_process.h"
-#include "standin/faulty_file_system.h"
+#include "simulation/faulty_file_system.h"
 #include "storage/documented_failures.h"
 #include "storage/temporary_directory.h"
 
 namespace rushhill::router {
 namespace {
 
-using standin::StorageFault;
+using simulation::StorageFault;
 using storage::Operation;
 
 constexpr Time within = 100'000;  // tenths of a millisecond; far longer than anything here should take
@@ -87,8 +87,8 @@
 
 TEST_P(ServingWhileStorageFails, ShowsItAndTheListIsSavedWhenItRecovers) {
   std::atomic<bool> failing = false;
-  auto files =
-      std::make_shared<standin::FaultyFileSystem>(storage::system_files(), [&failing](Operation operation) {
+  auto files = std::make_shared<simulation::FaultyFileSystem>(
+      storage::system_files(), [&failing](Operation operation) {
         return failing && operation == GetParam() ? StorageFault{.error_number = EIO} : StorageFault{};
       });
   RouterProcess router(reactor, deployment::read_text("f", deployment(discovery.address())), 3, silent,
@@ -117,13 +117,14 @@
 
 TEST_F(StorageFaults, ASyncThatHangsHoldsUpNoRequest) {
   std::atomic<bool> hangs = true, syncing = false;
-  auto files = std::make_shared<standin::FaultyFileSystem>(storage::system_files(), [&](Operation operation) {
-    if (operation == Operation::sync) {
-      syncing = true;
-      while (hangs) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-    }
-    return StorageFault{};
-  });
+  auto files =
+      std::make_shared<simulation::FaultyFileSystem>(storage::system_files(), [&](Operation operation) {
+        if (operation == Operation::sync) {
+          syncing = true;
+          while (hangs) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+        }
+        return StorageFault{};
+      });
   {
     RouterProcess router(reactor, deployment::read_text("f", deployment(discovery.address())), 3, silent,
                          {.files = files});
--- a/tests/standin/links_test.cpp
+++ b/tests/simulation/links_test.cpp
@@ -1,12 +1,12 @@
 // The stand-in for ways between routers: what goes in one end comes out of the other, or does not.
-#include "standin/links.h"
+#include "simulation/links.h"
 
 #include <gtest/gtest.h>
 
 #include "emulator/network.h"
 #include "transport/listener.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 using transport::Stream;
@@ -135,4 +135,4 @@
 }
 
 }  // namespace
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/tests/standin/model_store_test.cpp
+++ b/tests/simulation/model_store_test.cpp
@@ -1,9 +1,9 @@
 // The store gets slower with its load and refuses fetches above its limit and where a fault says so.
-#include "standin/model_store.h"
+#include "simulation/model_store.h"
 
 #include <gtest/gtest.h>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr Time usual = 1'000;
@@ -31,4 +31,4 @@
 }
 
 }  // namespace
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/tests/standin/server_model_test.cpp
+++ b/tests/simulation/server_model_test.cpp
@@ -1,5 +1,5 @@
 // The model of a server has to fail as real ones do, or the simulated days prove nothing.
-#include "standin/server_model.h"
+#include "simulation/server_model.h"
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 
 #include "core/timer_queue.h"
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 namespace {
 
 constexpr Time second = 10'000;
@@ -183,4 +183,4 @@
 }
 
 }  // namespace
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/tests/storage/files_test.cpp
+++ b/tests/storage/files_test.cpp
@@ -11,7 +11,7 @@
 #include <algorithm>
 #include <thread>
 
-#include "standin/faulty_file_system.h"
+#include "simulation/faulty_file_system.h"
 #include "storage/background_task.h"
 #include "storage/documented_failures.h"
 #include "storage/temporary_directory.h"
@@ -19,8 +19,8 @@
 namespace rushhill::storage {
 namespace {
 
-using standin::FaultyFileSystem;
-using standin::StorageFault;
+using simulation::FaultyFileSystem;
+using simulation::StorageFault;
 
 const std::string old_content = "the old content, somewhat longer than the new\n";
 const std::string new_content = "the new content, in whole\n";
@@ -41,7 +41,7 @@
  public:
   ReplacedFile() { std::ofstream(path) << old_content; }
 
-  std::shared_ptr<FileSystem> files(standin::StorageFaultPlan plan) {
+  std::shared_ptr<FileSystem> files(simulation::StorageFaultPlan plan) {
     return std::make_shared<FaultyFileSystem>(system_files(),
                                               [this, plan = std::move(plan)](Operation operation) {
                                                 calls.push_back(operation);
@@ -277,7 +277,7 @@
 TEST(SeededStorageFaults, AreTheSameForASeedAndEndWithinSeconds) {
   const auto drawn = [](std::uint64_t seed) {
     std::int64_t now = 1;
-    standin::StorageFaultPlan plan = standin::seeded_storage_faults(seed, [&now] { return now; });
+    simulation::StorageFaultPlan plan = simulation::seeded_storage_faults(seed, [&now] { return now; });
     std::vector<int> errors;
     for (; now < 3'000'000; now += 100) errors.push_back(plan(Operation::write).error_number);
     return errors;
--- a/tests/transport/system_calls_test.cpp
+++ b/tests/transport/system_calls_test.cpp
@@ -5,7 +5,7 @@
 #include <cstring>
 
 #include "loopback.h"
-#include "standin/faulty_system_calls.h"
+#include "simulation/faulty_system_calls.h"
 #include "transport/datagram_endpoint.h"
 #include "transport/listener.h"
 #include "transport/loop.h"
@@ -14,9 +14,9 @@
 namespace rushhill::transport {
 namespace {
 
-using standin::FaultySystemCalls;
-using standin::SystemCall;
-using standin::SystemCallFailure;
+using simulation::FaultySystemCalls;
+using simulation::SystemCall;
+using simulation::SystemCallFailure;
 
 constexpr Time looked_at_for = 1'000;         // tenths of a millisecond
 constexpr std::uint64_t calls_at_rest = 200;  // in that time; spinning makes many thousands
@@ -24,7 +24,7 @@
 
 std::vector<SystemCallFailure> failures_of(SystemCall call) {
   std::vector<SystemCallFailure> found;
-  for (const SystemCallFailure& failure : standin::documented_failures()) {
+  for (const SystemCallFailure& failure : simulation::documented_failures()) {
     if (failure.call == call) found.push_back(failure);
   }
   return found;
