--- a/src/simulation/clients.cpp
+++ b/src/simulation/clients.cpp
@@ -80,13 +80,14 @@
 }
 
 bool must_not_run_twice(const ClientRequest& request) {
-  return request.request_class->effect != "reissuable";
+  return request.request_class->retry_safety != RetrySafety::idempotent;
 }
 
 // Whether the request may run again on any server.
 bool may_run_again(const RequestClassSpec& request_class) {
-  return request_class.effect == "reissuable" ||
-         (request_class.effect == "numbered" && request_class.group == "all");
+  return request_class.retry_safety == RetrySafety::idempotent ||
+         (request_class.retry_safety == RetrySafety::keyed &&
+          request_class.deduplication_scope == DeduplicationScope::everywhere);
 }
 
 }  // namespace
--- a/src/simulation/day.h
+++ b/src/simulation/day.h
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "routing/time.h"
+#include "routing/types.h"
 #include "simulation/fault.h"
 
 namespace rushhill::simulation {
@@ -48,10 +49,11 @@
   std::string name{};
   Time latency_objective = 0;
   Time deadline_span = 0;
-  std::string effect = "reissuable";  // whether it may run again: reissuable, numbered or at-most-once
-  std::string group = "all";          // the servers that deduplicate it together: all, location or cell
-  Time memory_span = 0;               // how long they remember it
-  double share = 1;                   // of the requests
+  RetrySafety retry_safety = RetrySafety::idempotent;
+  // The servers that remember its idempotency keys together, and for how long.
+  DeduplicationScope deduplication_scope = DeduplicationScope::everywhere;
+  Time deduplication_span = 0;
+  double share = 1;  // of the requests
 };
 
 // The parameters of the rules that routers keep.
--- a/src/simulation/day_deployment.cpp
+++ b/src/simulation/day_deployment.cpp
@@ -2,6 +2,8 @@
 
 #include <sstream>
 
+#include "simulation/request_class_names.h"
+
 namespace rushhill::simulation {
 namespace {
 
@@ -68,8 +70,9 @@
 void write_request_class(std::ostream& out, const RequestClassSpec& request_class) {
   out << "[traffic " << request_class.name << "]\ndue = " << milliseconds(request_class.latency_objective)
       << "\nhard-limit = " << milliseconds(request_class.deadline_span)
-      << "\neffect = " << request_class.effect << "\ngroup = " << request_class.group
-      << "\nmemory-span = " << milliseconds(request_class.memory_span) << "\nlate-share = 0.3\n";
+      << "\neffect = " << name_of(request_class.retry_safety)
+      << "\ngroup = " << name_of(request_class.deduplication_scope)
+      << "\nmemory-span = " << milliseconds(request_class.deduplication_span) << "\nlate-share = 0.3\n";
 }
 
 }  // namespace
@@ -87,7 +90,7 @@
   write_mqtt(out, day, router, addresses.broker);
   for (const RequestClassSpec& request_class : day.types) {
     write_request_class(out, request_class);
-    if (!addresses.replicas.empty() && request_class.effect != "reissuable")
+    if (!addresses.replicas.empty() && request_class.retry_safety != RetrySafety::idempotent)
       out << "marks = " << day.marks << "\n";
     out << "\n";
   }
--- a/src/simulation/day_json.cpp
+++ b/src/simulation/day_json.cpp
@@ -5,6 +5,8 @@
 #include <stdexcept>
 #include <vector>
 
+#include "simulation/request_class_names.h"
+
 namespace rushhill::simulation {
 namespace {
 
@@ -42,14 +44,13 @@
   visit("weight", function.weight);
 }
 
+// All but its promises.
 template <typename RequestClass, typename Visit>
 void visit_request_class(RequestClass& request_class, Visit visit) {
   visit("name", request_class.name);
   visit("due", request_class.latency_objective);
   visit("hard-limit", request_class.deadline_span);
-  visit("effect", request_class.effect);
-  visit("group", request_class.group);
-  visit("memory-span", request_class.memory_span);
+  visit("memory-span", request_class.deduplication_span);
   visit("share", request_class.share);
 }
 
@@ -137,9 +138,22 @@
   return function;
 }
 
+// Reads the name of a value where it is there; one of no value is refused.
+template <typename Value, typename Find>
+void read_named(const Json& row, const char* field, Value& value, Find find) {
+  std::string name;
+  reader_of(row)(field, name);
+  if (!row.contains(field)) return;
+  const std::optional<Value> found = find(name);
+  if (!found) throw std::invalid_argument(std::string("field '") + field + "' has no value '" + name + "'");
+  value = *found;
+}
+
 RequestClassSpec read_request_class(const Json& row) {
   RequestClassSpec request_class;
   visit_request_class(request_class, reader_of(row));
+  read_named(row, "effect", request_class.retry_safety, retry_safety_of);
+  read_named(row, "group", request_class.deduplication_scope, deduplication_scope_of);
   return request_class;
 }
 
@@ -171,8 +185,12 @@
     visit_server(server, writer_to(object["servers"].emplace_back(Json::object())));
   for (const FunctionSpec& function : day.functions)
     visit_function(function, writer_to(object["functions"].emplace_back(Json::object())));
-  for (const RequestClassSpec& request_class : day.types)
-    visit_request_class(request_class, writer_to(object["types"].emplace_back(Json::object())));
+  for (const RequestClassSpec& request_class : day.types) {
+    Json& row = object["types"].emplace_back(Json::object());
+    visit_request_class(request_class, writer_to(row));
+    row["effect"] = name_of(request_class.retry_safety);
+    row["group"] = name_of(request_class.deduplication_scope);
+  }
   for (const Fault& fault : day.faults) {
     Json& row = object["troubles"].emplace_back(Json::object());
     row["kind"] = name_of(fault.kind);
--- a/src/simulation/group_deduplication.cpp
+++ b/src/simulation/group_deduplication.cpp
@@ -7,8 +7,14 @@
 
 // The group of servers that deduplicate requests of the class together.
 std::string group_of(const ServerSpec& server, const RequestClassSpec& request_class) {
-  if (request_class.group == "location") return server.location;
-  if (request_class.group == "cell") return std::to_string(server.cell);
+  switch (request_class.deduplication_scope) {
+    case DeduplicationScope::everywhere:
+      return "";
+    case DeduplicationScope::location:
+      return server.location;
+    case DeduplicationScope::cell:
+      return std::to_string(server.cell);
+  }
   return "";
 }
 
@@ -21,7 +27,7 @@
   KeyedRequestPointer& request = requests_[key];
   if (request) return {.request = request};
   request = std::make_shared<KeyedRequest>();
-  timers_.at(timers_.now() + request_class.memory_span, [this, key] { requests_.erase(key); });
+  timers_.at(timers_.now() + request_class.deduplication_span, [this, key] { requests_.erase(key); });
   return {.request = request, .first = true};
 }
 
--- a/src/simulation/made_day.cpp
+++ b/src/simulation/made_day.cpp
@@ -21,7 +21,7 @@
 constexpr double least_work = 150;
 constexpr double most_work = 350;
 constexpr Time latency_objective = 7'500;
-constexpr Time keyed_memory_span = 50'000;
+constexpr Time keyed_deduplication_span = 50'000;
 
 constexpr double lookup_share = 0.8;
 constexpr double form_share = 0.1;
@@ -59,19 +59,19 @@
   return {{.name = "date-lookup",
            .latency_objective = latency_objective,
            .deadline_span = deadline_span,
-           .effect = "reissuable",
+           .retry_safety = RetrySafety::idempotent,
            .share = lookup_share},
           {.name = "counter-form",
            .latency_objective = latency_objective,
            .deadline_span = deadline_span,
-           .effect = "numbered",
-           .group = "location",
-           .memory_span = keyed_memory_span,
+           .retry_safety = RetrySafety::keyed,
+           .deduplication_scope = DeduplicationScope::location,
+           .deduplication_span = keyed_deduplication_span,
            .share = form_share},
           {.name = "fee-booking",
            .latency_objective = latency_objective,
            .deadline_span = deadline_span,
-           .effect = "at-most-once",
+           .retry_safety = RetrySafety::at_most_once,
            .share = booking_share}};
 }
 
--- a/src/simulation/server_connection.cpp
+++ b/src/simulation/server_connection.cpp
@@ -130,7 +130,7 @@
   record_.work = function->work;
   const Job job{function, function->work, deadline_of(request, environment_.reactor.now())};
   const RequestClassSpec* request_class = environment_.day.type(event.type);
-  if (request_class != nullptr && request_class->effect == "numbered")
+  if (request_class != nullptr && request_class->retry_safety == RetrySafety::keyed)
     return run_once(job, event, *request_class);
   run(job, event, nullptr);
 }
