--- a/tests/simulation/server_model_test.cpp
+++ b/tests/simulation/server_model_test.cpp
@@ -3,38 +3,16 @@
 
 #include <gtest/gtest.h>
 
-#include <algorithm>
 #include <memory>
-#include <utility>
 #include <vector>
 
-#include "core/timer_queue.h"
+#include "simulation/manual_timers.h"
 
 namespace rushhill::simulation {
 namespace {
 
 constexpr Time second = 10'000;
 
-class ManualTimers final : public core::TimerService {
- public:
-  Time now() const override { return now_; }
-  core::Timer at(Time when, Call call) override { return timers_.add(when, std::move(call)); }
-  void cancel(core::Timer& timer) override { timers_.cancel(timer); }
-  void post(Call call) override { timers_.add(now_, std::move(call)); }
-  void pass(Time span) {
-    const Time end = now_ + span;
-    while (timers_.next_deadline() && *timers_.next_deadline() <= end) {
-      now_ = std::max(now_, *timers_.next_deadline());
-      timers_.fire_due(now_);
-    }
-    now_ = end;
-  }
-
- private:
-  Time now_ = 100 * second;
-  core::TimerQueue timers_;
-};
-
 class ServerModelTest : public testing::Test {
  protected:
   void make(bool missing = false, bool cold = false) {
