--- a/src/emulator/emulation.cpp
+++ b/src/emulator/emulation.cpp
@@ -4,6 +4,7 @@
 #include <stdexcept>
 
 #include "deployment/deployment_file.h"
+#include "simulation/day_deployment.h"
 #include "transport/reactor.h"
 
 namespace rushhill::emulator {
@@ -32,7 +33,7 @@
 
 }  // namespace
 
-Emulation::Emulation(const standin::Day& day, standin::Record& record)
+Emulation::Emulation(const simulation::Day& day, simulation::Record& record)
     : day_(day), record_(record), network_(latency),
       roster_(network_, transport::numeric_address(any_port), day, record), fleet_(network_, day, record),
       seats_(static_cast<std::size_t>(day.routers)) {
@@ -57,9 +58,12 @@
                                : seats_[other].replica->address())
                            .toString());
   }
-  const std::string text = standin::deployment_of(
-      day_, static_cast<int>(number), seat.http->address().toString(), roster_.address().toString(),
-      seat.peers->address().toString(), peers, "", replicas);
+  const std::string text = simulation::deployment_of(day_, static_cast<int>(number),
+                                                     {.listen = seat.http->address().toString(),
+                                                      .discovery = roster_.address().toString(),
+                                                      .peer_listen = seat.peers->address().toString(),
+                                                      .peers = peers,
+                                                      .replicas = replicas});
   const deployment::DeploymentConfiguration configuration =
       deployment::read_text("router-" + std::to_string(number) + ".ini", text);
   const std::uint64_t seed = day_.seed * 1'000'003 + number * 1'009 + ++seat.lives;
@@ -84,23 +88,23 @@
   roster_.play(start_at);
   if (links_) links_->play(start_at);
   fleet_.play(start_at);
-  for (const standin::Trouble& trouble : day_.troubles) {
-    const bool killed = trouble.kind == standin::TroubleKind::router_kill;
-    if (!killed && trouble.kind != standin::TroubleKind::router_restart) continue;
-    const auto number = static_cast<std::size_t>(trouble.router);
+  for (const simulation::Fault& fault : day_.faults) {
+    const bool killed = fault.kind == simulation::FaultKind::router_kill;
+    if (!killed && fault.kind != simulation::FaultKind::router_restart) continue;
+    const auto number = static_cast<std::size_t>(fault.router);
     if (number >= seats_.size()) throw std::invalid_argument("a trouble names an unknown router");
-    network_.at(start_at + trouble.at, [this, number, killed] {
+    network_.at(start_at + fault.at, [this, number, killed] {
       seats_[number].since = network_.clock_ns();
       if (killed) leave(number);
       if (!killed) stop(number);
     });
     // Where it is not through by then, it starts as soon as it is.
-    network_.at(start_at + trouble.at + trouble.span, [this, number, kind = trouble.kind] {
+    network_.at(start_at + fault.at + fault.span, [this, number, kind = fault.kind] {
       seats_[number].due = true;
       if (!seats_[number].router) start(number);
       record_.line({{"what", "router"},
                     {"router", number},
-                    {"kind", standin::name_of(kind)},
+                    {"kind", simulation::name_of(kind)},
                     {"from", seats_[number].since},
                     {"to", network_.clock_ns()}});
     });
@@ -114,13 +118,13 @@
   std::vector<transport::Address> copies;
   for (const Seat& seat : seats_) copies.push_back(seat.replica->address());
   const bool links = std::ranges::any_of(
-      day_.troubles, [](const auto& trouble) { return trouble.kind >= standin::TroubleKind::link_drop; });
-  if (day_.together && links) links_ = std::make_unique<standin::Links>(network_, day_, copies);
+      day_.faults, [](const auto& fault) { return simulation::is_link_fault(fault.kind); });
+  if (day_.together && links) links_ = std::make_unique<simulation::Links>(network_, day_, copies);
   for (std::size_t i = 0; i < seats_.size(); ++i) start(i);
   std::vector<transport::Address> addresses;
   for (const Seat& seat : seats_) addresses.push_back(seat.http->address());
   const Time start_at = network_.now() + lead;
-  clients_ = std::make_unique<standin::Clients>(network_, day_, addresses, record_, [this] {
+  clients_ = std::make_unique<simulation::Clients>(network_, day_, addresses, record_, [this] {
     over_ = true;
     network_.halt();
   });
--- a/src/standin/record.h
+++ b/src/simulation/record.h
@@ -10,8 +10,9 @@
 #include <string>
 #include <vector>
 
-namespace rushhill::standin {
+namespace rushhill::simulation {
 
+// Writes to a file, keeps in memory, or does neither.
 class Record {
  public:
   explicit Record(const std::string& path) {
@@ -41,4 +42,4 @@
   Poco::SHA1Engine engine_;
 };
 
-}  // namespace rushhill::standin
+}  // namespace rushhill::simulation
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -8,27 +8,30 @@
 #include "emulator/network.h"
 #include "loopback.h"
 #include "router/router_process.h"
-#include "standin/clients.h"
-#include "standin/fleet.h"
-#include "standin/roster_board.h"
+#include "simulation/bad_day.h"
+#include "simulation/clients.h"
+#include "simulation/day_deployment.h"
+#include "simulation/day_json.h"
+#include "simulation/discovery_server.h"
+#include "simulation/simulated_servers.h"
 
 namespace rushhill {
 namespace {
 
-using standin::Day;
-using standin::TroubleKind;
+using simulation::Day;
+using simulation::FaultKind;
 
 Day small_day() {
-  Day day = standin::scripted_bad_day(120, 60, 11, true, true);
-  day.troubles.clear();
+  Day day = simulation::scripted_bad_day({.events = 120, .rate = 60, .seed = 11, .calm = true});
+  day.faults.clear();
   day.servers.resize(4);
   for (auto& server : day.servers) server.location = "here", server.cell = 1;
   day.functions.resize(4);
   for (auto& function : day.functions) function.load = 500;
   for (auto& type : day.types) type.share = 1;
   day.routers = 1;
-  day.roster_lag_least = 0, day.roster_lag_most = 100;
-  day.rules.load_free = 50;
+  day.discovery_lag_minimum = 0, day.discovery_lag_maximum = 100;
+  day.rules.free_loads = 50;
   return day;
 }
 
@@ -49,14 +52,14 @@
   explicit Scene(const Day& of) : day(of) {
     file = testing::TempDir() + "rushhill-" + std::to_string(reinterpret_cast<std::uintptr_t>(this)) + "-" +
            std::to_string(transport::monotonic_ns());
-    record = std::make_unique<standin::Record>(file);
-    board = std::make_unique<standin::RosterBoard>(reactor, transport::numeric_address("127.0.0.1:0"), day,
-                                                   *record);
-    fleet = std::make_unique<standin::Fleet>(reactor, day, *record);
+    record = std::make_unique<simulation::Record>(file);
+    board = std::make_unique<simulation::DiscoveryServer>(reactor, transport::numeric_address("127.0.0.1:0"),
+                                                          day, *record);
+    fleet = std::make_unique<simulation::SimulatedServers>(reactor, day, *record);
     fleet->announce_to(board->address());
     pump.pass(100);
-    const std::string text =
-        standin::deployment_of(day, 0, "127.0.0.1:0", board->address().toString(), "", {});
+    const std::string text = simulation::deployment_of(
+        day, 0, {.listen = "127.0.0.1:0", .discovery = board->address().toString()});
     router = std::make_unique<router::RouterProcess>(reactor, deployment::read_text("f", text), 3, silent);
     for (const auto& server : day.servers)
       EXPECT_TRUE(reached_at(server.id, fleet->address(server.id).toString()));
@@ -70,7 +73,7 @@
 
   void play() {
     bool over = false;
-    standin::Clients clients(reactor, day, {router->address()}, *record, [&] { over = true; });
+    simulation::Clients clients(reactor, day, {router->address()}, *record, [&] { over = true; });
     const Time start = reactor.now();
     fleet->play(start);
     board->play(start);
@@ -80,7 +83,7 @@
     record->flush();
     std::ifstream in(file);
     seen = checker::read_records(in, "records");
-    verdict = checker::judge(nlohmann::json::parse(standin::to_json(day)), seen);
+    verdict = checker::judge(nlohmann::json::parse(simulation::to_json(day)), seen);
   }
   // How often a shot at a server ended so, or with such a fault.
   int count(const std::string& word) const {
@@ -96,16 +99,16 @@
   emulator::Network reactor{1};
   VirtualPump pump{reactor};
   Silent silent;
-  std::unique_ptr<standin::Record> record;
-  std::unique_ptr<standin::RosterBoard> board;
-  std::unique_ptr<standin::Fleet> fleet;
+  std::unique_ptr<simulation::Record> record;
+  std::unique_ptr<simulation::DiscoveryServer> board;
+  std::unique_ptr<simulation::SimulatedServers> fleet;
   std::unique_ptr<router::RouterProcess> router;
   std::vector<nlohmann::json> seen;
   checker::Verdict verdict;
 };
 
 struct Fault {
-  TroubleKind kind;
+  FaultKind kind;
   const char* shows;  // what the servers' records must show of it
 };
 class Faults : public testing::TestWithParam<Fault> {};
@@ -113,7 +116,7 @@
 // Reissuable, numbered and at-most-once events go through each fault at two of four servers.
 TEST_P(Faults, KeepAllRules) {
   Day day = small_day();
-  day.troubles.push_back({GetParam().kind, 3'000, 15'000, 3, {day.servers[0].id, day.servers[1].id}});
+  day.faults.push_back({GetParam().kind, 3'000, 15'000, 3, {day.servers[0].id, day.servers[1].id}});
   Scene scene(day);
   scene.play();
   EXPECT_TRUE(scene.verdict.good()) << checker::as_text(scene.verdict);
@@ -125,13 +128,14 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Kinds, Faults,
-    testing::Values(Fault{TroubleKind::silence, "silent"}, Fault{TroubleKind::mute_head, "mute-head"},
-                    Fault{TroubleKind::mute_half, "mute-half"}, Fault{TroubleKind::reset, "reset"},
-                    Fault{TroubleKind::refuse, ""}, Fault{TroubleKind::slow, ""},
-                    Fault{TroubleKind::fail_fast, "error"}, Fault{TroubleKind::crash, ""},
-                    Fault{TroubleKind::lose_answers, "lost-answer"}, Fault{TroubleKind::trickle, "answered"},
-                    Fault{TroubleKind::garbage, "garbage"}, Fault{TroubleKind::close_on_use, "closed-on-use"},
-                    Fault{TroubleKind::drain, ""}, Fault{TroubleKind::roster_twice, ""}));
+    testing::Values(Fault{FaultKind::silence, "silent"}, Fault{FaultKind::mute_head, "mute-head"},
+                    Fault{FaultKind::mute_half, "mute-half"}, Fault{FaultKind::reset, "reset"},
+                    Fault{FaultKind::refuse, ""}, Fault{FaultKind::slow, ""},
+                    Fault{FaultKind::fail_fast, "error"}, Fault{FaultKind::crash, ""},
+                    Fault{FaultKind::lose_answers, "lost-answer"},
+                    Fault{FaultKind::byte_at_a_time, "answered"}, Fault{FaultKind::garbage, "garbage"},
+                    Fault{FaultKind::close_on_use, "closed-on-use"}, Fault{FaultKind::drain, ""},
+                    Fault{FaultKind::discovery_contradiction, ""}));
 
 TEST(Router, FromTheWordOnADrainingServerGetsNoEventAndNoOrder) {
   Scene scene(small_day());
@@ -154,7 +158,7 @@
   Scene scene(small_day());
   nlohmann::json entry = nlohmann::json::parse(scene.fleet->entry(scene.day.servers[0].id));
   entry["address"] = scene.fleet->address(scene.day.servers[1].id).toString();
-  scene.board->tell_now({{"form", "changes"}, {"revision", 9}, {"servers", nlohmann::json::array({entry})}});
+  scene.board->send_now({{"form", "changes"}, {"revision", 9}, {"servers", nlohmann::json::array({entry})}});
   ASSERT_TRUE(
       scene.reached_at(scene.day.servers[0].id, scene.fleet->address(scene.day.servers[1].id).toString()));
   scene.play();
@@ -172,7 +176,7 @@
 
 TEST(Router, AfterARosterThatComesAndGoesTheListStandsAsItWas) {
   Day day = small_day();
-  day.troubles.push_back({TroubleKind::roster_break, 2'000, 8'000, 1, {}});
+  day.faults.push_back({FaultKind::discovery_outage, 2'000, 8'000, 1, {}});
   Scene scene(day);
   scene.play();
   EXPECT_TRUE(scene.verdict.good()) << checker::as_text(scene.verdict);
@@ -191,9 +195,9 @@
   day.events = 1'200;
   day.rate = 2;
   const std::string dead = day.servers[0].id, drained = day.servers[1].id;
-  day.troubles = {{TroubleKind::roster_break, away_at, away_for, 1, {}},
-                  {TroubleKind::crash, 60 * second, 800 * second, 1, {dead}},
-                  {TroubleKind::drain, 200 * second, 800 * second, 1, {drained}}};
+  day.faults = {{FaultKind::discovery_outage, away_at, away_for, 1, {}},
+                {FaultKind::crash, 60 * second, 800 * second, 1, {dead}},
+                {FaultKind::drain, 200 * second, 800 * second, 1, {drained}}};
   Scene scene(day);
   const std::int64_t start = scene.reactor.clock_ns();
   scene.play();
@@ -227,7 +231,8 @@
   Scene scene(small_day());
   std::ofstream(file) << R"({"form":"complete","revision":1,"servers":[)"
                       << scene.fleet->entry(scene.day.servers[2].id) << "]}\n";
-  std::string text = standin::deployment_of(scene.day, 0, "127.0.0.1:0", "127.0.0.1:1", "", {});
+  std::string text =
+      simulation::deployment_of(scene.day, 0, {.listen = "127.0.0.1:0", .discovery = "127.0.0.1:1"});
   text.insert(text.find("[roster]\n") + 9, "remembered = " + file + "\n");
   scene.router = std::make_unique<router::RouterProcess>(scene.reactor, deployment::read_text("f", text), 3,
                                                          scene.silent);
