--- a/tests/transport/upstream_requests_test.cpp
+++ b/tests/transport/upstream_requests_test.cpp
@@ -8,7 +8,7 @@
 TEST(UpstreamRequests, AnAttemptCarriesTheEventTheSenderAndWhatIsLeftOfItsTime) {
   const events::CloudEvent message{.id = "1", .source = "/c", .type = "t", .data = "hello"};
   const EndpointId endpoint = "a";
-  const std::string bytes = attempt_request(3, {7, 2, endpoint, 10'005, message});
+  const std::string bytes = attempt_request(3, {7, 2, endpoint, Duration{10'005}, message});
   EXPECT_TRUE(bytes.starts_with("POST / HTTP/1.1\r\n"));
   EXPECT_TRUE(
       bytes.ends_with("host: a\r\nrushhill-server: a\r\nrushhill-router: 3\r\nrushhill-shot: 2\r\n"
