--- a/src/core/endpoint_call_execution.cpp
+++ b/src/core/endpoint_call_execution.cpp
@@ -37,7 +37,12 @@
                                           AttemptOutcome outcome, int copies) {
   const Duration taken = prewarms_.end({endpoint, function}, env_.clock.timestamp());
   const PrewarmEnd end{
-      .endpoint = endpoint, .function = function, .outcome = outcome, .taken = taken, .copies = copies};
+      .endpoint = endpoint,
+      .function = function,
+      .outcome = outcome,
+      .taken = taken,
+      .copies = copies,
+  };
   env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.prewarm_ended(now, end); });
 }
 
