--- a/src/routing/endpoint_monitor.cpp
+++ b/src/routing/endpoint_monitor.cpp
@@ -11,21 +11,22 @@
 namespace rushhill::routing {
 namespace {
 
-constexpr int every_peer = -1;
-constexpr Duration probe_period = 3 * one_second;  // few beside the requests, many beside a fault's length
-constexpr const char* utilization_field = "util";  // of a load report
-constexpr const char* reports_with_probes = "probe";
+constexpr int all_peers = -1;
+// Probes are rare compared with requests, but frequent enough to notice a fault while it lasts.
+constexpr Duration probe_period = 3 * one_second;
+constexpr const char* utilization_field = "util";  // in a load report
+constexpr const char* load_reports_by_probe = "probe";
 
 }  // namespace
 
-// A process that has died refuses connections. A connection that was lost may have been cut on its way, and
-// the endpoint as warm as it was. One that never comes up says that the way is cut, or the machine gone:
-// nothing of the process.
+// A refused connection indicates that the process has died. A lost connection may be due to the network, with
+// the process still running and its copies loaded. A connect timeout indicates a failure of the network or
+// the machine, and says nothing about the process.
 void EndpointMonitor::contact_ended(Timestamp now, const Contact& contact, EndpointRecord& record) {
   const Duration timeout = parts_.configuration.connect_timeout;
   switch (contact.outcome) {
     case AttemptOutcome::connect_failed:
-      // A refusal comes at once.
+      // A refusal arrives at once; a failure after half the timeout or more counts as a timeout.
       if (timeout > Duration::zero() && 2 * contact.taken >= timeout) {
         record.liveness.connect_timed_out(now);
       } else {
@@ -43,27 +44,30 @@
     case AttemptOutcome::error:
     case AttemptOutcome::overloaded:
     case AttemptOutcome::function_missing:
-      record.liveness.contact_made(now);
+      record.liveness.answer_received(now);
   }
 }
 
-// Where the endpoint has answered just now, or peers can tell of theirs, only several in a row show a death.
+// One failure alone shows a death unless the endpoint answered within the last second or, for a lost
+// connection, gossip lets the peers report their losses too. In these cases it takes several failures in a
+// row.
 void EndpointMonitor::connection_failed(Timestamp now, AttemptOutcome outcome, EndpointRecord& record) {
-  const bool answered_just_now = record.liveness.answered_just_now(now);
-  const bool several = record.liveness.connection_lost(now, peers_tell());
-  const bool peers_can_tell = outcome == AttemptOutcome::connection_lost && peers_tell();
-  if (several || (!answered_just_now && !peers_can_tell)) {
+  const bool answered_recently = record.liveness.answered_recently(now);
+  const bool enough_lost = record.liveness.record_lost_connection(now, gossip_enabled());
+  const bool peers_can_confirm = outcome == AttemptOutcome::connection_lost && gossip_enabled();
+  if (enough_lost || (!answered_recently && !peers_can_confirm)) {
     process_died(now, record);
-  } else if (peers_tell()) {
-    tell_peers(ConnectionLost{record.endpoint.id});
+  } else if (gossip_enabled()) {
+    broadcast(ConnectionLost{record.endpoint.id});
   }
 }
 
-// What has died holds nothing, and what answers there next is cold, long before the endpoint list says so.
+// A restarted process has no copies and is cold, and the endpoint list reports the restart only much later.
 void EndpointMonitor::process_died(Timestamp now, EndpointRecord& record) {
   record.liveness.process_died(now);
   parts_.functions.forget_copies(record.endpoint.id);
-  if (peers_tell() && record.liveness.announce_death(now)) tell_peers(EndpointDied{record.endpoint.id});
+  if (gossip_enabled() && record.liveness.should_announce_death(now))
+    broadcast(EndpointDied{record.endpoint.id});
 }
 
 void EndpointMonitor::load_reported(Timestamp now, const LoadReport& report, EndpointRecord& record) {
@@ -76,10 +80,10 @@
   EndpointRecord* const record = parts_.endpoints.find(end.endpoint);
   if (record == nullptr) return;
   contact_ended(now, {.outcome = end.outcome, .taken = end.taken}, *record);
-  const auto reported = end.report.find(utilization_field);
-  if (reported == end.report.end()) return;
-  observe_utilization(now, reported->second, *record);
-  if (peers_tell()) tell_peers(UtilizationReported{end.endpoint, reported->second});
+  const auto reported_utilization = end.report.find(utilization_field);
+  if (reported_utilization == end.report.end()) return;
+  observe_utilization(now, reported_utilization->second, *record);
+  if (gossip_enabled()) broadcast(UtilizationReported{end.endpoint, reported_utilization->second});
 }
 
 void EndpointMonitor::gossip_received(Timestamp now, const std::string& bytes) {
@@ -90,17 +94,17 @@
     observe_utilization(now, reported->utilization, *record);
     return;
   }
-  const bool only_a_connection = std::holds_alternative<ConnectionLost>(message);
-  if (only_a_connection && !record->liveness.connection_lost(now, peers_tell())) return;
-  record->liveness.peer_announced(now);
+  const bool only_connection_lost = std::holds_alternative<ConnectionLost>(message);
+  if (only_connection_lost && !record->liveness.record_lost_connection(now, gossip_enabled())) return;
+  record->liveness.record_peer_announcement(now);
   process_died(now, *record);
 }
 
 void EndpointMonitor::observe_utilization(Timestamp now, double utilization, EndpointRecord& record) {
   if (parts_.warm_up.is_warm(now, record)) parts_.fleet_load.observe_utilization(utilization);
-  const double usual = parts_.fleet_load.utilization();
-  if (usual > 0)
-    record.placement_weight.observe(utilization / usual - 1, parts_.observation.interval_share());
+  const double mean_utilization = parts_.fleet_load.utilization();
+  if (mean_utilization > 0)
+    record.placement_weight.observe(utilization / mean_utilization - 1, parts_.observation.interval_share());
 }
 
 void EndpointMonitor::judge_attempt(Timestamp now, bool bad, Attempt& attempt, EndpointRecord& record) {
@@ -116,18 +120,19 @@
 
 void EndpointMonitor::probe_by_turn(Timestamp now, EndpointRecord& record) {
   const ReportConfiguration& reports = parts_.configuration.reports;
-  if (!reports.probes || !reports.gossip || reports.load_reports != reports_with_probes) return;
-  const std::int64_t turn = now.time_since_epoch() / probe_period;
-  if (std::exchange(record.probe_turn, turn) == turn) return;
-  const double hash = rendezvous_hash({.key = std::to_string(turn), .endpoint = record.endpoint.id});
-  const double prober = std::ceil(hash * std::max(1, parts_.configuration.routers));  // from 1
-  if (static_cast<int>(prober) != parts_.configuration.router_number + 1) return;
+  if (!reports.probes || !reports.gossip || reports.load_reports != load_reports_by_probe) return;
+  const std::int64_t period_number = now.time_since_epoch() / probe_period;
+  if (std::exchange(record.probe_period_number, period_number) == period_number) return;
+  const double hash = rendezvous_hash({.key = std::to_string(period_number), .endpoint = record.endpoint.id});
+  const double assigned_router =
+      std::ceil(hash * std::max(1, parts_.configuration.routers));  // counted from 1
+  if (static_cast<int>(assigned_router) != parts_.configuration.router_number + 1) return;
   record.tokens.take(1);
   parts_.host.probe(record.endpoint.id);
 }
 
-void EndpointMonitor::tell_peers(const GossipMessage& message) {
-  parts_.host.send_gossip(every_peer, encode(message));
+void EndpointMonitor::broadcast(const GossipMessage& message) {
+  parts_.host.send_gossip(all_peers, encode(message));
 }
 
 }  // namespace rushhill::routing
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -5,7 +5,8 @@
 namespace rushhill::routing {
 namespace {
 
-constexpr Duration removed_kept = 120 * one_second;  // late answers and a return of the endpoint come within
+// Late answers arrive, and an endpoint returns to the list, within this time.
+constexpr Duration removed_retention = 120 * one_second;
 
 }  // namespace
 
@@ -30,7 +31,7 @@
   const std::size_t erased = std::erase_if(records_, [&](const auto& item) {
     const EndpointRecord& record = item.second;
     return record.removed_at != Timestamp{} && record.in_flight.open() == 0 &&
-           now - record.removed_at > removed_kept;
+           now - record.removed_at > removed_retention;
   });
   removed_ -= erased;
   version_ += erased;
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -1,4 +1,5 @@
-// The endpoints that this router knows, by the endpoint list, and what each part of the policy keeps of them.
+// The endpoints that this router knows from the endpoint list, and the state that each part of the policy
+// keeps about them.
 #pragma once
 
 #include <cstddef>
@@ -16,69 +17,71 @@
 
 namespace rushhill::routing {
 
-// Own attempts at an endpoint.
+// Counts this router's open attempts at an endpoint.
 class InFlightAttempts {
  public:
   void sent() { ++open_; }
   void ended() { --open_; }
   int open() const { return open_; }
 
-  // Attempts that are out for longer than usual, counted anew in each maintenance.
-  void reset_outlasting() { outlasting_ = 0; }
-  void add_outlasting() { ++outlasting_; }
-  int outlasting() const { return outlasting_; }
+  // The attempts that have been open for longer than usual, counted again in each periodic maintenance.
+  void reset_outlasting() { long_running_ = 0; }
+  void add_outlasting() { ++long_running_; }
+  int outlasting() const { return long_running_; }
 
  private:
   int open_ = 0;
-  int outlasting_ = 0;
+  int long_running_ = 0;
 };
 
-// One endpoint. Each member is changed by its own part alone; they stand together so that a decision needs
-// one look-up for each endpoint.
+// One endpoint. Each member is changed only by the part of the policy that it belongs to. They are kept in
+// one record so that a decision needs only one look-up per endpoint.
 struct EndpointRecord {
-  Endpoint endpoint{};  // as the endpoint list says
+  Endpoint endpoint{};  // as in the endpoint list
   InFlightAttempts in_flight;
   SlowStartTokens tokens;
   PlacementWeight placement_weight;
-  Timestamp removed_at{};  // default: it is on the list
+  Timestamp removed_at{};  // default value: the endpoint is on the list
   EndpointLiveness liveness;
-  std::int64_t probe_turn = 0;  // the last period in which a router's turn to probe it was drawn
+  std::int64_t probe_period_number = 0;  // the last period for which the probing router was chosen
   AttemptHistory history;
   OutlierState outlier;
   CopyLink copy;
 
-  // Rule 3. Nothing new for an endpoint that drains or is gone, from the moment this router was notified.
+  // Rule 3. An endpoint gets no new requests once this router has been notified that it is draining or
+  // removed.
   bool may_receive() const { return endpoint.state == EndpointState::active; }
-  // Its rated capacity relative to others.
+  // The endpoint's rated capacity relative to others.
   double weight() const { return endpoint.rating > 0 ? endpoint.rating : 1; }
-  // The weight that placement gives it.
+  // The weight that placement uses for the endpoint.
   double placed_weight() const { return weight() * placement_weight.factor(); }
 };
 
-// What a message of the endpoint list changed.
+// What an endpoint list message changed about one endpoint.
 struct EndpointUpdate {
   EndpointRecord& record;
   bool added = false;
   bool restarted = false;  // its process was replaced
 };
 
-// The records by endpoint. Records stay in place until they are erased.
+// The records by endpoint. A record's address stays valid until it is erased.
 class EndpointTable {
  public:
   using Records = std::map<EndpointId, EndpointRecord>;
 
-  // Ends what was resolved by earlier versions of the list.
+  // Increments the version, so that holders of record pointers look them up again.
   void new_version() { ++version_; }
   std::uint64_t version() const { return version_; }
 
   EndpointUpdate update(const Endpoint& endpoint);
-  // The endpoint has left the list; its record stays until its attempts have ended and a while has passed.
+  // Marks the endpoint as removed from the list. Its record is kept until its attempts have ended and two
+  // minutes have passed.
   void remove(Timestamp now, EndpointRecord& record);
   void erase_removed(Timestamp now);
 
   EndpointRecord& at(const EndpointId& id) { return records_.at(id); }
   const EndpointRecord& at(const EndpointId& id) const { return records_.at(id); }
-  // nullptr where the endpoint is not known.
+  // Returns nullptr if the endpoint is not known.
   EndpointRecord* find(const EndpointId& id);
   const EndpointRecord* find(const EndpointId& id) const;
 
--- a/src/routing/fleet_load.h
+++ b/src/routing/fleet_load.h
@@ -1,4 +1,5 @@
-// What warm endpoints bear, as this router sees it: the measure for those that warm up.
+// The load that warm endpoints carry, as this router observes it. Slow start uses it to estimate what a
+// warming endpoint can carry.
 #pragma once
 
 #include <algorithm>
@@ -8,32 +9,33 @@
 
 namespace rushhill::routing {
 
-// Successes at warm endpoints and their weight.
+// The successful requests at warm endpoints, and the sum of the weights of these endpoints.
 struct WarmSuccesses {
   double succeeded = 0;
   double weight = 0;
 };
 
-// Means over the warm endpoints.
+// Mean load of the warm endpoints.
 class FleetLoad {
  public:
-  // A warm endpoint reported how busy its cores are.
+  // Adds the core utilization that a warm endpoint reported.
   void observe_utilization(double utilization) { add_sample(utilization_, utilization); }
+  // Replaces the throughput by that of the successes within the span.
   void observe_successes(const WarmSuccesses& warm, Duration span) {
     const double ticks = FractionalDuration{span}.count();
-    successes_ = warm.succeeded / std::max(warm.weight, least_weight) / ticks;
+    throughput_ = warm.succeeded / std::max(warm.weight, min_weight) / ticks;
   }
 
-  // 0: not reported.
+  // Returns 0 if no utilization has been reported.
   double utilization() const { return utilization_; }
-  // Own requests per unit of weight and tenth of a millisecond.
-  double successes() const { return successes_; }
+  // This router's own successful requests per unit of weight and tenth of a millisecond.
+  double throughput() const { return throughput_; }
 
  private:
-  static constexpr double least_weight = 0.1;  // so that a fleet without warm endpoints divides by no zero
+  static constexpr double min_weight = 0.1;  // avoids a division by zero in a fleet without warm endpoints
 
   double utilization_ = 0;
-  double successes_ = 0;
+  double throughput_ = 0;
 };
 
 }  // namespace rushhill::routing
--- a/src/routing/gossip.h
+++ b/src/routing/gossip.h
@@ -1,5 +1,5 @@
 // Messages between routers about endpoints, and their encoding (docs/design.md, "Signs of death" and "Probes
-// and messages"). A peer may run an older or newer version, so that the encoding must not change.
+// and messages"). The encoding must not change, because a peer may run an older or newer version.
 #pragma once
 
 #include <string>
@@ -9,17 +9,18 @@
 
 namespace rushhill::routing {
 
-// The endpoint's process died: whatever answers there next is cold.
+// The endpoint's process died. A process that answers there afterwards is new and cold.
 struct EndpointDied {
   EndpointId endpoint{};
 };
 
-// One connection to the endpoint was lost, which may be the network's doing.
+// One connection to the endpoint was lost or refused, possibly because of the network.
 struct ConnectionLost {
   EndpointId endpoint{};
 };
 
-// How busy the endpoint's cores are, as it said to a health check; 1 is all of them.
+// The core utilization that the endpoint reported in answer to a health check; 1 means that all cores are
+// busy.
 struct UtilizationReported {
   EndpointId endpoint{};
   double utilization = 0;
@@ -28,7 +29,8 @@
 using GossipMessage = std::variant<EndpointDied, ConnectionLost, UtilizationReported>;
 
 std::string encode(const GossipMessage& message);
-// Never fails: what is malformed names an endpoint that nobody knows, or reads as one of the three.
+// Never fails. Malformed bytes are read as one of the three messages, possibly about an endpoint that does
+// not exist.
 GossipMessage decode(const std::string& bytes);
 
 const EndpointId& endpoint_of(const GossipMessage& message);
--- a/src/routing/observation_window.cpp
+++ b/src/routing/observation_window.cpp
@@ -6,7 +6,7 @@
 namespace rushhill::routing {
 namespace {
 
-constexpr double fewest_prior_samples = 1;
+constexpr double min_prior_samples = 1;
 
 }  // namespace
 
@@ -18,10 +18,10 @@
   const FractionalDuration interval = serving_endpoints * FractionalDuration{seen(now)} / (requests(now) + 1);
   interval_ = std::min(std::chrono::duration_cast<Duration>(interval), history_span);
   recent_buckets_ = static_cast<int>(
-      std::clamp<std::int64_t>(2 * interval_ / history_bucket_width, fewest_recent_buckets, history_buckets));
+      std::clamp<std::int64_t>(2 * interval_ / history_bucket_width, min_recent_buckets, history_buckets));
   const FractionalDuration recent_span = recent_buckets_ * history_bucket_width;
   prior_samples_ =
-      std::clamp(recent_span / (interval + FractionalDuration{1}), fewest_prior_samples, most_prior_samples);
+      std::clamp(recent_span / (interval + FractionalDuration{1}), min_prior_samples, most_prior_samples);
 }
 
 double ObservationWindow::interval_share() const {
--- a/src/routing/observation_window.h
+++ b/src/routing/observation_window.h
@@ -1,5 +1,5 @@
-// How often this router sees an endpoint, and how long a past therefore tells of the present (docs/design.md,
-// "What changed for size").
+// Tracks how often this router uses an endpoint, which determines how far back statistics about it must reach
+// (docs/design.md, "What changed for size").
 #pragma once
 
 #include "routing/attempt_history.h"
@@ -8,44 +8,48 @@
 
 namespace rushhill::routing {
 
-constexpr double most_prior_samples = 3;  // answers an endpoint must show before its figures are its own
-constexpr int fewest_recent_buckets = 4;  // so that a fault shows within one or two
+// From this many answers on, an endpoint's own statistics count at least as much as the fleet's.
+constexpr double most_prior_samples = 3;
+// With so few buckets, a fault shows within one or two of them.
+constexpr int min_recent_buckets = 4;
 
-// Counts the requests that this router takes, over all functions.
+// Counts requests over the history span.
 using RequestWindow = SlidingWindow<double, history_buckets>;
 
-// All that is judged over time follows the interval in which each endpoint gets one of this router's
-// requests.
+// Derives the spans over which endpoints are judged from the observation interval: the mean time between two
+// requests of this router to the same endpoint.
 class ObservationWindow {
  public:
-  // The first message of the endpoint list starts it.
+  // Observation starts with the first endpoint list message.
   bool started() const { return started_at_ != Timestamp{}; }
   void start(Timestamp now) { started_at_ = now; }
 
   void request_taken(Timestamp now) { requests_.bucket_at(now) += 1; }
   double requests(Timestamp now) const { return requests_.total(now); }
 
-  // How long this router has observed; `seen` of it is within the history.
+  // How long this router has been observing.
   Duration observed_for(Timestamp now) const { return now - started_at_; }
+  // The part of that time that lies within the history span, at least one second.
   Duration seen(Timestamp now) const;
 
-  // Takes the interval anew for so many endpoints that may receive requests.
+  // Recomputes the interval. `serving_endpoints`: how many endpoints may receive requests.
   void update(Timestamp now, double serving_endpoints);
 
-  // An endpoint gets one of this router's requests in about that; no longer than the history.
+  // The observation interval: the mean time between two of this router's requests to the same endpoint, at
+  // most the history span.
   Duration interval() const { return interval_; }
-  // The part of the history that one interval covers, up to 1.
+  // The interval as a share of the history span, at most 1.
   double interval_share() const;
-  // Buckets of a history that tell of the present.
+  // The number of newest history buckets that describe the present: about two intervals.
   int recent_buckets() const { return recent_buckets_; }
-  // Answers that an endpoint must show before its figures count as much as the fleet's.
+  // The number of samples as which the fleet's mean counts in an endpoint's statistics.
   double prior_samples() const { return prior_samples_; }
 
  private:
   RequestWindow requests_{history_bucket_width};
   Timestamp started_at_{};
   Duration interval_ = one_second;
-  int recent_buckets_ = fewest_recent_buckets;
+  int recent_buckets_ = min_recent_buckets;
   double prior_samples_ = most_prior_samples;
 };
 
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -5,24 +5,29 @@
 namespace rushhill::routing {
 namespace {
 
-constexpr double ejection_excess = 0.5;             // share; bad beyond the median that ejects an endpoint
-constexpr Duration shortest_period = one_second;    // several usual answers, so that a period can be judged
-constexpr Duration longest_pause = 8 * one_second;  // an endpoint that is well again is noticed within that
-constexpr double first_attempt_share = 1.0 / 16;    // of the usual attempts; few fail if it is still sick
-constexpr int ramp_periods_per_interval = 8;        // of a ramp, in an observation interval at the most
+// An endpoint is ejected when its share of bad attempts exceeds the fleet's median by more than this. A
+// period of its recovery fails when the share of bad attempts in it is larger than this.
+constexpr double ejection_excess = 0.5;
+// A period covers several answers, so that it can be judged.
+constexpr Duration min_period = one_second;
+// An endpoint that has recovered is noticed within this time.
+constexpr Duration max_pause = 8 * one_second;
+// Share of the usual attempts. Few requests fail if the endpoint has not recovered yet.
+constexpr double initial_attempt_share = 1.0 / 16;
+constexpr int ramp_periods_per_interval = 8;  // the maximum number in one observation interval
 
 }  // namespace
 
 void OutlierState::start_pause(Timestamp now) {
   attempt_share_ = 0;
-  pause_ = std::clamp(2 * pause_, shortest_period, longest_pause);
+  pause_ = std::clamp(2 * pause_, min_period, max_pause);
   period_end_ = now + pause_;
   period_judged_ = 0;
   period_bad_ = 0;
 }
 
 void OutlierState::start_ramp_period(Timestamp now, Duration span) {
-  attempt_share_ = std::max(first_attempt_share, 2 * attempt_share_);
+  attempt_share_ = std::max(initial_attempt_share, 2 * attempt_share_);
   period_end_ = now + span;
   period_judged_ = 0;
   period_bad_ = 0;
@@ -40,8 +45,8 @@
   }
   const AttemptStatistics recent = history.recent(now, observation_.recent_buckets());
   if (bad_share(recent) <= fleet_.median_bad_share + ejection_excess) return OutlierChange::none;
-  const bool most_look_bad = 2 * fleet_.ejected >= fleet_.serving;
-  if (most_look_bad) return OutlierChange::none;  // then the measure is wrong
+  const bool half_already_ejected = 2 * fleet_.ejected >= fleet_.serving;
+  if (half_already_ejected) return OutlierChange::none;  // the cause is not a few outliers
   fleet_.ejected += 1;
   state.ejected_ = true;
   state.start_pause(now);
@@ -54,8 +59,7 @@
     state.start_pause(now);
     return OutlierChange::none;
   }
-  state.start_ramp_period(now,
-                          std::max(shortest_period, observation_.interval() / ramp_periods_per_interval));
+  state.start_ramp_period(now, std::max(min_period, observation_.interval() / ramp_periods_per_interval));
   if (state.attempt_share_ <= 1) return OutlierChange::none;
   state.ejected_ = false;
   history.clear();
--- a/src/routing/outlier_detection.h
+++ b/src/routing/outlier_detection.h
@@ -1,5 +1,6 @@
-// Outlier detection: an endpoint whose attempts go badly far more often than the fleet's median is ejected,
-// and comes back over a recovery ramp (docs/design.md, "Bad servers").
+// Outlier detection. An endpoint whose share of bad attempts is far above the fleet's median is ejected, and
+// readmitted over a recovery ramp (docs/design.md, "Bad servers"). An attempt is bad if it failed or is
+// overdue.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +11,13 @@
 
 namespace rushhill::routing {
 
-// One endpoint's state: whether it is ejected and, while it is, which share of its usual attempts it gets.
+// Whether one endpoint is ejected, and which share of its usual attempts it gets while it is.
 class OutlierState {
  public:
   bool ejected() const { return ejected_; }
-  // Of its usual attempts, while it is ejected.
+  // The share of its usual attempts that the endpoint gets while it is ejected.
   double attempt_share() const { return attempt_share_; }
-  // Its process was replaced: what was seen of the old one counts no more.
+  // Readmits the endpoint, because its process was replaced and the old one's attempts no longer count.
   void endpoint_restarted() { ejected_ = false; }
 
  private:
@@ -28,35 +29,36 @@
   bool ejected_ = false;
   double attempt_share_ = 0;
   Timestamp period_end_{};
-  Duration pause_{};  // before the ramp; doubles while the ramp goes badly
+  Duration pause_{};  // before the ramp; doubles after each failed period
   double period_judged_ = 0;
   double period_bad_ = 0;
 };
 
-// What ejecting and readmitting an endpoint changed.
+// How an endpoint's state changed.
 enum class OutlierChange : std::uint8_t { none, ejected, readmitted };
 
-// How many endpoints there are, and how often their attempts go badly.
-struct FleetVerdict {
+// The number of endpoints and their share of bad attempts.
+struct FleetStatistics {
   double serving = 0;  // endpoints that may receive requests
-  double ejected = 0;  // of these
+  double ejected = 0;  // of the serving endpoints
   double median_bad_share = 0;
 };
 
-// The rules, and what they know of the fleet.
+// The rules for ejecting and readmitting endpoints.
 class OutlierDetection {
  public:
   explicit OutlierDetection(const ObservationWindow& observation) : observation_(observation) {}
 
-  // An attempt at the endpoint went well or badly; may eject it.
+  // Counts a good or bad attempt at the endpoint, and may eject the endpoint.
   OutlierChange attempt_judged(Timestamp now, bool bad, OutlierState& state, AttemptHistory& history);
 
-  // Moves an ejected endpoint along its recovery ramp; may readmit it.
+  // Moves an ejected endpoint along its recovery ramp, and may readmit it.
   OutlierChange advance(Timestamp now, OutlierState& state, AttemptHistory& history) const;
 
-  void observe_fleet(const FleetVerdict& fleet) { fleet_ = fleet; }
+  void observe_fleet(const FleetStatistics& fleet) { fleet_ = fleet; }
 
-  // The share of an endpoint's attempts that go badly, drawn to the fleet's median where few are known.
+  // An endpoint's share of bad attempts. The fleet's median counts as additional samples, so it dominates if
+  // few attempts are known.
   double bad_share(const AttemptStatistics& statistics) const {
     const double prior = observation_.prior_samples();
     return (statistics.bad + prior * fleet_.median_bad_share) / (statistics.judged + prior);
@@ -65,7 +67,7 @@
 
  private:
   const ObservationWindow& observation_;
-  FleetVerdict fleet_;
+  FleetStatistics fleet_;
 };
 
 }  // namespace rushhill::routing
--- a/src/routing/overload_control.h
+++ b/src/routing/overload_control.h
@@ -1,10 +1,10 @@
-// Overload control: how far the endpoints are beyond their no-load level, and which requests are rejected for
-// it (docs/design.md, "Overload").
+// Overload control. Measures how far the endpoints' load is above their no-load level, and decides which
+// requests are rejected because of it (docs/design.md, "Overload").
 //
-// Two signals are kept. The first is a gradient: the own attempts that are out for longer than usual, set
-// beside those that the successes of late keep out at the no-load pace (Little's law). It shows an overload
-// well before the first late answer. The second, per tenant, is the share of attempts at loaded copies that
-// came back slow or were rejected by the endpoint.
+// There are two signals. The first is a gradient: it compares the number of this router's long-running
+// attempts with the number of attempts that the recent successes would keep in flight without load (Little's
+// law). It shows an overload well before the first late answer. The second is, for each tenant, the share of
+// attempts at loaded copies that were slow or were rejected by the endpoint.
 #pragma once
 
 #include <algorithm>
@@ -17,50 +17,53 @@
 
 namespace rushhill::routing {
 
-// An answer that a request would get now.
+// The answer that a request would get without load, and the time left for it.
 struct ExpectedAnswer {
-  FractionalDuration no_load_time{};  // with nothing else at the endpoint
+  FractionalDuration no_load_time{};  // response time at an idle endpoint
   FractionalDuration time_left{};     // until its latency objective
 };
 
-// Both signals, from what this router's own attempts showed.
+// Keeps both signals, from this router's own attempts.
 class OverloadControl {
  public:
-  // An attempt succeeded that takes so long when nothing else is at the endpoint.
+  // Records a successful attempt. `no_load_time`: its expected response time at an idle endpoint.
   void attempt_succeeded(Timestamp now, FractionalDuration no_load_time) {
     no_load_times_.bucket_at(now) += no_load_time;
   }
 
-  // An attempt ended at an endpoint that held a loaded copy; slow: after most of the latency objective, or
-  // rejected.
+  // Records the end of an attempt at an endpoint that had a loaded copy. `slow`: it took most of the latency
+  // objective or was rejected.
   void attempt_at_loaded_copy(Timestamp now, const std::string& tenant, bool slow);
 
-  // The share of the tenant's requests to reject at once, alike at every router, so that the rest is in time.
-  // May be below 0 where there is no overload.
+  // The share of the tenant's requests to reject on arrival, so that the others are answered in time. It may
+  // be negative if there is no overload. Every router applies the same rule to its own attempts.
   double share_to_reject(Timestamp now, const std::string& tenant);
 
-  // Takes anew, for each endpoint, how many own attempts are out for longer than usual; changes their order.
-  // `observed_for` is this router's age, `requests` how many it took of late.
+  // Recomputes the load ratio. `long_running_counts` holds, for each endpoint, the number of this router's
+  // long-running attempts (as RetryPolicy defines them); it is reordered. `observed_for` is how long the
+  // router has been observing, `requests` how many it received in the history span.
   void observe_in_flight(Timestamp now, Duration observed_for, double requests,
-                         std::vector<double>& outlasting);
+                         std::vector<double>& long_running_counts);
 
-  // Whether a request would miss its objective at the load ratio of now.
+  // Whether a request would probably miss its objective at the present load ratio.
   bool misses_objective(const ExpectedAnswer& answer) const {
     const FractionalDuration tolerated =
-        std::max(answer.time_left * tolerated_part, tolerated_answers * answer.no_load_time);
+        std::max(answer.time_left * tolerated_share, tolerated_response_times * answer.no_load_time);
     return answer.no_load_time * load_ratio_ > tolerated;
   }
 
-  // How many times as long as without load an answer takes now.
+  // The estimated ratio of the present response time to that without load, at least 1.
   double load_ratio() const { return load_ratio_; }
 
  private:
-  static constexpr int window_buckets = 20;      // of a second
-  static constexpr int recent_buckets = 4;       // trouble shows within one or two
-  static constexpr double tolerated_part = 0.7;  // of the time left; the fullest endpoints are above the mean
-  static constexpr double tolerated_answers = 2;  // no-load times; nothing is rejected for a wait within that
+  static constexpr int window_buckets = 20;  // of one second
+  static constexpr int recent_buckets = 4;   // An overload shows within one or two of these.
+  // Share of the time left. The most loaded endpoints are slower than the mean.
+  static constexpr double tolerated_share = 0.7;
+  // No-load response times. No request is rejected for a wait within them.
+  static constexpr double tolerated_response_times = 2;
 
-  // At endpoints that held a loaded copy.
+  // Counts of attempts at endpoints that had a loaded copy.
   struct Attempts {
     double all = 0;
     double slow = 0;
@@ -75,7 +78,7 @@
   AttemptWindow& attempts_of(const std::string& tenant);
 
   SlidingWindow<FractionalDuration, window_buckets> no_load_times_{one_second};
-  std::map<std::string, AttemptWindow> attempts_;  // at loaded copies, by tenant
+  std::map<std::string, AttemptWindow> attempts_;  // by tenant
   double load_ratio_ = 1;
 };
 
--- a/src/routing/random_source.h
+++ b/src/routing/random_source.h
@@ -1,4 +1,4 @@
-// The policy's random numbers: one generator for each router, so that a seed fixes all decisions.
+// The routing policy's random numbers. Each router has one generator, so that its seed fixes all decisions.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace rushhill::routing {
 
-// Draws numbers that are evenly distributed between 0 and 1, both excluded.
+// Draws uniformly distributed numbers between 0 and 1, both excluded.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed)
--- a/tests/routing/endpoint_liveness_test.cpp
+++ b/tests/routing/endpoint_liveness_test.cpp
@@ -8,58 +8,58 @@
 constexpr Timestamp start{100 * one_second};
 constexpr Duration tick{40};
 
-TEST(EndpointLiveness, ThreeConnectionsLostInARowAreADeath) {
+TEST(EndpointLiveness, ThreeConnectionsLostInARowShowADeath) {
   EndpointLiveness liveness;
-  EXPECT_FALSE(liveness.connection_lost(start, true));
-  EXPECT_FALSE(liveness.connection_lost(start, true));
-  EXPECT_TRUE(liveness.connection_lost(start, true));
+  EXPECT_FALSE(liveness.record_lost_connection(start, true));
+  EXPECT_FALSE(liveness.record_lost_connection(start, true));
+  EXPECT_TRUE(liveness.record_lost_connection(start, true));
 }
 
-TEST(EndpointLiveness, AnAnswerBetweenStartsTheCountAgain) {
+TEST(EndpointLiveness, AnswerResetsTheCountOfLostConnections) {
   EndpointLiveness liveness;
-  liveness.connection_lost(start, true);
-  liveness.connection_lost(start, true);
-  liveness.contact_made(start);
-  EXPECT_FALSE(liveness.connection_lost(start, true));
+  liveness.record_lost_connection(start, true);
+  liveness.record_lost_connection(start, true);
+  liveness.answer_received(start);
+  EXPECT_FALSE(liveness.record_lost_connection(start, true));
 }
 
-TEST(EndpointLiveness, WherePeersTellOnlyLossesWithinASecondOfEachOtherCount) {
-  for (const bool peers_tell : {true, false}) {
+TEST(EndpointLiveness, WithGossipALossAfterMoreThanASecondRestartsTheCount) {
+  for (const bool gossip_enabled : {true, false}) {
     EndpointLiveness liveness;
-    liveness.connection_lost(start, peers_tell);
-    liveness.connection_lost(start, peers_tell);
-    EXPECT_EQ(liveness.connection_lost(start + 2 * one_second, peers_tell), !peers_tell);
+    liveness.record_lost_connection(start, gossip_enabled);
+    liveness.record_lost_connection(start, gossip_enabled);
+    EXPECT_EQ(liveness.record_lost_connection(start + 2 * one_second, gossip_enabled), !gossip_enabled);
   }
 }
 
-TEST(EndpointLiveness, HasAnsweredJustNowForASecond) {
+TEST(EndpointLiveness, CountsAnAnswerAsRecentForASecond) {
   EndpointLiveness liveness;
-  EXPECT_FALSE(liveness.answered_just_now(start));
-  liveness.contact_made(start);
-  EXPECT_TRUE(liveness.answered_just_now(start + one_second));
-  EXPECT_FALSE(liveness.answered_just_now(start + one_second + Duration{1}));
+  EXPECT_FALSE(liveness.answered_recently(start));
+  liveness.answer_received(start);
+  EXPECT_TRUE(liveness.answered_recently(start + one_second));
+  EXPECT_FALSE(liveness.answered_recently(start + one_second + Duration{1}));
 }
 
-TEST(EndpointLiveness, DeathIsAnnouncedOnceASecond) {
+TEST(EndpointLiveness, AnnouncesADeathAtMostOnceASecond) {
   EndpointLiveness liveness;
-  EXPECT_TRUE(liveness.announce_death(start));
-  EXPECT_FALSE(liveness.announce_death(start + one_second / 2));
-  liveness.peer_announced(start + 2 * one_second);
-  EXPECT_FALSE(liveness.announce_death(start + 2 * one_second));
+  EXPECT_TRUE(liveness.should_announce_death(start));
+  EXPECT_FALSE(liveness.should_announce_death(start + one_second / 2));
+  liveness.record_peer_announcement(start + 2 * one_second);
+  EXPECT_FALSE(liveness.should_announce_death(start + 2 * one_second));
 }
 
-TEST(EndpointLiveness, AnswerToWhatWasSentBeforeARestartRefutesIt) {
+TEST(EndpointLiveness, AnswerToARequestSentBeforeAPresumedRestartRefutesIt) {
   EndpointLiveness liveness;
   liveness.process_died(start);
   liveness.request_succeeded({.sent = start - one_second, .answered = start + tick}, tick);
-  EXPECT_EQ(liveness.restarted_at(), start) << "it was on its way at that moment";
+  EXPECT_EQ(liveness.restarted_at(), start) << "the answer may have been in transit at that moment";
   liveness.request_succeeded({.sent = start, .answered = start + one_second}, tick);
-  EXPECT_EQ(liveness.restarted_at(), start) << "it was sent afterwards";
+  EXPECT_EQ(liveness.restarted_at(), start) << "the request was sent after the presumed restart";
   liveness.request_succeeded({.sent = start - one_second, .answered = start + one_second}, tick);
   EXPECT_EQ(liveness.restarted_at(), Timestamp{});
 }
 
-TEST(EndpointLiveness, AwaitsAnAnswerSinceTheFirstSendAfterTheLastAnswer) {
+TEST(EndpointLiveness, AwaitsAnAnswerSinceTheFirstSendOrTheLastAnswer) {
   EndpointLiveness liveness;
   liveness.attempt_sent(start);
   liveness.attempt_sent(start + one_second);
@@ -99,7 +99,7 @@
   }
 }
 
-TEST(EndpointLiveness, IsSparedLoadsForTheGivenSpan) {
+TEST(EndpointLiveness, BacksOffLoadsForTheGivenSpan) {
   EndpointLiveness liveness;
   liveness.spare_loads(start, one_second);
   EXPECT_TRUE(liveness.loads_backing_off(start));
--- a/tests/routing/endpoint_monitor_test.cpp
+++ b/tests/routing/endpoint_monitor_test.cpp
@@ -7,38 +7,38 @@
 
 class EndpointMonitorTest : public RoutingPartsTest {
  protected:
-  void contact(AttemptOutcome outcome, Duration taken = Duration{1}) {
-    monitor.contact_ended(start, {.outcome = outcome, .taken = taken}, endpoint("a"));
+  void end_contact(AttemptOutcome outcome, Duration duration = Duration{1}) {
+    monitor.contact_ended(start, {.outcome = outcome, .taken = duration}, endpoint("a"));
   }
   bool died() { return endpoint("a").liveness.restarted_at() != Timestamp{}; }
 };
 
-TEST_F(EndpointMonitorTest, RefusedConnectionOfASilentEndpointIsADeathThatPeersAreTold) {
+TEST_F(EndpointMonitorTest, RefusedConnectionWithoutARecentAnswerShowsADeathAndNotifiesPeers) {
   copy("a").confirm(start);
-  contact(AttemptOutcome::connect_failed);
+  end_contact(AttemptOutcome::connect_failed);
   EXPECT_TRUE(died());
   EXPECT_FALSE(copy_believed("a"));
   EXPECT_EQ(host.told, std::vector<std::string>{"a"});
 }
 
-TEST_F(EndpointMonitorTest, ConnectionThatNeverComesUpStartsABackoff) {
-  contact(AttemptOutcome::connect_failed, one_second / 4);
+TEST_F(EndpointMonitorTest, ConnectTimeoutStartsABackoff) {
+  end_contact(AttemptOutcome::connect_failed, one_second / 4);
   EXPECT_FALSE(died());
   EXPECT_TRUE(endpoint("a").liveness.backing_off(start));
   EXPECT_TRUE(host.told.empty());
 }
 
-TEST_F(EndpointMonitorTest, LostConnectionIsToldToThePeersAndTheThirdIsADeath) {
-  contact(AttemptOutcome::succeeded);
-  contact(AttemptOutcome::connection_lost);
-  contact(AttemptOutcome::connection_lost);
+TEST_F(EndpointMonitorTest, BroadcastsLostConnectionsAndTreatsTheThirdAsADeath) {
+  end_contact(AttemptOutcome::succeeded);
+  end_contact(AttemptOutcome::connection_lost);
+  end_contact(AttemptOutcome::connection_lost);
   EXPECT_FALSE(died());
-  contact(AttemptOutcome::connection_lost);
+  end_contact(AttemptOutcome::connection_lost);
   EXPECT_TRUE(died());
   EXPECT_EQ(host.told, (std::vector<std::string>{"a c", "a c", "a"}));
 }
 
-TEST_F(EndpointMonitorTest, PeersWordOfADeathIsNotPassedOn) {
+TEST_F(EndpointMonitorTest, DoesNotForwardADeathAnnouncedByAPeer) {
   copy("a").confirm(start);
   monitor.gossip_received(start, "a");
   EXPECT_TRUE(died());
@@ -46,13 +46,13 @@
   EXPECT_TRUE(host.told.empty());
 }
 
-TEST_F(EndpointMonitorTest, GossipOfUnknownEndpointsIsIgnored) {
+TEST_F(EndpointMonitorTest, IgnoresGossipAboutUnknownEndpoints) {
   monitor.gossip_received(start, "unknown");
   monitor.gossip_received(start, "");
   EXPECT_FALSE(died());
 }
 
-TEST_F(EndpointMonitorTest, UtilizationMovesTheWeightsAndIsToldToThePeersFromProbesAlone) {
+TEST_F(EndpointMonitorTest, UtilizationChangesWeightsAndIsBroadcastOnlyFromProbes) {
   monitor.load_reported(start, {{"util", 0.5}}, endpoint("b"));
   EXPECT_EQ(parts.fleet_load.utilization(), 0.5);
   monitor.load_reported(start, {{"other", 1}}, endpoint("a"));
@@ -63,7 +63,7 @@
   EXPECT_EQ(host.told, std::vector<std::string>{"a u100"});
 }
 
-TEST_F(EndpointMonitorTest, AttemptIsJudgedOnce) {
+TEST_F(EndpointMonitorTest, JudgesAnAttemptOnce) {
   Attempt attempt{.endpoint = "a"};
   monitor.judge_attempt(start, true, attempt, endpoint("a"));
   monitor.judge_attempt(start, true, attempt, endpoint("a"));
@@ -72,17 +72,17 @@
 
 class ProbingMonitorTest : public RoutingPartsTest {
  protected:
-  static RoutingConfiguration probing() {
+  static RoutingConfiguration probing_configuration() {
     RoutingConfiguration configuration = default_configuration();
     configuration.routers = 1;
     configuration.reports.probes = true;
     configuration.reports.load_reports = "probe";
     return configuration;
   }
-  ProbingMonitorTest() : RoutingPartsTest(probing()) {}
+  ProbingMonitorTest() : RoutingPartsTest(probing_configuration()) {}
 };
 
-TEST_F(ProbingMonitorTest, ProbesOnceAPeriodForAToken) {
+TEST_F(ProbingMonitorTest, ProbesOncePerPeriodAndSpendsAToken) {
   monitor.probe_by_turn(start, endpoint("a"));
   monitor.probe_by_turn(start, endpoint("a"));
   EXPECT_EQ(host.probes, std::vector<EndpointId>{"a"});
--- a/tests/routing/endpoint_table_test.cpp
+++ b/tests/routing/endpoint_table_test.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 constexpr Timestamp now{100 * one_second};
-constexpr Duration removed_kept = 120 * one_second;
+constexpr Duration removed_retention = 120 * one_second;
 
-TEST(EndpointTable, SaysWhatAnUpdateChanged) {
+TEST(EndpointTable, UpdateReportsWhatItChanged) {
   EndpointTable endpoints;
   EXPECT_TRUE(endpoints.update({.id = "a"}).added);
   const EndpointUpdate same = endpoints.update({.id = "a"});
@@ -19,47 +19,47 @@
   EXPECT_EQ(endpoints.find("a"), &endpoints.at("a"));
 }
 
-TEST(EndpointTable, RemovedEndpointMayNotReceiveAndGoesAfterAWhile) {
+TEST(EndpointTable, RemovedEndpointGetsNoRequestsAndIsErasedLater) {
   EndpointTable endpoints;
   endpoints.update({.id = "a"});
   EXPECT_TRUE(endpoints.at("a").may_receive());
   endpoints.remove(now, endpoints.at("a"));
   EXPECT_FALSE(endpoints.at("a").may_receive());
   endpoints.remove(now + one_second, endpoints.at("a"));
-  endpoints.erase_removed(now + removed_kept);
+  endpoints.erase_removed(now + removed_retention);
   EXPECT_NE(endpoints.find("a"), nullptr);
   const std::uint64_t version = endpoints.version();
-  endpoints.erase_removed(now + removed_kept + Duration{1});
+  endpoints.erase_removed(now + removed_retention + Duration{1});
   EXPECT_EQ(endpoints.find("a"), nullptr);
-  EXPECT_NE(endpoints.version(), version) << "whoever holds a pointer has to look it up again";
+  EXPECT_NE(endpoints.version(), version) << "pointers to erased records have to be looked up again";
 }
 
-TEST(EndpointTable, RecordStaysWhileAttemptsAreOpenOrTheEndpointIsBack) {
+TEST(EndpointTable, KeepsTheRecordWhileAttemptsAreOpenOrAfterTheEndpointReturned) {
   EndpointTable endpoints;
   endpoints.update({.id = "open"}).record.in_flight.sent();
   endpoints.update({.id = "back"});
   for (const char* id : {"open", "back"}) endpoints.remove(now, endpoints.at(id));
   endpoints.update({.id = "back"});
-  endpoints.erase_removed(now + 2 * removed_kept);
+  endpoints.erase_removed(now + 2 * removed_retention);
   EXPECT_NE(endpoints.find("open"), nullptr);
   EXPECT_NE(endpoints.find("back"), nullptr);
 }
 
-TEST(EndpointTable, EndpointThatCameBackAndLeftAgainGoesAWhileAfterThat) {
+TEST(EndpointTable, RetentionStartsAnewWhenAReturnedEndpointIsRemovedAgain) {
   EndpointTable endpoints;
   for (const char* id : {"a", "b"}) endpoints.update({.id = id});
   endpoints.remove(now, endpoints.at("a"));
   endpoints.update({.id = "a"});
   endpoints.remove(now + one_second, endpoints.at("a"));
-  endpoints.erase_removed(now + removed_kept + Duration{1});
+  endpoints.erase_removed(now + removed_retention + Duration{1});
   EXPECT_NE(endpoints.find("a"), nullptr);
-  endpoints.remove(now + removed_kept, endpoints.at("b"));
-  endpoints.erase_removed(now + one_second + removed_kept + Duration{1});
+  endpoints.remove(now + removed_retention, endpoints.at("b"));
+  endpoints.erase_removed(now + one_second + removed_retention + Duration{1});
   EXPECT_EQ(endpoints.find("a"), nullptr);
   EXPECT_NE(endpoints.find("b"), nullptr);
 }
 
-TEST(EndpointRecord, WeightIsTheRatingTimesThatOfPlacement) {
+TEST(EndpointRecord, PlacedWeightIsTheRatingTimesThePlacementFactor) {
   EndpointRecord record;
   record.endpoint.rating = 0;
   EXPECT_EQ(record.weight(), 1);
--- a/tests/routing/endpoint_warm_up_test.cpp
+++ b/tests/routing/endpoint_warm_up_test.cpp
@@ -9,7 +9,7 @@
 
 class EndpointWarmUpTest : public ::testing::Test {
  protected:
-  void start_now() { record.endpoint.started = now - 2 * one_second; }
+  void start_recently() { record.endpoint.started = now - 2 * one_second; }
 
   ObservationWindow observation;
   FleetLoad fleet_load;
@@ -37,15 +37,15 @@
   EXPECT_EQ(record.tokens.level(), 0);
 }
 
-TEST_F(EndpointWarmUpTest, EndpointWarmsUpSinceItsStartOrItsLastDeath) {
-  start_now();
+TEST_F(EndpointWarmUpTest, WarmsUpSinceTheLaterOfItsStartAndItsDeath) {
+  start_recently();
   EXPECT_EQ(warm_up.warming_since(now, record), now - 2 * one_second);
   record.liveness.process_died(now - one_second);
   EXPECT_EQ(warm_up.warming_since(now, record), now - one_second);
 }
 
-TEST_F(EndpointWarmUpTest, RequestTakesATokenAndARefillBringsSome) {
-  start_now();
+TEST_F(EndpointWarmUpTest, RequestCostsATokenAndARefillAddsTokens) {
+  start_recently();
   record.tokens = SlowStartTokens(1.5);
   EXPECT_TRUE(warm_up.admits_request(now, record));
   warm_up.request_sent(now, estimates.of_class("lookup"), record);
@@ -57,13 +57,13 @@
   EXPECT_GT(record.tokens.level(), 0.5);
 }
 
-TEST(FleetLoad, IsTheMeanOfTheWarmEndpoints) {
+TEST(FleetLoad, IsTheMeanLoadOfTheWarmEndpoints) {
   FleetLoad fleet_load;
   EXPECT_EQ(fleet_load.utilization(), 0);
   fleet_load.observe_utilization(0.5);
   EXPECT_EQ(fleet_load.utilization(), 0.5);
   fleet_load.observe_successes({.succeeded = 40, .weight = 2}, one_second);
-  EXPECT_DOUBLE_EQ(fleet_load.successes(), 20.0 / 10'000);
+  EXPECT_DOUBLE_EQ(fleet_load.throughput(), 20.0 / 10'000);
 }
 
 }  // namespace
--- a/tests/routing/outlier_detection_test.cpp
+++ b/tests/routing/outlier_detection_test.cpp
@@ -25,19 +25,20 @@
   Timestamp now = start;
 };
 
-TEST_F(OutlierDetectionTest, BadShareBeyondTheMedianEjects) {
-  // Of n bad ones, n of n + 3 count: more than a half from the fourth on.
+TEST_F(OutlierDetectionTest, EjectsAnEndpointWhoseBadShareFarExceedsTheMedian) {
+  // After n bad attempts the share is n / (n + 3), since the fleet's median of 0 counts as three samples. It
+  // exceeds one half from the fourth attempt on.
   for (int i = 0; i < 3; ++i) EXPECT_EQ(judge(true), OutlierChange::none);
   EXPECT_EQ(judge(true), OutlierChange::ejected);
   EXPECT_TRUE(state.ejected());
 }
 
-TEST_F(OutlierDetectionTest, NothingIsEjectedWhereAllGoesBadly) {
+TEST_F(OutlierDetectionTest, EjectsNothingIfTheWholeFleetFails) {
   detection.observe_fleet({.serving = 10, .median_bad_share = 0.6});
   for (int i = 0; i < 50; ++i) EXPECT_EQ(judge(true), OutlierChange::none);
 }
 
-TEST_F(OutlierDetectionTest, NoMoreThanHalfOfTheFleetIsEjected) {
+TEST_F(OutlierDetectionTest, EjectsNoMoreThanHalfOfTheFleet) {
   detection.observe_fleet({.serving = 10, .ejected = 5});
   for (int i = 0; i < 50; ++i) EXPECT_EQ(judge(true), OutlierChange::none);
 }
@@ -46,7 +47,7 @@
   eject();
   EXPECT_EQ(state.attempt_share(), 0);
   EXPECT_EQ(advance(), OutlierChange::none);
-  EXPECT_EQ(state.attempt_share(), 0) << "the pause lasts a second";
+  EXPECT_EQ(state.attempt_share(), 0) << "the first pause lasts one second";
   for (const double share : {1.0 / 16, 1.0 / 8, 1.0 / 4, 1.0 / 2, 1.0}) {
     now += one_second;
     judge(false);
@@ -59,7 +60,7 @@
   EXPECT_EQ(history.all(now).judged, 0);
 }
 
-TEST_F(OutlierDetectionTest, BadPeriodStartsALongerPause) {
+TEST_F(OutlierDetectionTest, FailedRampPeriodStartsAPauseTwiceAsLong) {
   eject();
   now += one_second;
   advance();
@@ -69,13 +70,13 @@
   EXPECT_EQ(state.attempt_share(), 0);
   now += one_second;
   advance();
-  EXPECT_EQ(state.attempt_share(), 0) << "two seconds";
+  EXPECT_EQ(state.attempt_share(), 0) << "the second pause lasts two seconds";
   now += one_second;
   advance();
   EXPECT_EQ(state.attempt_share(), 1.0 / 16);
 }
 
-TEST_F(OutlierDetectionTest, RestartedEndpointIsNotEjectedAnyMore) {
+TEST_F(OutlierDetectionTest, RestartReadmitsTheEndpoint) {
   eject();
   state.endpoint_restarted();
   EXPECT_FALSE(state.ejected());
--- a/tests/routing/overload_control_test.cpp
+++ b/tests/routing/overload_control_test.cpp
@@ -9,74 +9,75 @@
 constexpr Duration age = 60 * one_second;
 constexpr double many_requests = 1'000;
 
-// Successes that keep so many attempts in flight at the no-load pace, by Little's law.
+// Returns a control with the successes that keep `in_flight` attempts in flight without load, by Little's
+// law.
 OverloadControl with_no_load_in_flight(double in_flight) {
   OverloadControl control;
   control.attempt_succeeded(now, in_flight * 4 * one_second);
   return control;
 }
 
-TEST(OverloadControl, WithoutOutlastingAttemptsTheRatioIsOne) {
+TEST(OverloadControl, LoadRatioIsOneWithoutExcessLongRunningAttempts) {
   OverloadControl control = with_no_load_in_flight(20);
-  std::vector<double> outlasting(10, 1);  // 10 of 20 at the usual pace: no more than 0.6 of them
-  control.observe_in_flight(now, age, many_requests, outlasting);
+  std::vector<double> long_running_counts(10, 1);  // 10 of 20 attempts, less than the no-load share of 0.6
+  control.observe_in_flight(now, age, many_requests, long_running_counts);
   EXPECT_EQ(control.load_ratio(), 1);
 }
 
-TEST(OverloadControl, RatioIsWhatIsOutOverWhatIsUsual) {
+TEST(OverloadControl, LoadRatioIsTheExcessOfLongRunningAttemptsOverTheNoLoadLevel) {
   OverloadControl control = with_no_load_in_flight(20);
-  std::vector<double> outlasting(10, 6);
-  control.observe_in_flight(now, age, many_requests, outlasting);
+  std::vector<double> long_running_counts(10, 6);
+  control.observe_in_flight(now, age, many_requests, long_running_counts);
   EXPECT_DOUBLE_EQ(control.load_ratio(), 1 + (60 - 0.6 * 20) / 21);
 }
 
-TEST(OverloadControl, OneFaultyEndpointCountsForTwiceTheMedianAtMost) {
+TEST(OverloadControl, OneFaultyEndpointCountsForAtMostTwiceTheMedian) {
   OverloadControl control = with_no_load_in_flight(20);
-  std::vector<double> outlasting(10, 1);
-  outlasting[3] = 500;
-  control.observe_in_flight(now, age, many_requests, outlasting);
+  std::vector<double> long_running_counts(10, 1);
+  long_running_counts[3] = 500;
+  control.observe_in_flight(now, age, many_requests, long_running_counts);
   EXPECT_EQ(control.load_ratio(), 1);
 }
 
-TEST(OverloadControl, RouterThatTookFewRequestsCannotTell) {
+TEST(OverloadControl, LoadRatioIsOneAfterTooFewRequests) {
   OverloadControl control;
-  std::vector<double> outlasting(10, 50);
-  control.observe_in_flight(now, age, 19, outlasting);
+  std::vector<double> long_running_counts(10, 50);
+  control.observe_in_flight(now, age, 19, long_running_counts);
   EXPECT_EQ(control.load_ratio(), 1);
 }
 
-TEST(OverloadControl, ObjectiveIsMissedBeyondAPartOfTheTimeLeft) {
+TEST(OverloadControl, ObjectiveIsMissedBeyondAShareOfTheTimeLeft) {
   OverloadControl control = with_no_load_in_flight(20);
-  std::vector<double> outlasting(10, 6);
-  control.observe_in_flight(now, age, many_requests, outlasting);
+  std::vector<double> long_running_counts(10, 6);
+  control.observe_in_flight(now, age, many_requests, long_running_counts);
   constexpr FractionalDuration no_load_time{100};
   const FractionalDuration expected = no_load_time * control.load_ratio();
-  constexpr FractionalDuration little{1};
+  constexpr FractionalDuration margin{1};
   EXPECT_FALSE(
-      control.misses_objective({.no_load_time = no_load_time, .time_left = expected / 0.7 + little}));
-  EXPECT_TRUE(control.misses_objective({.no_load_time = no_load_time, .time_left = expected / 0.7 - little}));
+      control.misses_objective({.no_load_time = no_load_time, .time_left = expected / 0.7 + margin}));
+  EXPECT_TRUE(control.misses_objective({.no_load_time = no_load_time, .time_left = expected / 0.7 - margin}));
 }
 
-TEST(OverloadControl, AWaitWithinTwoAnswersIsTolerated) {
+TEST(OverloadControl, ToleratesAWaitWithinTwoResponseTimes) {
   const OverloadControl control;
   EXPECT_FALSE(control.misses_objective({.no_load_time = FractionalDuration{100}}));
 }
 
-TEST(OverloadControl, TenantOfWhomNothingIsSlowLosesNothing) {
+TEST(OverloadControl, RejectsNothingOfATenantWithoutSlowAttempts) {
   OverloadControl control;
   for (int i = 0; i < 100; ++i) control.attempt_at_loaded_copy(now, "acme", false);
   EXPECT_LE(control.share_to_reject(now, "acme"), 0);
   EXPECT_LE(control.share_to_reject(now, "unknown"), 0);
 }
 
-TEST(OverloadControl, SlowAttemptsRejectTwiceTheirExcessOfThatTenant) {
+TEST(OverloadControl, RejectsTwiceTheExcessOfSlowAttemptsOfThatTenantOnly) {
   OverloadControl control;
   for (int i = 0; i < 97; ++i) control.attempt_at_loaded_copy(now, "acme", i < 40);
   EXPECT_DOUBLE_EQ(control.share_to_reject(now, "acme"), 2 * (0.4 - 0.15));
   EXPECT_LE(control.share_to_reject(now, "other"), 0);
 }
 
-TEST(OverloadControl, SomeRequestsAlwaysPassAndTheSignalLapses) {
+TEST(OverloadControl, AlwaysAdmitsATenthAndForgetsSlowAttemptsAfterFourSeconds) {
   OverloadControl control;
   for (int i = 0; i < 1'000; ++i) control.attempt_at_loaded_copy(now, "acme", true);
   EXPECT_DOUBLE_EQ(control.share_to_reject(now, "acme"), 0.9);
--- a/tests/routing/random_source_test.cpp
+++ b/tests/routing/random_source_test.cpp
@@ -15,12 +15,12 @@
   return draws;
 }
 
-TEST(RandomSource, SeedFixesTheDraws) {
+TEST(RandomSource, SeedDeterminesTheDraws) {
   EXPECT_EQ(first_draws(7), first_draws(7));
   EXPECT_NE(first_draws(7), first_draws(8));
 }
 
-TEST(RandomSource, AllBitsOfTheSeedCount) {
+TEST(RandomSource, HighBitsOfTheSeedChangeTheDraws) {
   EXPECT_NE(first_draws(7), first_draws(7 + (std::uint64_t{1} << 40U)));
 }
 
--- a/tests/routing/sliding_window_test.cpp
+++ b/tests/routing/sliding_window_test.cpp
@@ -15,13 +15,13 @@
 constexpr int buckets = 4;
 using Window = SlidingWindow<double, buckets>;
 
-TEST(SlidingWindow, EmptyOneTotalsZero) {
+TEST(SlidingWindow, EmptyWindowTotalsZero) {
   const Window window(width);
   EXPECT_EQ(window.total(at(0)), 0);
   EXPECT_EQ(window.total(at(1'000)), 0);
 }
 
-TEST(SlidingWindow, ValueStaysForAsManyBucketsAsAsked) {
+TEST(SlidingWindow, TotalCoversTheRequestedNumberOfBuckets) {
   Window window(width);
   window.bucket_at(at(105)) += 3;
   EXPECT_EQ(window.total(at(105)), 3);
@@ -31,21 +31,21 @@
   EXPECT_EQ(window.total(at(120), 2), 0);
 }
 
-TEST(SlidingWindow, SlotUsedAgainForgetsWhatItHeld) {
+TEST(SlidingWindow, ReusedSlotDropsItsOldSum) {
   Window window(width);
   window.bucket_at(at(5)) += 1;
   window.bucket_at(at(5) + buckets * width) += 2;
   EXPECT_EQ(window.total(at(5) + buckets * width), 2);
 }
 
-TEST(SlidingWindow, WidthOfZeroCountsAsOne) {
+TEST(SlidingWindow, WidthOfZeroIsTreatedAsOne) {
   Window window(Duration::zero());
   window.bucket_at(at(7)) += 1;
   EXPECT_EQ(window.total(at(7), 1), 1);
   EXPECT_EQ(window.total(at(8), 1), 0);
 }
 
-TEST(SlidingWindow, AgreesWithAListOfAllValuesOverLongHistories) {
+TEST(SlidingWindow, TotalsAgreeWithAListOfAllValuesOverLongHistories) {
   std::mt19937 random(20261202);
   Window window(width);
   std::deque<std::pair<Timestamp, double>> history;
@@ -55,13 +55,14 @@
     const double value = static_cast<double>(random() % 100);
     window.bucket_at(now) += value;
     history.emplace_back(now, value);
-    const int asked = 1 + static_cast<int>(random() % buckets);
+    const int newest_buckets = 1 + static_cast<int>(random() % buckets);
     const Timestamp later = now + Duration{static_cast<Duration::rep>(random() % 30)};
     double expected = 0;
-    for (const auto& [moment, added] : history) {
-      if (moment.time_since_epoch() / width > later.time_since_epoch() / width - asked) expected += added;
+    for (const auto& [time, added] : history) {
+      if (time.time_since_epoch() / width > later.time_since_epoch() / width - newest_buckets)
+        expected += added;
     }
-    ASSERT_EQ(window.total(later, asked), expected) << "step " << step;
+    ASSERT_EQ(window.total(later, newest_buckets), expected) << "step " << step;
     if (history.size() > 100) history.pop_front();
   }
 }
--- a/tests/routing/slow_start_audit.h
+++ b/tests/routing/slow_start_audit.h
@@ -1,4 +1,4 @@
-// Counts at simulated endpoints what rule 4 permits a cold one and what it got.
+// Compares what simulated endpoints receive while they warm up with what rule 4 permits.
 #pragma once
 
 #include <algorithm>
@@ -11,25 +11,26 @@
 
 namespace rushhill {
 
-// Sums over all routers, by endpoint. N is what the rule permits a cold endpoint now within the budget span.
+// Sums over all routers, by endpoint. N is the number of requests that the rule permits a cold endpoint
+// within the budget span at its present capacity.
 class SlowStartAudit {
  public:
   explicit SlowStartAudit(const FleetScenario& scenario) : scenario_(scenario) {}
 
   // A process of the endpoint has started.
-  void started(Time now, const SimulatedEndpoint& endpoint) {
-    Account& account = accounts_[endpoint.listed().id];
+  void process_started(Time now, const SimulatedEndpoint& endpoint) {
+    Account& account = accounts_[endpoint.list_entry().id];
     account.permitted_until = now;
     account.recent.clear();
   }
 
-  // A request, probe or order came. What routers send that have not been notified of the start yet does not
-  // count against the rule.
+  // The endpoint has received a request, probe or order. It does not count if its router has not been
+  // notified of the endpoint's start yet.
   void received(Time now, const SimulatedEndpoint& endpoint, bool router_notified) {
-    Account& account = accounts_[endpoint.listed().id];
+    Account& account = accounts_[endpoint.list_entry().id];
     while (!account.recent.empty() && account.recent.front() <= now - budget_span) account.recent.pop_front();
     const Time age = now - endpoint.started();
-    if (!router_notified || endpoint.warm_from_the_first() || age >= scenario_.warm_up_span) return;
+    if (!router_notified || endpoint.warm_from_start() || age >= scenario_.warm_up_span) return;
     account.recent.push_back(now);
     const double budget = permitted(now, endpoint);
     received_cold_ += add_permitted(now, endpoint) ? 1 : 0;
@@ -38,16 +39,19 @@
     const double share = received / (budget + 3 * std::sqrt(budget) + 3);
     if (share <= worst_share_) return;
     worst_share_ = share;
-    worst_description_ = std::to_string(account.recent.size()) + " where " + std::to_string(budget) +
-                         " were allowed, " + std::to_string(age / second) + " s after its start";
+    worst_description_ = std::to_string(account.recent.size()) +
+                         " requests, orders and probes received where " + std::to_string(budget) +
+                         " are permitted, " + std::to_string(age / second) + " s after the endpoint's start";
   }
 
-  // Adds up what the endpoint was permitted since the last time; whether all routers knew of its start.
+  // Adds what the endpoint was permitted since the last call. Returns whether it added anything: not for a
+  // warm endpoint, and not before every router was notified of its start.
   bool add_permitted(Time until, const SimulatedEndpoint& endpoint) {
-    if (endpoint.warm_from_the_first()) return false;
-    Account& account = accounts_[endpoint.listed().id];
+    if (endpoint.warm_from_start()) return false;
+    Account& account = accounts_[endpoint.list_entry().id];
     const Time end = std::min(until, endpoint.started() + scenario_.warm_up_span);
-    const Time begin = std::max(account.permitted_until, endpoint.started() + scenario_.notified_within);
+    const Time begin =
+        std::max(account.permitted_until, endpoint.started() + scenario_.max_notification_delay);
     account.permitted_until = std::max(begin, end);
     if (end <= begin) return false;
     permitted_ +=
@@ -55,18 +59,18 @@
     return true;
   }
 
-  // The most that a cold endpoint got within the span, over N + 3 x root of N + 3.
+  // The maximum number of requests that a cold endpoint received within the span, over N + 3 * sqrt(N) + 3.
   double worst_share() const { return worst_share_; }
   const std::string& worst_description() const { return worst_description_; }
-  // The most that a cold endpoint got within the span beyond N, over 2 x root of N + 2.
+  // The maximum number beyond N that a cold endpoint received within the span, over 2 * sqrt(N) + 2.
   double worst_excess() const { return worst_excess_; }
-  // What cold endpoints got while every router knew of them, of all that the rule permits.
-  double used() const { return permitted_ > 0 ? received_cold_ / permitted_ : 0; }
+  // The share of the permitted requests that cold endpoints received while every router knew of their start.
+  double used_share() const { return permitted_ > 0 ? received_cold_ / permitted_ : 0; }
 
  private:
   struct Account {
     std::deque<Time> recent;   // received within the budget span
-    Time permitted_until = 0;  // what it was permitted is added up until then
+    Time permitted_until = 0;  // up to this time, what it was permitted has been added
   };
 
   double permitted(Time now, const SimulatedEndpoint& endpoint) const {
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -19,16 +19,17 @@
           .routers = 10};
 }
 
-// A router that sees warm endpoints bear so many requests a second.
-ObservedLoad load_of(double requests_per_s) {
+// The load of a router that completes this many requests per second at each warm endpoint.
+ObservedLoad load_with(double requests_per_s) {
   return {.response_time = FractionalDuration{200},
           .utilization = 0,
-          .successes = requests_per_s / static_cast<double>(one_second.count())};
+          .throughput = requests_per_s / static_cast<double>(one_second.count())};
 }
 
-// Sends whenever it may, for so long from the endpoint's start on.
+// Returns how many requests are sent within the span after the endpoint's start if each is sent as soon as it
+// is admitted.
 int sent_within(const SlowStart& slow_start, Duration span, const ObservedLoad& load) {
-  SlowStartTokens tokens = slow_start.first_tokens("box-1");
+  SlowStartTokens tokens = slow_start.initial_tokens("box-1");
   int sent = 0;
   for (Timestamp now = started; now < started + span; now += maintenance_period) {
     if (now > started)
@@ -41,7 +42,7 @@
   return sent;
 }
 
-TEST(SlowStart, EndpointWarmsUpForTheStatedSpanFromTheNewestSign) {
+TEST(SlowStart, EndpointWarmsUpForTheConfiguredSpanAfterItsLatestStart) {
   const SlowStart slow_start(limits());
   EXPECT_EQ(slow_start.warming_since(started + Duration{1}, {.started = started}), started);
   EXPECT_EQ(slow_start.warming_since(started + 10 * one_second, {.started = started}), Timestamp{});
@@ -49,13 +50,13 @@
   EXPECT_EQ(slow_start.warming_since(died + Duration{1}, {.started = started, .restarted = died}), died);
 }
 
-TEST(SlowStart, FirstTokensAreSpreadEvenlyOverTheRouters) {
+TEST(SlowStart, InitialTokensAreSpreadEvenlyOverTheRouters) {
   constexpr int routers = 100;
   std::vector<double> levels;
   for (int number = 0; number < routers; ++number) {
     SlowStartLimits own = limits();
     own.router_number = number;
-    levels.push_back(SlowStart(own).first_tokens("box-1").level());
+    levels.push_back(SlowStart(own).initial_tokens("box-1").level());
   }
   std::sort(levels.begin(), levels.end());
   for (int i = 0; i < routers; ++i) {
@@ -64,7 +65,7 @@
 }
 
 TEST(SlowStart, SumOverTheRoutersInTheFirstSpanStaysWithinTheRule) {
-  const ObservedLoad load = load_of(5);
+  const ObservedLoad load = load_with(5);
   int sum = 0;
   for (int number = 0; number < limits().routers; ++number) {
     SlowStartLimits own = limits();
@@ -78,15 +79,15 @@
 
 TEST(SlowStart, MoreIsSentAsTheEndpointWarmsUp) {
   const SlowStart slow_start(limits());
-  const ObservedLoad load = load_of(50);
+  const ObservedLoad load = load_with(50);
   const int first_half = sent_within(slow_start, 5 * one_second, load);
   const int all = sent_within(slow_start, 10 * one_second, load);
   EXPECT_GT(all - first_half, first_half);
 }
 
-TEST(SlowStart, IdleCoresThatAreReportedAllowUpToTwice) {
+TEST(SlowStart, ReportedIdleCoresAllowUpToTwiceTheRequests) {
   const SlowStart slow_start(limits());
-  ObservedLoad load = load_of(100);
+  ObservedLoad load = load_with(100);
   const double unreported = sent_within(slow_start, 10 * one_second, load);
   load.utilization = 0.1;
   const double idle = sent_within(slow_start, 10 * one_second, load);
@@ -95,7 +96,7 @@
 
 TEST(SlowStart, UnspentTokensLapse) {
   const SlowStart slow_start(limits());
-  const ObservedLoad load = load_of(100);
+  const ObservedLoad load = load_with(100);
   SlowStartTokens tokens;
   double highest = 0;
   for (Timestamp now = started; now < started + 10 * one_second; now += maintenance_period) {
@@ -106,23 +107,23 @@
   EXPECT_LT(highest, budget_at_the_end);
 }
 
-TEST(SlowStart, LongRequestsCostMoreAndShortOnesAWholeToken) {
-  const ObservedLoad load = load_of(1);
+TEST(SlowStart, LongRequestsCostMoreTokensAndShortOnesCostOne) {
+  const ObservedLoad load = load_with(1);
   EXPECT_EQ(SlowStart::cost_of_request(load.response_time / 4, load), 1);
   EXPECT_EQ(SlowStart::cost_of_request(load.response_time * 3, load), 3);
 }
 
-TEST(SlowStartTokens, KeepTheirPhaseAndLoseWholeOnes) {
+TEST(SlowStartTokens, DiscardOnlyWholeTokensAndKeepTheFraction) {
   SlowStartTokens tokens(3.25);
   tokens.limit(1.5);
   EXPECT_DOUBLE_EQ(tokens.level(), 2.25);
   tokens.keep_phase();
   EXPECT_DOUBLE_EQ(tokens.level(), 0.25);
   tokens.take(1);
-  EXPECT_FALSE(tokens.allow_order());
+  EXPECT_FALSE(tokens.allows_order());
   tokens.keep_phase();
   EXPECT_DOUBLE_EQ(tokens.level(), 0.25);
-  EXPECT_TRUE(tokens.allow_order());
+  EXPECT_TRUE(tokens.allows_order());
 }
 
 }  // namespace
