--- a/tests/routing/endpoint_table_test.cpp
+++ b/tests/routing/endpoint_table_test.cpp
@@ -59,7 +59,7 @@
   EXPECT_NE(endpoints.find("b"), nullptr);
 }
 
-TEST(EndpointRecord, PlacedWeightIsTheRatingTimesThePlacementFactor) {
+TEST(EndpointRecord, WeightInPlacementIsTheRatingTimesThePlacementFactor) {
   EndpointRecord record;
   record.endpoint.rating = 0;
   EXPECT_EQ(record.weight(), 1);
--- a/tests/routing/latency_estimates_test.cpp
+++ b/tests/routing/latency_estimates_test.cpp
@@ -34,7 +34,7 @@
   EXPECT_EQ(estimates.response_time({.request_class = lookup, .function = other}), lookup.response_time);
 }
 
-TEST_F(LatencyEstimatesTest, PaceIsTheRatioToTheFunctionsMeanResponseTime) {
+TEST_F(LatencyEstimatesTest, PaceIsTheRatioToTheFunctionsUsualResponseTime) {
   for (int i = 0; i < 200; ++i) estimates.answered(lookup, function, FractionalDuration{100});
   EXPECT_NEAR(estimates.answered(lookup, function, FractionalDuration{200}), 200 / 105.0, 0.02);
 }
--- a/tests/routing/simulated_fleet.h
+++ b/tests/routing/simulated_fleet.h
@@ -60,7 +60,7 @@
       traffic_shares_.push_back(
           std::exp(std::normal_distribution<double>(0, traffic_share_deviation)(random_)));
       routers_.push_back(std::make_unique<Router>(*this, i));
-      start(*routers_.back());
+      start_router(*routers_.back());
     }
     double sum = 0;
     for (const double share : traffic_shares_) sum += share;
@@ -80,9 +80,10 @@
   int succeeded() const { return succeeded_; }
 
  private:
-  static constexpr double traffic_share_deviation =
-      0.9;  // of the logarithm of a router's share of the traffic
-  static constexpr double function_rank_exponent = -1 / 0.35;  // few functions are hot, many are rare
+  // Standard deviation of the logarithm of a router's share of the traffic.
+  static constexpr double traffic_share_deviation = 0.9;
+  // A few functions get most of the requests.
+  static constexpr double function_rank_exponent = -1 / 0.35;
   static constexpr int functions = 400;
   static constexpr int release_steps = 3;
   static constexpr Time network_delay = 5;  // one way, from a router to an endpoint
@@ -95,17 +96,18 @@
 
   // One router with its policy. It is the policy's host.
   struct Router final : RoutingHost {
-    Router(SimulatedFleet& its_fleet, int its_number) : fleet(its_fleet), number(its_number) {}
+    Router(SimulatedFleet& simulated_fleet, int index) : fleet(simulated_fleet), number(index) {}
 
     void send_attempt(RequestId request, const EndpointId& endpoint, Duration) override {
       const AttemptKey attempt{request, attempts_sent[request]++};
-      open.insert(attempt);
+      open_attempts.insert(attempt);
       fleet.scheduler_.schedule(fleet.scheduler_.now() + network_delay, [this, attempt, endpoint] {
         fleet.attempt_arrived(*this, attempt, endpoint);
       });
     }
     void cancel_attempt(RequestId request, int attempt_number) override {
-      end({request, attempt_number}, {.outcome = AttemptOutcome::cancelled, .sent = fleet.scheduler_.now()});
+      end_attempt({request, attempt_number},
+                  {.outcome = AttemptOutcome::cancelled, .sent = fleet.scheduler_.now()});
     }
     void reject(RequestId request, Duration) override { end_without_reply(request); }
     void fail(RequestId request) override { end_without_reply(request); }
@@ -157,9 +159,9 @@
       CopyState copy_state = CopyState::unknown;
       Time sent = 0;
     };
-    void end(const AttemptKey& attempt, const Answer& answer) {
+    void end_attempt(const AttemptKey& attempt, const Answer& answer) {
       fleet.scheduler_.schedule(fleet.scheduler_.now(), [this, attempt, answer] {
-        if (open.erase(attempt) == 0) return;
+        if (open_attempts.erase(attempt) == 0) return;
         const bool succeeded = answer.outcome == AttemptOutcome::succeeded;
         fleet.succeeded_ += succeeded ? 1 : 0;
         policy->attempt_ended(now(), {.request = attempt.first,
@@ -187,7 +189,7 @@
     std::map<EndpointId, Time> notified_starts;  // by endpoint, as in the endpoint list messages received
     std::unique_ptr<RoutingPolicy> policy;
     std::map<RequestId, int> attempts_sent;
-    std::set<AttemptKey> open;
+    std::set<AttemptKey> open_attempts;
     std::map<RequestId, FunctionId> functions;
     RequestId last_request = 0;
   };
@@ -275,7 +277,7 @@
 
   // Routers.
 
-  void start(Router& router) {
+  void start_router(Router& router) {
     configuration_.router_number = router.number;
     const auto seed =
         scenario_.seed * 1'000U + static_cast<std::uint32_t>(router.number + 100'000 * router.process);
@@ -291,9 +293,9 @@
       scheduler_.schedule(start_ + scenario_.release_at + span * i / std::max(1, count), [this, i] {
         Router& router = *routers_[static_cast<std::size_t>(i * 2 % scenario_.routers)];
         ++router.process;
-        router.open.clear();
+        router.open_attempts.clear();
         router.attempts_sent.clear();
-        start(router);
+        start_router(router);
       });
     }
   }
@@ -338,13 +340,13 @@
     return endpoint;
   }
   void attempt_arrived(Router& router, const AttemptKey& attempt, const EndpointId& id) {
-    if (!router.open.contains(attempt)) return;
+    if (!router.open_attempts.contains(attempt)) return;
     SimulatedEndpoint& endpoint = count_received(router, id);
     Router::Answer answer{.endpoint = id, .sent = scheduler_.now() - network_delay};
     const FunctionId function = scenario_.missing_is_answered ? router.functions[attempt.first] : "any";
     answer.outcome = outcome_at(endpoint, function);
     if (answer.outcome != AttemptOutcome::succeeded) {
-      router.end(attempt, answer);
+      router.end_attempt(attempt, answer);
       return;
     }
     run_attempt(router, attempt, answer, endpoint, function);
@@ -372,7 +374,7 @@
                             answer.outcome = AttemptOutcome::connection_lost;
                             answer.copy_state = CopyState::unknown;
                           }
-                          router.end(attempt, answer);
+                          router.end_attempt(attempt, answer);
                         });
   }
 
--- a/tests/routing/sliding_window_test.cpp
+++ b/tests/routing/sliding_window_test.cpp
@@ -38,7 +38,7 @@
   EXPECT_EQ(window.total(at(5) + buckets * width), 2);
 }
 
-TEST(SlidingWindow, WidthOfZeroIsTreatedAsOne) {
+TEST(SlidingWindow, WidthOfZeroIsTreatedAsOneTick) {
   Window window(Duration::zero());
   window.bucket_at(at(7)) += 1;
   EXPECT_EQ(window.total(at(7), 1), 1);
