--- a/src/transport/address.h
+++ b/src/transport/address.h
@@ -1,4 +1,4 @@
-// Network addresses. Names are never looked up.
+// Network addresses. Host names are never resolved.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -9,7 +9,8 @@
 
 using Address = Poco::Net::SocketAddress;
 
-// An address from digits alone; throws std::invalid_argument for anything that would need a look-up.
+// Parses a numeric IP address with a port, such as 127.0.0.1:8080. Throws std::invalid_argument for anything
+// else, such as a host name.
 Address numeric_address(const std::string& text);
 
 }  // namespace rushhill::transport
--- a/src/transport/backoff.h
+++ b/src/transport/backoff.h
@@ -1,4 +1,4 @@
-// Backoff after failures of this machine, such as a lack of memory or descriptors.
+// Backoff after local failures, such as a lack of memory or file descriptors.
 #pragma once
 
 #include <algorithm>
@@ -7,24 +7,24 @@
 
 namespace rushhill::transport {
 
-// A pause that doubles with each failure up to a bound, so that no failure makes the loop spin, and halves
-// with each success.
+// A pause that doubles with each failure, up to a maximum, so that repeated failures do not make the event
+// loop spin. It halves with each success.
 class Backoff {
  public:
-  // Tenths of a millisecond. The longest is short beside any deadline and any connect limit.
-  static constexpr Time first_pause = 10;
-  static constexpr Time longest_pause = 160;
+  // Tenths of a millisecond. The maximum is much shorter than any deadline or connect timeout.
+  static constexpr Time min_pause = 10;
+  static constexpr Time max_pause = 160;
 
-  // How long to wait after a failure.
-  Time failed() {
+  // Records a failure and returns how long to wait before the next try.
+  Time pause_after_failure() {
     const Time pause = pause_;
-    pause_ = std::min(2 * pause_, longest_pause);
+    pause_ = std::min(2 * pause_, max_pause);
     return pause;
   }
-  void succeeded() { pause_ = std::max(pause_ / 2, first_pause); }
+  void record_success() { pause_ = std::max(pause_ / 2, min_pause); }
 
  private:
-  Time pause_ = first_pause;
+  Time pause_ = min_pause;
 };
 
 }  // namespace rushhill::transport
--- a/src/transport/bare_peers.cpp
+++ b/src/transport/bare_peers.cpp
@@ -5,7 +5,7 @@
 namespace rushhill::transport {
 namespace {
 
-constexpr std::size_t max_message_bytes = 256;  // of a datagram, by the platform's protocol
+constexpr std::size_t max_message_bytes = 256;  // the limit of the platform's protocol
 
 }  // namespace
 
@@ -24,11 +24,11 @@
 
 void BarePeers::send(int router, const std::string& bytes) {
   if (bytes.size() > max_message_bytes) return;
-  const auto send = [&](const Address& to) { dropped_ += datagrams_.send(to, bytes) ? 0 : 1; };
-  if (router < 0 && broadcast_) return send(*broadcast_);
+  const auto send_to = [&](const Address& to) { dropped_ += datagrams_.send(to, bytes) ? 0 : 1; };
+  if (router < 0 && broadcast_) return send_to(*broadcast_);
   for (std::size_t i = 0; i < addresses_.size(); ++i) {
-    const bool meant = router < 0 ? static_cast<int>(i) != own_number_ : static_cast<int>(i) == router;
-    if (meant) send(addresses_[i]);
+    const bool is_recipient = router < 0 ? static_cast<int>(i) != own_number_ : static_cast<int>(i) == router;
+    if (is_recipient) send_to(addresses_[i]);
   }
 }
 
--- a/src/transport/bare_peers.h
+++ b/src/transport/bare_peers.h
@@ -1,4 +1,5 @@
-// Short messages between routers as bare datagrams: the message alone, the sender known by its address.
+// Short messages between routers as datagrams that contain nothing but the message. The receiver identifies
+// the sender by its address.
 #pragma once
 
 #include <functional>
@@ -13,18 +14,19 @@
 
 namespace rushhill::transport {
 
-// Sends to routers and receives from them. A message that cannot be sent at once is dropped.
+// Sends messages to other routers and receives theirs. A message that cannot be sent at once is dropped.
 class BarePeers final : public core::PeerMessenger {
  public:
   // Called with each message and the number of the router that sent it.
   using MessageHandler = std::function<void(int router, const std::string& bytes)>;
-  // `addresses` by router number, our own among them; `broadcast`: one address that reaches every router, or
-  // empty. Throws std::invalid_argument for an address that is not numeric.
+  // `addresses` has the address of each router at the index of its number, including our own. `broadcast` is
+  // an address that reaches every router, or empty. Throws std::invalid_argument if an address is not
+  // numeric.
   BarePeers(Reactor& reactor, const Address& listen, int own_number,
             const std::vector<std::string>& addresses, const std::string& broadcast, MessageHandler handler);
-  // To one router; `router` below 0: to all others.
+  // Sends to one router, or to all others if `router` is negative.
   void send(int router, const std::string& bytes) override;
-  // Messages that the system did not take.
+  // Number of datagrams that the system did not accept.
   std::uint64_t dropped() const { return dropped_; }
   Address address() const { return datagrams_.address(); }
 
@@ -33,7 +35,7 @@
 
   int own_number_;
   std::vector<Address> addresses_;
-  std::map<Address, int> routers_;  // by address; the first one of an address that is listed twice
+  std::map<Address, int> routers_;  // numbers by address; the lowest if several routers share an address
   std::optional<Address> broadcast_;
   MessageHandler handler_;
   DatagramEndpoint datagrams_;
--- a/src/transport/bound_socket.h
+++ b/src/transport/bound_socket.h
@@ -1,4 +1,4 @@
-// Addresses that this process has bound: listeners, which accept connections, and ends of datagrams.
+// Sockets that keep an address bound: listeners, datagram sockets and reserved addresses.
 #pragma once
 
 #include <functional>
@@ -9,7 +9,7 @@
 
 namespace rushhill::transport {
 
-// A connection that has come to a listener and has not been adopted yet.
+// A connection that has reached a listener and that no stream has adopted yet.
 class PendingConnection {
  public:
   PendingConnection() = default;
@@ -18,16 +18,16 @@
   PendingConnection(PendingConnection&&) = delete;
   PendingConnection& operator=(PendingConnection&&) = delete;
   virtual ~PendingConnection() = default;
-  // Closes it.
+  // Closes the connection.
   virtual void refuse() const = 0;
 };
 
-// Called with each connection: to adopt or to refuse it.
+// Called with each new connection, which it adopts or refuses.
 using AcceptHandler = std::function<void(const PendingConnection&)>;
-// Called with each datagram and the address that it came from.
+// Called with each datagram and the address of its sender.
 using DatagramHandler = std::function<void(const Address&, std::string_view)>;
 
-// Keeps its address bound while it lives.
+// Keeps its address bound until it is destroyed.
 class BoundSocket {
  public:
   BoundSocket() = default;
@@ -38,12 +38,14 @@
   virtual ~BoundSocket() = default;
 
   virtual Address address() const = 0;
-  // Datagrams only. False: dropped, the system's queue is full.
+  // For datagram sockets only. Returns false if the system did not accept the datagram, which is then
+  // dropped.
   virtual bool send(const Address&, std::string_view) { return false; }
-  // Listeners only: accepts every connection in the queue, which would be reset when the listener goes.
+  // For listeners only. Accepts every connection in the queue; connections that are left there are reset when
+  // the listener is closed.
   virtual void accept_all() {}
-  // Listeners only: the predicate is asked before each connection is accepted. While it says no, connections
-  // stay in the queue and it is asked again.
+  // For listeners only. Sets a predicate that is called before each connection is accepted. While it returns
+  // false, connections stay in the queue, and it is called again later.
   virtual void accept_while(std::function<bool()>) {}
 };
 
--- a/src/transport/connection_pool.h
+++ b/src/transport/connection_pool.h
@@ -1,6 +1,6 @@
-// What the pools of connections to endpoints share, whatever the protocol: the endpoints and their addresses,
-// which connections are open, which attempt is on which of them, and how calls without an answer end. When a
-// connection is opened, shared or reused is each pool's own rule.
+// Base of the connection pools of all protocols. It keeps the endpoints with their addresses and open
+// connections, tracks the connection of each attempt, and reports the end of calls that get no response. Each
+// pool has its own rules for opening, sharing and reusing connections.
 #pragma once
 
 #include <cstddef>
@@ -21,28 +21,28 @@
 
 namespace rushhill::transport {
 
-// An endpoint and its open connections. A pool's own endpoint type derives from it and adds
+// An endpoint and its open connections. Each pool derives its own endpoint type, which adds
 //   std::vector<Connection*> idle_connections() const;  // in the order in which they are closed
-//   Connection* longest_idle() const;                   // nullptr: none is idle
+//   Connection* longest_idle() const;                   // nullptr if no connection is idle
 //   void connection_removed(Connection&);               // called before a connection is closed
 template <typename PooledConnection>
 struct PooledEndpoint {
   using Connection = PooledConnection;
 
   EndpointId id{};
-  std::string address_text{};        // empty: it has left the endpoint list
-  std::optional<Address> address{};  // nothing: it cannot be reached
+  std::string address_text{};        // empty once the endpoint has left the endpoint list
+  std::optional<Address> address{};  // not set if the endpoint cannot be reached
   std::map<Connection*, std::shared_ptr<Connection>, ByNumber> connections{};
 };
 
-// A pool of connections to endpoints. `Endpoint` is derived from PooledEndpoint; its connections have
-// endpoint(), idle_since(), retire() (no further call goes on it) and close().
+// A pool of connections to endpoints. `Endpoint` derives from PooledEndpoint. Its connections have
+// endpoint(), idle_since(), close(), and retire(), after which no further call is sent on the connection.
 template <typename Endpoint>
 class ConnectionPool : public core::UpstreamTransport {
  public:
   using Connection = typename Endpoint::Connection;
 
-  // The observer is called for the end of every call; it has to be named before the first one.
+  // Sets the observer that is notified when calls end. It must be set before the first call is sent.
   void report_to(core::UpstreamObserver& observer) { observer_ = &observer; }
 
   void close_idle(const EndpointId& id) override {
@@ -51,23 +51,23 @@
     for (Connection* connection : it->second->idle_connections()) remove(*connection);
   }
 
-  // An address that cannot be read is logged, and the endpoint counts as unreachable.
-  // NOLINTNEXTLINE(bugprone-easily-swappable-parameters): the interface's; the check spares other overrides
+  // An address that cannot be parsed is logged, and the endpoint is treated as unreachable.
+  // NOLINTNEXTLINE(bugprone-easily-swappable-parameters): set by the interface; other overrides are exempt
   void set_address(const EndpointId& id, const std::string& address) override {
-    auto& known = endpoints_[id];
-    if (!known) known = std::make_unique<Endpoint>();
-    Endpoint& endpoint = *known;
+    auto& slot = endpoints_[id];
+    if (!slot) slot = std::make_unique<Endpoint>();
+    Endpoint& endpoint = *slot;
     endpoint.id = id;
     const bool unchanged = endpoint.address_text == address && (endpoint.address || address.empty());
     if (unchanged) return drop_if_unused(id);
     endpoint.address_text = address;
-    resolve(endpoint);
+    parse_address(endpoint);
     for (const auto& [connection, owner] : endpoint.connections) connection->retire();
     for (Connection* connection : endpoint.idle_connections()) remove(*connection);
     drop_if_unused(id);
   }
 
-  // Open connections, to all endpoints together.
+  // Number of connections to all endpoints, including those that are being established.
   std::size_t connections() const { return connections_; }
 
  protected:
@@ -78,20 +78,20 @@
   core::UpstreamObserver& observer() const { return *observer_; }
   std::size_t endpoint_count() const { return endpoints_.size(); }
 
-  // nullptr: it is not known.
+  // Returns nullptr if the endpoint is unknown.
   Endpoint* find_endpoint(const EndpointId& id) const {
     const auto it = endpoints_.find(id);
     return it == endpoints_.end() ? nullptr : it->second.get();
   }
 
-  // Counts a new connection among its endpoint's, which own it from now on.
+  // Adds a new connection to its endpoint, which owns it from now on.
   void add(const std::shared_ptr<Connection>& connection) {
     ++connections_;
     connection->endpoint().connections.emplace(connection.get(), connection);
   }
 
-  // Closes a connection. Nothing happens where that has been done before. It may be the one that is calling:
-  // it is destroyed when that call has returned.
+  // Closes a connection and removes it from its endpoint. Does nothing if the connection was removed before.
+  // The connection may be the caller, so it is destroyed only after the current handler has returned.
   void remove(Connection& connection) {
     Endpoint& endpoint = connection.endpoint();
     const auto it = endpoint.connections.find(&connection);
@@ -103,7 +103,7 @@
     endpoint.connections.erase(it);
   }
 
-  // Closes the connection that has been idle longest, whichever endpoint's it is. False: none is idle.
+  // Closes the connection that has been idle longest, to any endpoint. Returns false if none is idle.
   bool close_longest_idle() {
     Connection* oldest = nullptr;
     for (const auto& [id, endpoint] : endpoints_) {
@@ -115,19 +115,20 @@
     return oldest != nullptr;
   }
 
-  // Notes which connection an attempt is on, and that it is on none any more. Other calls are not noted.
+  // Records the connection that an attempt uses, and removes that record. Only attempts are tracked; calls of
+  // other kinds are ignored.
   void track_attempt(const UpstreamCall& call, Connection& connection) {
     if (call.kind == UpstreamCallKind::attempt) attempts_[{call.request, call.attempt_number}] = &connection;
   }
   void untrack_attempt(const UpstreamCall& call) {
     if (call.kind == UpstreamCallKind::attempt) attempts_.erase({call.request, call.attempt_number});
   }
-  // The connection that an attempt is on; nullptr: on none.
+  // Returns the connection that an attempt uses, or nullptr if none is recorded.
   Connection* connection_of(const AttemptKey& attempt) const {
     const auto it = attempts_.find(attempt);
     return it == attempts_.end() ? nullptr : it->second;
   }
-  // The same, and the attempt is on none from now on.
+  // Returns the same and removes the record.
   Connection* untrack(const AttemptKey& attempt) {
     const auto it = attempts_.find(attempt);
     if (it == attempts_.end()) return nullptr;
@@ -136,12 +137,12 @@
     return connection;
   }
 
-  // Reports the end of a call when what runs now has returned.
+  // Reports the end of a call once the current handler has returned.
   void report_end_later(UpstreamCall call, AttemptOutcome outcome) {
     post_while_alive([this, call = std::move(call), outcome] { report_end(observer(), call, outcome); });
   }
 
-  // Runs the function when what runs now has returned, unless the pool is gone by then.
+  // Runs the function once the current handler has returned, unless the pool has been destroyed by then.
   template <typename Function>
   void post_while_alive(Function function) {
     reactor_.post([function = std::move(function), alive = std::weak_ptr(alive_)]() mutable {
@@ -150,22 +151,23 @@
   }
 
  private:
-  // Destroys an endpoint that is no longer used, which a call under way may still refer to.
+  // Destroys an endpoint that is no longer used. A pool overrides this to delay the destruction if a running
+  // call may still refer to the endpoint.
   virtual void destroy(std::unique_ptr<Endpoint> endpoint) { endpoint.reset(); }
 
-  // Reads the endpoint's address from its text.
-  void resolve(Endpoint& endpoint) const {
+  // Sets the endpoint's address from its text.
+  void parse_address(Endpoint& endpoint) const {
     endpoint.address.reset();
     if (endpoint.address_text.empty()) return;
     try {
       endpoint.address = numeric_address(endpoint.address_text);
     } catch (const std::invalid_argument& error) {
-      event_log_.write(core::Level::warning, "server cannot be reached",
+      event_log_.write(core::Level::warning, "server address is invalid; the server cannot be reached",
                        {{"server", endpoint.id}, {"reason", error.what()}});
     }
   }
 
-  // Drops an endpoint that has left the endpoint list and has no connection left.
+  // Removes an endpoint that has left the endpoint list and has no connections.
   void drop_if_unused(const EndpointId& id) {
     const auto it = endpoints_.find(id);
     if (it == endpoints_.end()) return;
@@ -180,7 +182,7 @@
   std::map<EndpointId, std::unique_ptr<Endpoint>> endpoints_;
   std::map<AttemptKey, Connection*> attempts_;
   std::size_t connections_ = 0;
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);  // posted calls are void once it is gone
+  std::shared_ptr<int> alive_ = std::make_shared<int>(0);  // expires with the pool
 };
 
 }  // namespace rushhill::transport
--- a/src/transport/datagram_socket.cpp
+++ b/src/transport/datagram_socket.cpp
@@ -9,9 +9,9 @@
 namespace rushhill::transport {
 namespace {
 
-constexpr int max_received_at_once = 64;  // datagrams an iteration, so that connections get their share
-constexpr int max_failures = 8;           // in a row, until a pause
-constexpr std::size_t max_datagram_bytes = 2048;  // far above what peers may send
+constexpr int max_received_at_once = 64;  // datagrams per iteration, so that connections are served too
+constexpr int max_failures = 8;           // consecutive failures before a pause
+constexpr std::size_t max_datagram_bytes = 2048;  // far more than peers may send
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   return sent == static_cast<ssize_t>(bytes.size());
 }
 
-// A failure is of one call or one datagram: those behind it are received all the same.
+// A failure concerns only one call or one datagram, so the datagrams behind it are still received.
 void DatagramSocket::on_readable() {
   int failures = 0;
   for (int i = 0; i < max_received_at_once && failures < max_failures; ++i) {
@@ -49,7 +49,7 @@
       continue;
     }
     failures = 0;
-    backoff_.succeeded();
+    backoff_.record_success();
     handler_(Address(reinterpret_cast<const sockaddr*>(&from), length),
              {bytes.data(), static_cast<std::size_t>(got)});
   }
@@ -58,7 +58,7 @@
 
 void DatagramSocket::pause() {
   loop_.watch(socket_.number(), *this, {});
-  pause_timer_ = loop_.at(loop_.now() + backoff_.failed(),
+  pause_timer_ = loop_.at(loop_.now() + backoff_.pause_after_failure(),
                           [this] { loop_.watch(socket_.number(), *this, {.readable = true}); });
 }
 
--- a/src/transport/datagram_socket.h
+++ b/src/transport/datagram_socket.h
@@ -11,7 +11,7 @@
 
 class Loop;
 
-// Receives datagrams whenever the loop finds it readable. It must not outlive the loop.
+// Receives datagrams whenever the loop finds the socket readable. It must not outlive the loop.
 class DatagramSocket final : public BoundSocket, public EventSource {
  public:
   DatagramSocket(Loop& loop, FileDescriptor socket, DatagramHandler handler);
--- a/src/transport/descriptors.cpp
+++ b/src/transport/descriptors.cpp
@@ -11,7 +11,7 @@
 namespace rushhill::transport {
 namespace {
 
-constexpr std::size_t max_examined = 65'536;  // descriptors; takes some milliseconds, at the start only
+constexpr std::size_t max_examined = 65'536;  // descriptors; takes a few milliseconds, only at startup
 
 }  // namespace
 
@@ -29,8 +29,9 @@
 
 DescriptorShares share_descriptors(std::size_t left, std::size_t reserve) {
   if (left < reserve + 2)
-    throw std::invalid_argument("too few descriptors: " + std::to_string(left) + " are left, at least " +
-                                std::to_string(reserve + 2) + " are needed");
+    throw std::invalid_argument("too few file descriptors: " + std::to_string(left) +
+                                " are available, but at least " + std::to_string(reserve + 2) +
+                                " are required; raise the limit on open files");
   const std::size_t shared = left - reserve;
   return {.clients = shared - shared / 2, .servers = shared / 2};
 }
--- a/src/transport/descriptors.h
+++ b/src/transport/descriptors.h
@@ -1,20 +1,21 @@
-// How many file descriptors this process may still open, and how connections share them.
+// Counts the file descriptors that this process may still open and divides them among connections.
 #pragma once
 
 #include <cstddef>
 
 namespace rushhill::transport {
 
-// Of those that it may have: `configured` (0: not configured), or the system's limit where that is less.
+// Returns how many more descriptors this process may open. The limit is `configured` (0 if not configured) or
+// the system's limit, whichever is lower.
 std::size_t descriptors_left(std::size_t configured);
 
-// Descriptors for connections, once everything else has its own: half for clients, and one more where the
-// number is odd.
+// Descriptors for connections: half of those beyond the reserve for each side. Clients get the odd one.
 struct DescriptorShares {
   std::size_t clients = 0;
   std::size_t servers = 0;
 };
-// Throws std::invalid_argument where `left` holds less than the reserve and a connection on either side.
+// Divides `left` descriptors after setting `reserve` of them aside for everything but connections. Throws
+// std::invalid_argument if that leaves less than one connection for each side.
 DescriptorShares share_descriptors(std::size_t left, std::size_t reserve);
 
 }  // namespace rushhill::transport
--- a/src/transport/event_source.h
+++ b/src/transport/event_source.h
@@ -1,11 +1,11 @@
-// What the event loop waits for.
+// Base class of the sockets that wait in the event loop.
 #pragma once
 
 #include "transport/poller.h"
 
 namespace rushhill::transport {
 
-// Waits in the event loop for its descriptor to become readable or writable.
+// Called by the event loop when its descriptor becomes readable or writable.
 class EventSource {
  public:
   explicit EventSource(bool opened_by_peer = false) : opened_by_peer_(opened_by_peer) {}
@@ -18,8 +18,8 @@
   virtual void on_readable() = 0;
   virtual void on_writable() {}
 
-  // A connection that a peer opened: these are read before all else, so that a client that has closed its is
-  // known first.
+  // Whether this is a connection that a peer opened. The loop reads these before anything else, so that it
+  // first learns which clients have closed their connections.
   bool opened_by_peer() const { return opened_by_peer_; }
 
  protected:
@@ -29,9 +29,9 @@
   friend class Loop;
 
   const bool opened_by_peer_;
-  RegistrationId registration_ = 0;  // 0: the loop does not wait for it
-  Interest interest_;                // also while it could not be registered with the system yet
-  bool registered_ = false;          // with the system
+  RegistrationId registration_ = 0;  // 0 while the loop does not wait for it
+  Interest interest_;                // set even if it could not be registered with the system yet
+  bool registered_ = false;          // whether it is registered with the system
 };
 
 }  // namespace rushhill::transport
--- a/src/transport/file_descriptor.h
+++ b/src/transport/file_descriptor.h
@@ -1,4 +1,4 @@
-// Ownership of file descriptors.
+// An owning file descriptor.
 #pragma once
 
 #include <utility>
@@ -23,9 +23,9 @@
   FileDescriptor& operator=(const FileDescriptor&) = delete;
   ~FileDescriptor() { close(); }
 
-  int number() const { return number_; }  // -1: none is open
+  int number() const { return number_; }  // -1 if none is open
   bool open() const { return number_ >= 0; }
-  // Linux has released the number also where close() reports a failure, so it is never called again.
+  // Linux releases the number even if close() reports a failure, so the call is never repeated.
   void close() {
     if (open()) system_->close(std::exchange(number_, -1));
   }
--- a/src/transport/http.cpp
+++ b/src/transport/http.cpp
@@ -12,7 +12,7 @@
 
 namespace http = boost::beast::http;
 
-const std::string* find(const Headers& headers, std::string_view name) {
+const std::string* find_header(const Headers& headers, std::string_view name) {
   const auto it = std::ranges::find(headers, name, &std::pair<std::string, std::string>::first);
   return it == headers.end() ? nullptr : &it->second;
 }
@@ -24,34 +24,34 @@
   return HttpProgress::bad;
 }
 
-// Feeds the parser until it is done, fails or needs more, and takes off the buffer what it has used.
+// Feeds the parser until it is done, fails or needs more bytes, and removes the used bytes from the buffer.
 template <typename Parser>
-HttpProgress parse(Parser& parser, std::string& buffer) {
+HttpProgress feed_parser(Parser& parser, std::string& buffer) {
   std::size_t used = 0;
   HttpProgress progress = HttpProgress::more;
   while (!parser.is_done() && used < buffer.size()) {
     boost::system::error_code error;
-    const std::size_t taken =
+    const std::size_t consumed =
         parser.put(boost::asio::const_buffer(buffer.data() + used, buffer.size() - used), error);
-    used += taken;
+    used += consumed;
     if (error) progress = progress_of(error);
-    if (error || taken == 0) break;
+    if (error || consumed == 0) break;
   }
   buffer.erase(0, used);
   return progress;
 }
 
 template <typename Parser>
-HttpProgress put_into(Parser& parser, std::string& buffer, std::uint64_t body_limit) {
-  const HttpProgress progress = parse(parser, buffer);
-  // Beast 1.74 ignores its own limit where a response's head and body come in one piece.
+HttpProgress parse_message(Parser& parser, std::string& buffer, std::uint64_t body_limit) {
+  const HttpProgress progress = feed_parser(parser, buffer);
+  // Beast 1.74 ignores its own body limit if the head and the body of a response arrive together.
   const bool long_body = parser.is_header_done() && parser.content_length().value_or(0) > body_limit;
   if (progress == HttpProgress::more && (long_body || parser.get().body().size() > body_limit))
     return HttpProgress::body_too_large;
   return parser.is_done() ? HttpProgress::done : progress;
 }
 
-char lowered(char letter) {
+char to_lower(char letter) {
   return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter;
 }
 
@@ -60,14 +60,14 @@
   Headers headers;
   for (const auto& field : fields) {
     std::string name(field.name_string());
-    std::ranges::transform(name, name.begin(), lowered);
+    std::ranges::transform(name, name.begin(), to_lower);
     headers.emplace_back(std::move(name), std::string(field.value()));
   }
   return headers;
 }
 
 template <bool is_request>
-std::string serialized(http::message<is_request, http::string_body>& message) {
+std::string serialize(http::message<is_request, http::string_body>& message) {
   message.prepare_payload();
   http::serializer<is_request, http::string_body> serializer(message);
   std::string bytes;
@@ -88,26 +88,26 @@
 
 }  // namespace
 
-const std::string* HttpRequest::header(std::string_view name) const { return find(headers, name); }
-const std::string* HttpResponse::header(std::string_view name) const { return find(headers, name); }
+const std::string* HttpRequest::header(std::string_view name) const { return find_header(headers, name); }
+const std::string* HttpResponse::header(std::string_view name) const { return find_header(headers, name); }
 
 struct HttpRequestReader::Parser : http::request_parser<http::string_body> {};
 struct HttpResponseReader::Parser : http::response_parser<http::string_body> {};
 
 template <typename Parser>
-std::unique_ptr<Parser> fresh(const HttpBounds& bounds) {
+std::unique_ptr<Parser> make_parser(const HttpLimits& limits) {
   auto parser = std::make_unique<Parser>();
   parser->eager(true);
-  parser->header_limit(bounds.head);
-  parser->body_limit(bounds.body);
+  parser->header_limit(limits.head);
+  parser->body_limit(limits.body);
   return parser;
 }
 
-HttpRequestReader::HttpRequestReader(HttpBounds bounds) : bounds_(bounds) {}
+HttpRequestReader::HttpRequestReader(HttpLimits limits) : limits_(limits) {}
 HttpRequestReader::~HttpRequestReader() = default;
 HttpProgress HttpRequestReader::put(std::string& buffer) {
-  if (!parser_) parser_ = fresh<Parser>(bounds_);
-  return put_into(*parser_, buffer, bounds_.body);
+  if (!parser_) parser_ = make_parser<Parser>(limits_);
+  return parse_message(*parser_, buffer, limits_.body);
 }
 bool HttpRequestReader::head_done() const { return parser_ && parser_->is_header_done(); }
 bool HttpRequestReader::wants_continue() const {
@@ -120,11 +120,11 @@
           std::move(message.body()), message.keep_alive()};
 }
 
-HttpResponseReader::HttpResponseReader(HttpBounds bounds) : bounds_(bounds) {}
+HttpResponseReader::HttpResponseReader(HttpLimits limits) : limits_(limits) {}
 HttpResponseReader::~HttpResponseReader() = default;
 HttpProgress HttpResponseReader::put(std::string& buffer) {
-  if (!parser_) parser_ = fresh<Parser>(bounds_);
-  return put_into(*parser_, buffer, bounds_.body);
+  if (!parser_) parser_ = make_parser<Parser>(limits_);
+  return parse_message(*parser_, buffer, limits_.body);
 }
 HttpProgress HttpResponseReader::end() {
   boost::system::error_code error;
@@ -146,7 +146,7 @@
   for (const auto& [name, value] : request.headers) message.insert(name, value);
   message.body() = request.body;
   message.keep_alive(request.keep_alive);
-  return serialized(message);
+  return serialize(message);
 }
 
 std::string to_bytes(const HttpResponse& response) {
@@ -156,7 +156,7 @@
   for (const auto& [name, value] : response.headers) message.insert(name, value);
   message.body() = response.body;
   message.keep_alive(response.keep_alive);
-  return serialized(message);
+  return serialize(message);
 }
 
 std::string_view reason_of(int status) {
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages on bytes alone, read and written by Boost.Beast, which is seen by http.cpp only.
+// Parses and serializes HTTP/1.1 messages. Only http.cpp includes Boost.Beast, which does the work.
 #pragma once
 
 #include <cstdint>
@@ -12,40 +12,40 @@
 
 using events::Headers;
 
-// A request as read or to be written.
+// A request that was read or is to be written.
 struct HttpRequest {
   std::string method{};
   std::string target{};
   Headers headers{};  // names in lower case
   std::string body{};
   bool keep_alive = true;
-  // The first field of that name; nullptr: there is none.
+  // Returns the value of the first field of that name, or nullptr if there is none.
   const std::string* header(std::string_view name) const;
 };
 
-// A response as read or to be written.
+// A response that was read or is to be written.
 struct HttpResponse {
   int status = 200;
   Headers headers{};
   std::string body{};
   bool keep_alive = true;
-  // The first field of that name; nullptr: there is none.
+  // Returns the value of the first field of that name, or nullptr if there is none.
   const std::string* header(std::string_view name) const;
 };
 
-// What a message may not exceed.
-struct HttpBounds {
-  std::uint32_t head = 16 * 1024;    // bytes of the first line and the header fields
-  std::uint64_t body = 1024 * 1024;  // bytes
+// Size limits of a message.
+struct HttpLimits {
+  std::uint32_t head = 16 * 1024;    // bytes of the start line and the header fields
+  std::uint64_t body = 1024 * 1024;  // bytes of the body
 };
 
-// How far a message has been read, or why it cannot be.
+// How far a message has been parsed, or why it cannot be.
 enum class HttpProgress : std::uint8_t { more, done, bad, head_too_large, body_too_large };
 
-// Reads one request after another from a growing buffer, taking off its front what it has used.
+// Parses consecutive requests from a growing buffer and removes from its front the bytes that it has used.
 class HttpRequestReader {
  public:
-  explicit HttpRequestReader(HttpBounds bounds);
+  explicit HttpRequestReader(HttpLimits limits);
   HttpRequestReader(const HttpRequestReader&) = delete;
   HttpRequestReader& operator=(const HttpRequestReader&) = delete;
   HttpRequestReader(HttpRequestReader&&) = delete;
@@ -53,19 +53,19 @@
   ~HttpRequestReader();
 
   HttpProgress put(std::string& buffer);
-  bool wants_continue() const;  // the head asks for 100 Continue and none of the body has come
-  bool head_done() const;       // the first line and the header fields have been read
-  HttpRequest take();           // after done; ready for the next
+  bool wants_continue() const;  // the client waits for 100 Continue and has sent no byte of the body
+  bool head_done() const;       // the start line and the header fields have been read
+  HttpRequest take();           // to be called after `done`; the reader is then ready for the next request
  private:
   struct Parser;
-  HttpBounds bounds_;
+  HttpLimits limits_;
   std::unique_ptr<Parser> parser_;
 };
 
-// The same for responses.
+// Parses consecutive responses in the same way.
 class HttpResponseReader {
  public:
-  explicit HttpResponseReader(HttpBounds bounds);
+  explicit HttpResponseReader(HttpLimits limits);
   HttpResponseReader(const HttpResponseReader&) = delete;
   HttpResponseReader& operator=(const HttpResponseReader&) = delete;
   HttpResponseReader(HttpResponseReader&&) = delete;
@@ -73,18 +73,19 @@
   ~HttpResponseReader();
 
   HttpProgress put(std::string& buffer);
-  HttpProgress end();   // the stream has ended: done where that ends the body
-  HttpResponse take();  // after done; ready for the next
+  HttpProgress
+  end();  // to be called when the stream ends; `done` if that completes the body, else `malformed`
+  HttpResponse take();  // to be called after `done`; the reader is then ready for the next response
 
  private:
   struct Parser;
-  HttpBounds bounds_;
+  HttpLimits limits_;
   std::unique_ptr<Parser> parser_;
 };
 
 std::string to_bytes(const HttpRequest& request);
 std::string to_bytes(const HttpResponse& response);
-// The reason phrase of a status.
+// Returns the reason phrase of a status code.
 std::string_view reason_of(int status);
 
 }  // namespace rushhill::transport
--- a/src/transport/http_connection.cpp
+++ b/src/transport/http_connection.cpp
@@ -7,17 +7,17 @@
 namespace rushhill::transport {
 namespace {
 
-// Bytes; twice what the front end takes, as endpoints add to it.
+// Bytes; twice the limit of the front end, because endpoints add header fields.
 constexpr std::uint32_t response_head_limit = 32 * 1024;
 
-constexpr int first_final_status = 200;  // lower ones are interim responses
+constexpr int first_final_status = 200;  // lower status codes are interim responses
 
 }  // namespace
 
 HttpConnection::HttpConnection(Reactor& reactor, HttpConnectionOwner& owner, HttpEndpoint& endpoint,
                                const HttpConnectionLimits& limits)
     : reactor_(reactor), owner_(owner), endpoint_(endpoint), limits_(limits),
-      reader_({.head = response_head_limit, .body = limits.response_bytes}) {}
+      reader_({.head = response_head_limit, .body = limits.max_response_bytes}) {}
 
 void HttpConnection::close() {
   cancel_timer();
@@ -27,8 +27,8 @@
 void HttpConnection::connect(const Address& address, HttpExchange exchange) {
   exchange_ = std::move(exchange);
   stream_ = Stream::connect(reactor_, address, *this);
-  timer_ =
-      reactor_.at(reactor_.now() + limits_.connect_timeout, [this] { fail(AttemptOutcome::connect_failed); });
+  timer_ = reactor_.at(reactor_.now() + limits_.connect_timeout,
+                       [this] { fail_exchange(AttemptOutcome::connect_failed); });
 }
 
 void HttpConnection::reuse(HttpExchange exchange) {
@@ -50,43 +50,43 @@
   sent_at_ = reactor_.now();
   response_started_ = false;
   if (exchange_->call.expires_at > 0)
-    timer_ = reactor_.at(exchange_->call.expires_at, [this] { fail(AttemptOutcome::unanswered); });
+    timer_ = reactor_.at(exchange_->call.expires_at, [this] { fail_exchange(AttemptOutcome::unanswered); });
   const std::string bytes = std::move(exchange_->bytes);
   stream_->write(bytes);
-  note_started();
+  report_started();
 }
 
-void HttpConnection::note_started() {
+void HttpConnection::report_started() {
   if (!exchange_ || exchange_->call.kind != UpstreamCallKind::attempt || unsent()) return;
   if (!std::exchange(exchange_->started, true)) owner_.attempt_started(exchange_->call.request);
 }
 
 void HttpConnection::on_data(std::string_view bytes) {
-  // What nobody asked for makes the connection untrustworthy.
+  // Unsolicited bytes: what follows on this connection could be taken for the response to another request.
   if (!exchange_) return owner_.connection_unusable(*this);
   response_started_ = true;
   received_ += bytes;
   for (;;) {
     const HttpProgress progress = reader_.put(received_);
     if (progress == HttpProgress::more) return;
-    // What is no HTTP, or too much of it, is an answer all the same: the request may have run.
-    if (progress != HttpProgress::done) return fail(AttemptOutcome::error);
+    // Malformed or oversized data counts as an answer too, because the request may have run.
+    if (progress != HttpProgress::done) return fail_exchange(AttemptOutcome::error);
     HttpResponse response = reader_.take();
-    if (response.status >= first_final_status) return answered(std::move(response));
+    if (response.status >= first_final_status) return finish_exchange(std::move(response));
   }
 }
 
 void HttpConnection::on_closed(CloseReason reason) {
   if (!exchange_) return owner_.connection_unusable(*this);
-  // A failure of this machine, which says nothing of the endpoint.
-  if (reason == CloseReason::not_started) return fail(AttemptOutcome::not_sent);
-  // Only where the system took no byte of it is it certain that nothing has begun.
-  if (reason == CloseReason::connect_failed || unsent()) return fail(AttemptOutcome::connect_failed);
+  // This failure is local and says nothing about the endpoint.
+  if (reason == CloseReason::not_started) return fail_exchange(AttemptOutcome::not_sent);
+  // Only if the system took no byte of the request is it certain that the request has not begun to run.
+  if (reason == CloseReason::connect_failed || unsent()) return fail_exchange(AttemptOutcome::connect_failed);
   if (reason == CloseReason::closed_by_peer && reader_.end() == HttpProgress::done) {
     reusable_ = false;
-    return answered(reader_.take());
+    return finish_exchange(reader_.take());
   }
-  fail(outcome_of_loss());
+  fail_exchange(outcome_of_loss());
 }
 
 AttemptOutcome HttpConnection::outcome_of_loss() const {
@@ -94,13 +94,13 @@
   return crossed ? AttemptOutcome::unanswered : AttemptOutcome::connection_lost;
 }
 
-void HttpConnection::answered(HttpResponse response) {
+void HttpConnection::finish_exchange(HttpResponse response) {
   cancel_timer();
   if (!exchange_) return;
   const auto self = shared_from_this();
   const HttpExchange exchange = std::move(*exchange_);
   exchange_.reset();
-  // A byte more than the response, or a response before all was sent, leaves the connection in doubt.
+  // After extra bytes, or a response before the whole request was sent, the connection is not safe to reuse.
   const bool reuse = reusable_ && response.keep_alive && received_.empty() && stream_->pending_bytes() == 0 &&
                      !stream_->closed();
   if (reuse) {
@@ -117,7 +117,7 @@
   timer_ = reactor_.at(idle_since_ + limits_.idle_timeout, [this] { owner_.connection_unusable(*this); });
 }
 
-void HttpConnection::fail(AttemptOutcome outcome) {
+void HttpConnection::fail_exchange(AttemptOutcome outcome) {
   if (!exchange_) return;
   const auto self = shared_from_this();
   const HttpExchange exchange = std::move(*exchange_);
--- a/src/transport/http_connection.h
+++ b/src/transport/http_connection.h
@@ -1,5 +1,5 @@
-// One HTTP/1.1 connection to an endpoint, which carries one exchange at a time. docs/servers.md is the
-// contract.
+// One HTTP/1.1 connection to an endpoint, with one exchange at a time. docs/servers.md is the contract with
+// the endpoints.
 #pragma once
 
 #include <cstdint>
@@ -21,18 +21,18 @@
 // One request and its response.
 struct HttpExchange {
   UpstreamCall call{};
-  std::string bytes{};   // of the request; empty once they are written
-  bool started = false;  // bytes of it have left
+  std::string bytes{};   // the request; empty once it has been written
+  bool started = false;  // whether the system has taken bytes of the request
 };
 
-// Limits of one connection.
+// Timeouts and limits of one connection.
 struct HttpConnectionLimits {
-  Time connect_timeout = 0;          // tenths of a millisecond
-  Time idle_timeout = 0;             // tenths of a millisecond
-  std::uint64_t response_bytes = 0;  // of a response's body
+  Time connect_timeout = 0;              // tenths of a millisecond
+  Time idle_timeout = 0;                 // tenths of a millisecond
+  std::uint64_t max_response_bytes = 0;  // bytes of a response body
 };
 
-// Called by a connection; implemented by its pool.
+// Callbacks of a connection, implemented by its pool.
 class HttpConnectionOwner {
  public:
   HttpConnectionOwner() = default;
@@ -42,19 +42,19 @@
   HttpConnectionOwner& operator=(HttpConnectionOwner&&) = delete;
   virtual ~HttpConnectionOwner() = default;
 
-  // The first bytes of an attempt have left.
+  // The system has taken the first bytes of an attempt.
   virtual void attempt_started(RequestId request) = 0;
-  // The connection can take the next exchange.
+  // The connection is ready for the next exchange.
   virtual void connection_idle(HttpConnection& connection) = 0;
-  // The connection can't be used any more and is to be closed.
+  // The connection cannot be used any more and must be closed.
   virtual void connection_unusable(HttpConnection& connection) = 0;
-  // The exchange has its one end: by a response, or without one.
+  // One of these two is called at the end of every exchange that is not aborted, with or without a response.
   virtual void exchange_answered(const HttpExchange& exchange, HttpResponse response) = 0;
   virtual void exchange_failed(const HttpExchange& exchange, AttemptOutcome outcome) = 0;
 };
 
-// A connection: being established, at one exchange, or idle. Owned by its endpoint; may outlive the pool, and
-// calls nothing but the reactor from then on.
+// A connection that is being established, runs one exchange, or is idle. It is owned by its endpoint. It may
+// outlive the pool; from then on it calls only the reactor.
 class HttpConnection final : public StreamHandler,
                              public Numbered,
                              public std::enable_shared_from_this<HttpConnection> {
@@ -70,35 +70,35 @@
   HttpEndpoint& endpoint() const { return endpoint_; }
   Time idle_since() const { return idle_since_; }
 
-  // Opens the connection for its first exchange.
+  // Opens the connection and starts its first exchange.
   void connect(const Address& address, HttpExchange exchange);
-  // Begins the next exchange on an idle connection.
+  // Starts the next exchange on an idle connection.
   void reuse(HttpExchange exchange);
 
-  // Whether an idle connection is still open with nothing to be read.
+  // Whether an idle connection is still open and has nothing to read.
   bool healthy() const { return !stream_->closed() && stream_->peek() == Stream::Peeked::nothing; }
-  // Whether the present exchange has sent no byte yet.
+  // Whether the system has not taken any byte of the current exchange yet.
   bool unsent() const { return exchange_ && stream_->handed_over_bytes() == handed_over_before_; }
 
-  // The present exchange is the last: its endpoint is reached elsewhere from now on.
+  // Prevents further exchanges after the current one, because the endpoint has a new address.
   void retire() { reusable_ = false; }
-  // Gives the present exchange up and reports nothing; the connection is used no more.
+  // Closes the connection and drops its current exchange without reporting an end.
   void abort();
-  // Ends the present exchange, of which no byte has left.
-  void fail_unsent() { fail(AttemptOutcome::not_sent); }
+  // Ends the current exchange, of which no byte has been sent.
+  void fail_unsent() { fail_exchange(AttemptOutcome::not_sent); }
   void close();
 
   void on_connected() override { send(); }
-  void on_write_drained() override { note_started(); }
+  void on_write_drained() override { report_started(); }
   void on_data(std::string_view bytes) override;
   void on_closed(CloseReason reason) override;
 
  private:
   void send();
-  void note_started();
-  void answered(HttpResponse response);
+  void report_started();
+  void finish_exchange(HttpResponse response);
   void become_idle();
-  void fail(AttemptOutcome outcome);
+  void fail_exchange(AttemptOutcome outcome);
   AttemptOutcome outcome_of_loss() const;
   void cancel_timer() { reactor_.cancel(timer_); }
 
@@ -109,13 +109,13 @@
   std::shared_ptr<Stream> stream_;
   HttpResponseReader reader_;
   std::optional<HttpExchange> exchange_;
-  std::string received_;                // bytes that the reader has not used yet
-  std::size_t handed_over_before_ = 0;  // bytes handed over before the present exchange
-  core::Timer timer_;                   // of connecting, of the present exchange, or of being idle
+  std::string received_;                // bytes that the reader has not parsed yet
+  std::size_t handed_over_before_ = 0;  // bytes that the system took before the current exchange
+  core::Timer timer_;                   // of connecting, the current exchange or the idle time
   Time idle_since_ = 0;
-  Time idle_before_ = 0;           // how long it was idle before the present exchange
-  Time sent_at_ = 0;               // when the present exchange was written
-  bool response_started_ = false;  // bytes have come since then
+  Time idle_before_ = 0;           // how long the connection was idle before the current exchange
+  Time sent_at_ = 0;               // when the current exchange was written
+  bool response_started_ = false;  // whether bytes have arrived since then
   bool reusable_ = true;
 };
 
--- a/src/transport/idle_close.h
+++ b/src/transport/idle_close.h
@@ -1,6 +1,6 @@
-// An endpoint that closes an idle connection may do so in the moment in which a request leaves on it. Whether
-// the request ran is not known then; but the close says nothing of the endpoint, which is up and as warm as
-// it was, while any other lost connection may mean that it has stopped.
+// An endpoint may close an idle connection at the moment when a request is sent on it. Whether that request
+// ran is then unknown, but the close says nothing about the endpoint, which is still up and has the same
+// functions loaded. Any other lost connection may mean that the endpoint has stopped.
 #pragma once
 
 #include "core/timer_service.h"
@@ -8,13 +8,13 @@
 namespace rushhill::transport {
 
 // Tenths of a millisecond.
-constexpr Time min_idle = 10'000;   // no endpoint closes a connection as idle sooner
-constexpr Time max_crossing = 500;  // from a request's leaving until the close that it crossed
+constexpr Time min_idle_timeout = 10'000;  // no endpoint closes an idle connection sooner
+constexpr Time max_close_delay = 500;      // from sending a request until the close that crossed it
 
-// Whether a lost connection was probably closed as idle: it had been idle for `idle_before` when the request
-// left, and was lost `since_sent` after that.
+// Returns whether a lost connection was probably closed as idle. It had been idle for `idle_before` when the
+// request was sent, and was lost `since_sent` later.
 constexpr bool crossed_idle_close(Time idle_before, Time since_sent) {
-  return idle_before >= min_idle && since_sent <= max_crossing;
+  return idle_before >= min_idle_timeout && since_sent <= max_close_delay;
 }
 
 }  // namespace rushhill::transport
--- a/src/transport/listener.h
+++ b/src/transport/listener.h
@@ -9,20 +9,21 @@
 
 namespace rushhill::transport {
 
-// Accepts connections at an address while it lives. The handler is called with each.
+// Accepts connections at an address until it is destroyed, and calls the handler with each of them.
 class Listener {
  public:
-  // Listens on an address (port 0: the system chooses), shared with other processes where asked, or on a
-  // listening socket that this process was started with.
+  // Listens on an address, which other processes can use too if `shared` is set; port 0 lets the system
+  // choose the port. The second constructor uses an inherited listening socket, which was open when this
+  // process started.
   Listener(Reactor& reactor, const Address& address, bool shared, AcceptHandler handler)
       : socket_(reactor.listen(address, shared, std::move(handler))) {}
-  Listener(Reactor& reactor, int inherited, AcceptHandler handler)
-      : socket_(reactor.listen_inherited(inherited, std::move(handler))) {}
+  Listener(Reactor& reactor, int descriptor, AcceptHandler handler)
+      : socket_(reactor.listen_inherited(descriptor, std::move(handler))) {}
 
   Address address() const { return socket_->address(); }
   // See BoundSocket.
   void accept_all() { socket_->accept_all(); }
-  void accept_while(std::function<bool()> has_room) { socket_->accept_while(std::move(has_room)); }
+  void accept_while(std::function<bool()> has_capacity) { socket_->accept_while(std::move(has_capacity)); }
 
  private:
   std::unique_ptr<BoundSocket> socket_;
--- a/src/transport/load_report.cpp
+++ b/src/transport/load_report.cpp
@@ -11,20 +11,20 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t most_metrics = 32;  // of one report that are read
-constexpr double metric_limit = 1e12;     // values from here on are left out
-constexpr std::string_view text_form = "TEXT ";
-constexpr std::string_view json_form = "JSON ";
+constexpr std::size_t max_metrics = 32;      // of one report; others are ignored
+constexpr double metric_value_limit = 1e12;  // metrics with this value or a larger one are left out
+constexpr std::string_view text_prefix = "TEXT ";
+constexpr std::string_view json_prefix = "JSON ";
 constexpr std::string_view named_metrics = "named_metrics";
 
-// The routing policy's name of an ORCA metric; empty: it is not used.
+// Returns the routing policy's name of an ORCA metric, or an empty string if the metric is not used.
 std::string metric_name(std::string_view orca_name) {
-  static const std::map<std::string_view, const char*> known{{"cpu_utilization", "util"},
+  static const std::map<std::string_view, const char*> names{{"cpu_utilization", "util"},
                                                              {"mem_utilization", "x0"},
                                                              {"rps", "qps"},
                                                              {"rps_fractional", "qps"},
                                                              {"eps", "eps"}};
-  if (const auto it = known.find(orca_name); it != known.end()) return it->second;
+  if (const auto it = names.find(orca_name); it != names.end()) return it->second;
   constexpr std::string_view named_prefix = "named_metrics.";
   if (!orca_name.starts_with(named_prefix)) return {};
   return std::string(orca_name.substr(named_prefix.size()));
@@ -32,8 +32,8 @@
 
 void add_metric(LoadReport& report, std::string_view orca_name, double value) {
   const std::string name = metric_name(orca_name);
-  const bool in_range = value >= 0 && value < metric_limit;
-  if (!name.empty() && in_range && report.size() < most_metrics) report[name] = value;
+  const bool in_range = value >= 0 && value < metric_value_limit;
+  if (!name.empty() && in_range && report.size() < max_metrics) report[name] = value;
 }
 
 std::string_view trimmed(std::string_view text) {
@@ -59,7 +59,7 @@
   return report;
 }
 
-// One `name=value` of the TEXT form.
+// Adds one `name=value` pair of the TEXT form.
 void add_text_metric(LoadReport& report, std::string_view pair) {
   const std::size_t equals = pair.find('=');
   if (equals == std::string_view::npos) return;
@@ -83,10 +83,10 @@
 
 }  // namespace
 
-LoadReport load_report(std::string_view header) {
+LoadReport parse_load_report(std::string_view header) {
   header = trimmed(header);
-  if (header.starts_with(json_form)) return from_json(header.substr(json_form.size()));
-  if (header.starts_with(text_form)) return from_text(header.substr(text_form.size()));
+  if (header.starts_with(json_prefix)) return from_json(header.substr(json_prefix.size()));
+  if (header.starts_with(text_prefix)) return from_text(header.substr(text_prefix.size()));
   return {};
 }
 
--- a/src/transport/load_report.h
+++ b/src/transport/load_report.h
@@ -1,4 +1,4 @@
-// Load reports as endpoints send them: the ORCA header `endpoint-load-metrics` (Open Request Cost
+// Load reports that endpoints send in the header `endpoint-load-metrics` of ORCA (Open Request Cost
 // Aggregation).
 #pragma once
 
@@ -8,8 +8,9 @@
 
 namespace rushhill::transport {
 
-// The report in a header value, in the TEXT or the JSON form, by the routing policy's metric names. Metrics
-// that are unknown, negative or out of range are left out; a value that cannot be read gives an empty report.
-LoadReport load_report(std::string_view header);
+// Parses a header value in the TEXT or the JSON form and returns its metrics by the routing policy's names.
+// Metrics that are unknown, negative or out of range are left out. Returns an empty report if the value
+// cannot be parsed.
+LoadReport parse_load_report(std::string_view header);
 
 }  // namespace rushhill::transport
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -14,14 +14,14 @@
 namespace {
 
 // Tenths of a millisecond.
-constexpr Time max_sleep = 1000;    // a signal's flag is seen within that
-constexpr Time max_poll_age = 500;  // half of the time in which a client's leaving is to be known
+constexpr Time max_sleep = 1000;    // the longest delay until a flag of a signal handler is seen
+constexpr Time max_poll_age = 500;  // half of the time within which a client's disconnect must be known
 constexpr Time time_units_per_ms = 10;
 constexpr std::int64_t nanoseconds_per_time_unit = 100'000;
-constexpr int stale_rest_ms = 1;
+constexpr int stale_sleep_ms = 1;
 constexpr std::size_t buffer_bytes = 64 * 1024;
 
-// A bound socket that never listens.
+// Keeps an address bound without listening on it.
 class ReservedPort final : public BoundSocket {
  public:
   ReservedPort(SystemCalls& system, const Address& address)
@@ -37,12 +37,12 @@
 
 Loop::Loop(SystemCalls& system) : system_(system), poller_(system), buffer_(buffer_bytes) {}
 
-// An exception from a handler is a bug of the program: it ends at once rather than go on in an unknown state.
+// An exception from a handler is a bug. The program aborts at once rather than continue in an unknown state.
 void Loop::run() try {
   run_calls();
   while (!halted_) {
     const ReadySet ready = poll_sources();
-    rest_if_stale(ready);
+    sleep_if_all_stale(ready);
     reading_clients_ = true;
     dispatch(ready, true);
     reading_clients_ = false;
@@ -50,18 +50,19 @@
     dispatch(ready, false);
     run_calls();
   }
-} catch (const std::exception& fault) {
-  std::fprintf(stderr, "rushhill: fault in a handler: %s\n", fault.what());
+} catch (const std::exception& error) {
+  std::fprintf(stderr, "rushhill: unhandled exception in an event handler: %s\n", error.what());
   std::abort();
 }
 
-// What the calls own may cancel timers and post calls when destroyed: they leave the loop's lists first.
+// Destroying a call may destroy objects that cancel timers or post calls, so all calls are moved out of the
+// members first.
 void Loop::forget_all() {
   const auto timers = std::exchange(timers_, {});
   const auto posted = std::exchange(posted_, {});
   unregistered_.clear();
-  deferred_.clear();
-  every_turn_ = nullptr;
+  deferred_streams_.clear();
+  iteration_hook_ = nullptr;
 }
 
 void Loop::halt() { halted_ = true; }
@@ -72,15 +73,15 @@
 void Loop::cancel(core::Timer& timer) { timers_.cancel(timer); }
 void Loop::post(Call call) { posted_.push_back(std::move(call)); }
 
-// All that can be read or written. Where the process slept or was suspended it polls again, since what came
-// meanwhile may not have been reported.
+// Returns everything that is readable or writable. Polls again if the process slept or was suspended, because
+// data that arrived meanwhile may not have been reported.
 ReadySet Loop::poll_sources() {
   ReadySet ready;
   int timeout_ms = sleep_ms();
   bool all = false;
-  looked_before_ = looked_at_;
-  while (!all || now() - looked_at_ > max_poll_age) {
-    looked_at_ = now();
+  previous_poll_at_ = last_poll_at_;
+  while (!all || now() - last_poll_at_ > max_poll_age) {
+    last_poll_at_ = now();
     const std::size_t before = ready.size();
     const std::size_t reported = poller_.wait(timeout_ms, ready);
     all = reported < Poller::max_events || ready.size() == before;
@@ -89,9 +90,9 @@
   return ready;
 }
 
-bool Loop::may_send() const { return !reading_clients_ && now() - looked_at_ <= max_poll_age; }
+bool Loop::may_send() const { return !reading_clients_ && now() - last_poll_at_ <= max_poll_age; }
 
-// Sources that are gone meanwhile, or no longer wait for it, are passed over.
+// Skips sources that have been removed or have changed their interest since the poll.
 void Loop::dispatch(const ReadySet& ready, bool opened_by_peer) {
   for (const auto& [id, found] : ready) {
     EventSource* source = find_source(id, opened_by_peer);
@@ -101,7 +102,7 @@
   }
 }
 
-// nullptr: it is gone, or is not of that kind.
+// Returns nullptr if the source has been removed or was not opened by the requested side.
 EventSource* Loop::find_source(RegistrationId id, bool opened_by_peer) const {
   const auto it = sources_.find(id);
   if (it == sources_.end() || it->second->opened_by_peer() != opened_by_peer) return nullptr;
@@ -109,21 +110,21 @@
 }
 
 void Loop::send_deferred() {
-  for (const auto& deferred : std::exchange(deferred_, {})) {
+  for (const auto& deferred : std::exchange(deferred_streams_, {})) {
     if (const auto stream = deferred.lock()) stream->send_deferred();
   }
 }
 
 void Loop::run_calls() {
-  if (every_turn_) every_turn_();
+  if (iteration_hook_) iteration_hook_();
   timers_.fire_due(now());
-  // What these put off runs in the next iteration, so that a chain of them cannot starve the sockets.
+  // Calls that these post run in the next iteration, so that a chain of them cannot starve the sockets.
   for (const Call& call : std::exchange(posted_, {})) call();
 }
 
-// How long the loop may sleep: rounded up, so that no timer fires early and nothing spins.
+// Returns how long the loop may sleep. Rounds up, so that it does not wake before a timer is due and spin.
 int Loop::sleep_ms() const {
-  if (!posted_.empty() || !deferred_.empty()) return 0;
+  if (!posted_.empty() || !deferred_streams_.empty()) return 0;
   const Time start = now();
   const Time latest = start + max_sleep;
   const Time wake = std::min(timers_.next_deadline().value_or(latest), latest);
@@ -144,8 +145,8 @@
     source.registration_ = ++last_registration_;
     sources_.emplace(source.registration_, &source);
   }
-  if (unregistered_.contains(source.registration_)) return;  // tried again soon, with this interest
-  if (!register_source(descriptor, source)) register_later(descriptor, source);
+  if (unregistered_.contains(source.registration_)) return;  // the pending retry uses the new interest
+  if (!register_source(descriptor, source)) schedule_registration(descriptor, source);
 }
 
 bool Loop::register_source(int descriptor, EventSource& source) {
@@ -155,33 +156,33 @@
   return done;
 }
 
-void Loop::register_later(int descriptor, const EventSource& source) {
+void Loop::schedule_registration(int descriptor, const EventSource& source) {
   const bool first = unregistered_.empty();
   unregistered_.emplace(source.registration_, descriptor);
-  if (first) at(now() + register_backoff_.failed(), [this] { register_again(); });
+  if (first) at(now() + register_backoff_.pause_after_failure(), [this] { retry_registrations(); });
 }
 
-void Loop::register_again() {
+void Loop::retry_registrations() {
   for (const auto& [id, descriptor] : std::exchange(unregistered_, {})) {
     EventSource& source = *sources_.at(id);
     if (register_source(descriptor, source)) {
-      register_backoff_.succeeded();
+      register_backoff_.record_success();
     } else {
-      register_later(descriptor, source);
+      schedule_registration(descriptor, source);
     }
   }
 }
 
-// A descriptor that is ready and that no source waits for was left by a call that failed: the loop must not
-// spin on it.
-void Loop::rest_if_stale(const ReadySet& ready) {
+// Sleeps if no source waits for any of the ready descriptors. Such a descriptor is still registered because
+// the system refused to remove or change it, and the loop must not spin on it.
+void Loop::sleep_if_all_stale(const ReadySet& ready) {
   const auto wanted = [this](const auto& item) {
     const auto it = sources_.find(item.first);
     if (it == sources_.end()) return false;
     const Interest& interest = it->second->interest_;
     return (item.second.readable && interest.readable) || (item.second.writable && interest.writable);
   };
-  if (!ready.empty() && std::ranges::none_of(ready, wanted)) system_.poll(nullptr, 0, stale_rest_ms);
+  if (!ready.empty() && std::ranges::none_of(ready, wanted)) system_.poll(nullptr, 0, stale_sleep_ms);
 }
 
 std::shared_ptr<Stream> Loop::connect(const Address& address, StreamHandler& handler) {
@@ -191,8 +192,8 @@
 }
 
 std::shared_ptr<Stream> Loop::adopt(const PendingConnection& connection, StreamHandler& handler) {
-  const auto stream =
-      std::make_shared<SocketStream>(*this, handler, static_cast<const AcceptedSocket&>(connection).take());
+  const auto stream = std::make_shared<SocketStream>(
+      *this, handler, static_cast<const AcceptedSocket&>(connection).take_socket());
   stream->establish();
   return stream;
 }
@@ -208,8 +209,8 @@
 }
 
 std::unique_ptr<BoundSocket> Loop::open_datagrams(const Address& address, DatagramHandler handler) {
-  // Beside a socket that has the address already: an earlier process of this router, which receives nothing
-  // from then on.
+  // An earlier process of this router may still have a socket with this address. It receives nothing once the
+  // new socket is bound.
   return std::make_unique<DatagramSocket>(*this, bound_socket(system_, address, SOCK_DGRAM, {}),
                                           std::move(handler));
 }
--- a/src/transport/loop.h
+++ b/src/transport/loop.h
@@ -1,11 +1,11 @@
-// The event loop of the one thread, on sockets: a Poller, timers, and the byte streams, listeners and
-// datagram sockets that wait in it.
+// The single-threaded event loop on sockets: a Poller, timers, and the byte streams, listeners and datagram
+// sockets that wait in it.
 //
-// An iteration reads before it acts, in this order: connections that peers opened, until nothing is left to
-// be read, so that a client's leaving is known before anything is begun for it; then listeners and
-// connections that we opened; then the timers that are due; then posted calls. Nothing is sent on a
-// connection that we opened while those that peers opened are being read, or once that was too long ago: it
-// can be recalled until they have been read again.
+// Each iteration reads before it acts. It first reads the connections that peers opened until nothing is left
+// to read, so that a client's disconnect is known before work is started for that client. It then serves
+// listeners, datagram sockets and the connections that we opened, then timers that are due, then posted
+// calls. Nothing is sent on a connection that we opened while those that peers opened are being read, or if
+// the last poll is too long ago. Bytes that wait for this reason can still be cancelled.
 #pragma once
 
 #include <atomic>
@@ -25,7 +25,7 @@
 
 class SocketStream;
 
-// The loop, of one thread. It must outlive its streams and sockets.
+// The event loop. It must outlive its streams and sockets.
 class Loop final : public Reactor {
  public:
   explicit Loop(SystemCalls& system = SystemCalls::real());
@@ -54,29 +54,31 @@
   std::unique_ptr<BoundSocket> open_inherited_datagrams(int descriptor, DatagramHandler handler) override;
   std::unique_ptr<BoundSocket> reserve(const Address& address) override;
 
-  // Drops every timer and posted call: for the end, when those that set them are gone.
+  // Drops all timers and posted calls. Used at shutdown, when the objects that they refer to are gone.
   void forget_all();
 
-  // Called in every iteration; for what a signal handler has noted.
-  void every_turn(Call call) { every_turn_ = std::move(call); }
+  // Sets a function that is called in every iteration, to act on flags that a signal handler has set.
+  void every_turn(Call call) { iteration_hook_ = std::move(call); }
 
-  // Bytes at most in one read or write; small ones make every boundary happen, for tests.
+  // Maximum bytes of one read or write. Tests set a small value to split messages at every byte.
   std::size_t most_at_once = 64 * 1024;
 
-  // For the sockets of this loop.
+  // Members below are for the sockets of this loop.
   SystemCalls& system() { return system_; }
-  // Waits, from now on, for what `interest` names; for nothing: forgets the source. Where the system refuses
-  // it for lack of a resource it is tried again until it succeeds.
+  // Waits for the events in `interest` from now on; without any, the source is removed. If the system lacks a
+  // resource for the registration, it is retried until it succeeds.
   void watch(int descriptor, EventSource& source, Interest interest);
-  // Of connections that could not be begun for lack of a resource on this machine.
+  // The backoff of connections that could not be started for lack of a local resource.
   Backoff& connect_backoff() { return connect_backoff_; }
-  // Whether bytes may leave on a connection that we opened: all that peers opened has been read just now.
+  // Whether bytes may be sent on a connection that we opened: the connections that peers opened have just
+  // been read.
   bool may_send() const;
-  // Bytes that are read now have come after this moment: by then all that could be read was known.
-  Time looked_before() const { return looked_before_; }
-  // The stream's send_deferred() is called once the connections that peers opened have been read.
-  void send_later(std::weak_ptr<SocketStream> stream) { deferred_.push_back(std::move(stream)); }
-  // One for all reads: its content is lost at the next.
+  // When the last poll of the previous iteration began. Bytes that are read now have arrived since, because
+  // everything that was readable by then had been reported.
+  Time previous_poll_at() const { return previous_poll_at_; }
+  // Calls the stream's send_deferred() once the connections that peers opened have been read.
+  void defer_send(std::weak_ptr<SocketStream> stream) { deferred_streams_.push_back(std::move(stream)); }
+  // One buffer for all reads; each read overwrites it.
   std::vector<char>& read_buffer() { return buffer_; }
 
  private:
@@ -87,25 +89,25 @@
   void run_calls();
   int sleep_ms() const;
   bool register_source(int descriptor, EventSource& source);
-  void register_later(int descriptor, const EventSource& source);
-  void register_again();
-  void rest_if_stale(const ReadySet& ready);
+  void schedule_registration(int descriptor, const EventSource& source);
+  void retry_registrations();
+  void sleep_if_all_stale(const ReadySet& ready);
 
   SystemCalls& system_;
   Poller poller_;
   core::TimerQueue timers_;
   std::vector<Call> posted_;
   std::vector<char> buffer_;
-  Call every_turn_;
+  Call iteration_hook_;
   RegistrationId last_registration_ = 0;
   std::map<RegistrationId, EventSource*> sources_;
-  std::map<RegistrationId, int> unregistered_;  // descriptors whose interest the system has not taken yet
+  std::map<RegistrationId, int> unregistered_;  // descriptors whose registration is to be retried
   Backoff register_backoff_;
   Backoff connect_backoff_;
-  std::vector<std::weak_ptr<SocketStream>> deferred_;  // each once
-  Time looked_at_ = 0;            // what could be read before then is known, or is being read
-  Time looked_before_ = 0;        // the same as of the iteration before
-  bool reading_clients_ = false;  // connections that peers opened are being read
+  std::vector<std::weak_ptr<SocketStream>> deferred_streams_;  // each stream once
+  Time last_poll_at_ = 0;         // when the last poll began; what was readable by then has been reported
+  Time previous_poll_at_ = 0;     // its value in the previous iteration
+  bool reading_clients_ = false;  // whether connections that peers opened are being read
   std::atomic<bool> halted_ = false;
 };
 
--- a/src/transport/numbered.h
+++ b/src/transport/numbered.h
@@ -1,11 +1,11 @@
-// Objects that are ordered by when they were made, so that no order depends on where they lie in memory.
+// Numbers objects in the order of their creation, so that no order depends on memory addresses.
 #pragma once
 
 #include <cstdint>
 
 namespace rushhill::transport {
 
-// Gets the next number when it is made; numbers are never used again.
+// Base of objects that get the next number when they are created. Numbers are never reused.
 class Numbered {
  public:
   std::uint64_t number() const { return number_; }
@@ -15,7 +15,7 @@
   std::uint64_t number_ = ++last_;
 };
 
-// Orders pointers to numbered objects, the oldest first.
+// Orders pointers to numbered objects, oldest first.
 struct ByNumber {
   bool operator()(const Numbered* left, const Numbered* right) const {
     return left->number() < right->number();
--- a/src/transport/peer_links.h
+++ b/src/transport/peer_links.h
@@ -1,4 +1,4 @@
-// Short messages between routers as datagrams that name their sender. Messages are bounded in size.
+// Short messages between routers as datagrams that name their sender.
 #pragma once
 
 #include <functional>
@@ -12,19 +12,20 @@
 
 namespace rushhill::transport {
 
-// Sends to routers and receives from them. A message that cannot be sent at once is dropped.
+// Sends messages to other routers and receives theirs. A message that cannot be sent at once is dropped, and
+// so is a received one that is too long.
 class PeerLinks final : public core::PeerMessenger {
  public:
   // Called with each message and the number of the router that sent it.
   using MessageHandler = std::function<void(int router, const std::string& bytes)>;
-  // `listen`: an address, or `fd:` and the number of an inherited socket. `addresses` by router number; an
-  // empty one is a router that cannot be reached. Throws std::invalid_argument for an address that is not
-  // numeric.
+  // `listen` is an address, or `fd:` and the number of an inherited socket. `addresses` has the address of
+  // each router at the index of its number, or an empty string if the router cannot be reached. Throws
+  // std::invalid_argument if an address is not numeric.
   PeerLinks(Reactor& reactor, const std::string& listen, int own_number,
             const std::vector<std::string>& addresses, MessageHandler handler);
-  // To one router; `router` below 0: to all others.
+  // Sends to one router, or to all others if `router` is negative.
   void send(int router, const std::string& bytes) override;
-  // Messages that the system did not take.
+  // Number of datagrams that the system did not accept.
   std::uint64_t dropped() const { return dropped_; }
 
  private:
--- a/src/transport/poller.cpp
+++ b/src/transport/poller.cpp
@@ -8,22 +8,22 @@
 namespace rushhill::transport {
 namespace {
 
-// An error or a hang-up is found by whoever reads or writes.
+// An error or a hang-up counts as both; the source learns of it from its next read or write.
 constexpr std::uint32_t readable_events = EPOLLIN | EPOLLERR | EPOLLHUP;
 constexpr std::uint32_t writable_events = EPOLLOUT | EPOLLERR | EPOLLHUP;
 
-constexpr int max_tries = 8;  // of a call that fails for a moment
+constexpr int max_tries = 8;  // of a call that may fail only temporarily
 
 }  // namespace
 
 Poller::Poller(SystemCalls& system)
     : system_(system),
-      descriptor_(system, try_for_a_moment(system, [&] { return system.epoll_create1(EPOLL_CLOEXEC); })) {
+      descriptor_(system, retry_briefly(system, [&] { return system.epoll_create1(EPOLL_CLOEXEC); })) {
   if (!descriptor_.open()) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
 bool Poller::add(int descriptor, RegistrationId id, Interest interest) {
-  // One that could not be removed before is there still.
+  // A descriptor that could not be removed earlier is still registered.
   return control(Operation::add, descriptor, interest, id) ||
          (errno == EEXIST && control(Operation::update, descriptor, interest, id));
 }
@@ -47,8 +47,8 @@
 std::size_t Poller::wait(int timeout_ms, ReadySet& ready) {
   const auto max_reported = static_cast<int>(events_.size());
   int reported = system_.epoll_wait(descriptor_.number(), events_.data(), max_reported, timeout_ms);
-  // The wait is over, but what is ready has not been seen: the caller takes what is not reported as not
-  // ready.
+  // An interrupted wait reports nothing, but the caller takes whatever is not reported as not ready. So the
+  // ready descriptors are fetched without waiting again.
   for (int tries = 1; reported < 0 && errno == EINTR && tries < max_tries; ++tries)
     reported = system_.epoll_wait(descriptor_.number(), events_.data(), max_reported, 0);
   if (reported < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
--- a/src/transport/poller.h
+++ b/src/transport/poller.h
@@ -1,5 +1,5 @@
-// Waits on many descriptors at once: epoll, level-triggered. A wait is counted by the system on its monotonic
-// clock, and one that a signal interrupts ends early with nothing ready.
+// Waits for many descriptors at once with level-triggered epoll. The system measures the timeout of a wait on
+// its monotonic clock.
 #pragma once
 
 #include <sys/epoll.h>
@@ -14,10 +14,10 @@
 
 namespace rushhill::transport {
 
-// Names one registration; numbers are never used again, unlike those of descriptors. 0 names none.
+// Identifies one registration. Unlike descriptor numbers, these are never reused. 0 identifies none.
 using RegistrationId = std::uint64_t;
 
-// What a source waits for, or what is ready.
+// The events that a source waits for, or that have been reported for it.
 struct Interest {
   bool readable = false;
   bool writable = false;
@@ -25,30 +25,31 @@
   bool any() const { return readable || writable; }
 };
 
-// What is ready, by registration; those that were registered first come first.
+// The events that have been reported, by registration; the oldest registration comes first.
 using ReadySet = std::map<RegistrationId, Interest>;
 
 // Registers descriptors with the system and waits for them.
 class Poller {
  public:
-  // How many the system reports at most in one wait.
+  // The most descriptors that the system reports in one wait.
   static constexpr std::size_t max_events = 1024;
 
-  // Throws std::system_error where the system has no descriptor for it.
+  // Throws std::system_error if the system cannot create an epoll instance.
   explicit Poller(SystemCalls& system);
 
-  // Each returns whether the system did it; where it did not, errno tells why and nothing has changed.
+  // Both return whether the system accepted the change. If not, errno has the reason and nothing has changed.
   bool add(int descriptor, RegistrationId id, Interest interest);
   bool update(int descriptor, RegistrationId id, Interest interest);
-  // Tried several times in place: a descriptor that stays registered would be reported forever.
+  // Retries a failure several times at once, because a descriptor that stays registered would be reported
+  // again and again.
   void remove(int descriptor);
 
-  // Adds what is ready to `ready`, also where a signal cuts the wait short, after at most `timeout_ms`, and
-  // returns how many the system reported.
+  // Waits for at most `timeout_ms`, adds the reported events to `ready` and returns the number of descriptors
+  // that the system reported. A wait that a signal interrupts ends early, but still reports what is ready.
   std::size_t wait(int timeout_ms, ReadySet& ready);
 
  private:
-  // By epoll_ctl()'s numbers.
+  // With the values of epoll_ctl().
   enum class Operation : std::uint8_t { add = EPOLL_CTL_ADD, remove = EPOLL_CTL_DEL, update = EPOLL_CTL_MOD };
   bool control(Operation operation, int descriptor, Interest interest, RegistrationId id);
 
--- a/src/transport/reactor.cpp
+++ b/src/transport/reactor.cpp
@@ -26,7 +26,8 @@
   const auto [end, error] = std::from_chars(first, text.data() + text.size(), port);
   if (error != std::errc{} || end != text.data() + text.size() || port > 65535 ||
       !net::IPAddress::tryParse(host, ip_address))
-    throw std::invalid_argument("'" + text + "' is not an address in digits and a port, as 127.0.0.1:8080");
+    throw std::invalid_argument("'" + text +
+                                "' is not a numeric IP address with a port, such as 127.0.0.1:8080");
   return {ip_address, static_cast<Poco::UInt16>(port)};
 }
 
--- a/src/transport/reactor.h
+++ b/src/transport/reactor.h
@@ -1,7 +1,7 @@
-// The one thread's event loop: timers, byte streams, listeners and datagrams.
+// The single-threaded event loop: timers, byte streams, listeners and datagram sockets.
 //
-// `Loop` provides them on sockets, the emulator's network in memory and virtual time. Nothing here blocks.
-// All calls are made from the loop's thread, except halt(), which a signal's handler may make too.
+// `Loop` implements it on sockets, and the emulator's network in memory and virtual time. Nothing here
+// blocks. All calls must be made from the loop's thread, except halt(), which a signal handler may call too.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,17 @@
 
 namespace rushhill::transport {
 
-// The machine's monotonic clock, the same for all processes, in nanoseconds.
+// Reads the machine's monotonic clock, which is the same for all processes, in nanoseconds.
 std::int64_t monotonic_ns();
 
-// What the loop provides; see above. Addresses that cannot be bound throw std::system_error.
+// Interface of the event loop; see above. Its functions throw std::system_error if they cannot bind an
+// address.
 class Reactor : public core::TimerService {
  public:
   virtual void run() = 0;  // until halt()
   virtual void halt() = 0;
 
-  // Nanoseconds: the clock of the event records, and the Unix time.
+  // Both are in nanoseconds: the monotonic clock that timestamps event records, and the Unix time.
   virtual std::int64_t clock_ns() const = 0;
   virtual std::int64_t unix_ns() const = 0;
 
@@ -31,7 +32,7 @@
   virtual std::unique_ptr<BoundSocket> listen_inherited(int descriptor, AcceptHandler handler) = 0;
   virtual std::unique_ptr<BoundSocket> open_datagrams(const Address& address, DatagramHandler handler) = 0;
   virtual std::unique_ptr<BoundSocket> open_inherited_datagrams(int descriptor, DatagramHandler handler) = 0;
-  // Keeps an address (port 0: one is chosen) whether or not somebody listens there.
+  // Keeps an address reserved, whether or not anything listens there. Port 0 lets the system choose the port.
   virtual std::unique_ptr<BoundSocket> reserve(const Address& address) = 0;
 };
 
--- a/src/transport/send_buffer.h
+++ b/src/transport/send_buffer.h
@@ -1,4 +1,4 @@
-// Bytes that wait to be sent.
+// A buffer of bytes that are waiting to be sent.
 #pragma once
 
 #include <cstddef>
@@ -7,31 +7,31 @@
 
 namespace rushhill::transport {
 
-// A queue of bytes, appended at its end and sent from its front. What has been sent is dropped only once it
-// is at least as long as what still waits, so that a long queue costs time linear in its length, however
-// small the parts are that the system takes.
+// A queue of bytes that are appended at its end and sent from its front. Sent bytes are removed only once
+// there are at least as many of them as unsent ones. Sending a long queue thus takes time linear in its
+// length, however small the parts are that the system takes.
 class SendBuffer {
  public:
   bool empty() const { return size() == 0; }
   std::size_t size() const { return bytes_.size() - sent_; }
-  // The bytes that wait; valid until the buffer changes.
-  std::string_view waiting() const { return std::string_view(bytes_).substr(sent_); }
+  // The unsent bytes. The view is valid until the buffer changes.
+  std::string_view pending() const { return std::string_view(bytes_).substr(sent_); }
 
   void append(std::string_view bytes) {
     drop_sent();
     bytes_ += bytes;
   }
-  // Takes `count` bytes, of size() at most, from the front.
+  // Marks the first `count` unsent bytes as sent; `count` must not exceed size().
   void consume(std::size_t count) {
     sent_ += count;
     if (empty()) clear();
   }
-  // Takes `count` bytes from the middle, which stand at `from`, counted from the front.
+  // Removes `count` unsent bytes, starting `from` bytes after the first unsent one.
   void erase(std::size_t from, std::size_t count) {
     bytes_.erase(sent_ + from, count);
     if (empty()) clear();
   }
-  // An empty buffer holds no memory.
+  // Removes all bytes.
   void clear() {
     bytes_ = {};
     sent_ = 0;
--- a/src/transport/server_pool.cpp
+++ b/src/transport/server_pool.cpp
@@ -9,12 +9,12 @@
 namespace rushhill::transport {
 namespace {
 
-constexpr Time evict_timeout = 10'000;  // tenths of a millisecond; nobody waits for its answer
+constexpr Time evict_timeout = 10'000;  // tenths of a millisecond; the response is not reported
 
 }  // namespace
 
-ServerPool::ServerPool(Reactor& reactor, const PoolBounds& bounds, core::EventLog& event_log)
-    : ConnectionPool(reactor, event_log), bounds_(bounds) {}
+ServerPool::ServerPool(Reactor& reactor, const PoolBounds& limits, core::EventLog& event_log)
+    : ConnectionPool(reactor, event_log), limits_(limits) {}
 
 std::string ServerPool::address(const EndpointId& id) const {
   const HttpEndpoint* endpoint = find_endpoint(id);
@@ -26,7 +26,7 @@
                   .endpoint = call.endpoint,
                   .request = call.request,
                   .attempt_number = call.attempt_number},
-         .bytes = attempt_request(bounds_.router, call)});
+         .bytes = attempt_request(limits_.router, call)});
 }
 
 void ServerPool::probe(const EndpointId& id, Duration timeout) {
@@ -42,8 +42,8 @@
                   .endpoint = id,
                   .function = function,
                   .expires_at = reactor().now() + to_ticks(timeout)},
-         .bytes = query ? copy_query_request(bounds_.router, id)
-                        : prewarm_request(bounds_.router, id, function, copies)});
+         .bytes = query ? copy_query_request(limits_.router, id)
+                        : prewarm_request(limits_.router, id, function, copies)});
 }
 
 void ServerPool::evict(const EndpointId& id, const FunctionId& function) {
@@ -51,7 +51,7 @@
                   .endpoint = id,
                   .function = function,
                   .expires_at = reactor().now() + evict_timeout},
-         .bytes = evict_request(bounds_.router, id, function)});
+         .bytes = evict_request(limits_.router, id, function)});
 }
 
 void ServerPool::cancel(RequestId request, int attempt_number) {
@@ -83,28 +83,28 @@
   HttpEndpoint* endpoint = find_endpoint(exchange.call.endpoint);
   if (endpoint == nullptr || !endpoint->address)
     return report_end_later(std::move(exchange.call), AttemptOutcome::connect_failed);
-  if (HttpConnection* idle = take_idle(*endpoint)) {
+  if (HttpConnection* idle = pop_healthy_idle(*endpoint)) {
     track_attempt(exchange.call, *idle);
     return idle->reuse(std::move(exchange));
   }
-  if (endpoint->connections.size() >= static_cast<std::size_t>(bounds_.connections))
+  if (endpoint->connections.size() >= static_cast<std::size_t>(limits_.connections))
     return report_end_later(std::move(exchange.call), AttemptOutcome::connect_failed);
-  // The bound of all together says nothing of this endpoint.
+  // The limit on all connections says nothing about this endpoint, so the outcome is not a connect failure.
   if (total_reached() && !close_longest_idle())
     return report_end_later(std::move(exchange.call), AttemptOutcome::not_sent);
   HttpConnectionOwner& owner = *this;
   const auto connection =
       std::make_shared<HttpConnection>(reactor(), owner, *endpoint,
-                                       HttpConnectionLimits{.connect_timeout = bounds_.connect_limit,
-                                                            .idle_timeout = bounds_.idle,
-                                                            .response_bytes = bounds_.reply});
+                                       HttpConnectionLimits{.connect_timeout = limits_.connect_limit,
+                                                            .idle_timeout = limits_.idle,
+                                                            .max_response_bytes = limits_.reply});
   add(connection);
   track_attempt(exchange.call, *connection);
   connection->connect(*endpoint->address, std::move(exchange));
 }
 
-// The last used connection that is still healthy; those found closed are removed.
-HttpConnection* ServerPool::take_idle(HttpEndpoint& endpoint) {
+// Returns the healthy idle connection that was used last, or nullptr. Removes unhealthy ones that it finds.
+HttpConnection* ServerPool::pop_healthy_idle(HttpEndpoint& endpoint) {
   while (!endpoint.idle.empty()) {
     HttpConnection* connection = endpoint.idle.back();
     endpoint.idle.pop_back();
--- a/src/transport/server_pool.h
+++ b/src/transport/server_pool.h
@@ -1,5 +1,5 @@
-// Runs calls on endpoints over HTTP/1.1: a pool of connections to each, with one exchange at a time on a
-// connection. docs/servers.md is the contract.
+// Sends calls to endpoints over HTTP/1.1, on a pool of connections with one exchange at a time on each.
+// docs/servers.md is the contract with the endpoints.
 #pragma once
 
 #include <cstdint>
@@ -11,29 +11,30 @@
 
 namespace rushhill::transport {
 
-// Bounds of the pool and of its connections.
+// Limits of the pool and of its connections.
 struct PoolBounds {
-  int router = 0;         // this router's number, sent to endpoints so that their records can name the sender
-  int connections = 256;  // to one endpoint
-  std::size_t total = 0;  // to all of them together; 0: no bound
+  int router = 0;           // this router's number, which endpoints put into their records
+  int connections = 256;    // maximum to one endpoint
+  std::size_t total = 0;    // maximum to all endpoints together; 0 means no limit
   Time connect_limit = 0;   // tenths of a millisecond
-  Time idle = 0;            // tenths of a millisecond until an idle connection is closed
-  std::uint64_t reply = 0;  // bytes of a response's body
+  Time idle = 0;            // tenths of a millisecond after which an idle connection is closed
+  std::uint64_t reply = 0;  // maximum bytes of a response body
 };
 
-// An endpoint and its connections, of which the one used last is used next.
+// An endpoint and its connections. The idle connection that was used last is the first to be used again.
 struct HttpEndpoint : PooledEndpoint<HttpConnection> {
-  std::vector<HttpConnection*> idle{};  // the last used at the back
+  std::vector<HttpConnection*> idle{};  // the one that was used last is at the back
 
   std::vector<HttpConnection*> idle_connections() const { return idle; }
   HttpConnection* longest_idle() const { return idle.empty() ? nullptr : idle.front(); }
   void connection_removed(HttpConnection& connection) { std::erase(idle, &connection); }
 };
 
-// The pool. Every call ends once, with what is known of it: where no connection may be opened, at once.
+// The pool. Every call that is not cancelled ends exactly once, with what is known about it. If no connection
+// may be opened for a call, the call fails without waiting for one.
 class ServerPool final : public ConnectionPool<HttpEndpoint>, private HttpConnectionOwner {
  public:
-  ServerPool(Reactor& reactor, const PoolBounds& bounds, core::EventLog& event_log);
+  ServerPool(Reactor& reactor, const PoolBounds& limits, core::EventLog& event_log);
 
   void send(const core::AttemptCall& call) override;
   void cancel(RequestId request, int attempt_number) override;
@@ -43,7 +44,7 @@
   void prewarm(const EndpointId& id, const FunctionId& function, int copies, Duration timeout) override;
   void evict(const EndpointId& id, const FunctionId& function) override;
 
-  // Where an endpoint is reached now; empty: nowhere.
+  // Returns the current address of an endpoint, or an empty string if it has none.
   std::string address(const EndpointId& id) const;
 
  private:
@@ -54,10 +55,10 @@
   void exchange_failed(const HttpExchange& exchange, AttemptOutcome outcome) override;
 
   void start(HttpExchange exchange);
-  HttpConnection* take_idle(HttpEndpoint& endpoint);
-  bool total_reached() const { return bounds_.total > 0 && connections() >= bounds_.total; }
+  HttpConnection* pop_healthy_idle(HttpEndpoint& endpoint);
+  bool total_reached() const { return limits_.total > 0 && connections() >= limits_.total; }
 
-  PoolBounds bounds_;
+  PoolBounds limits_;
 };
 
 }  // namespace rushhill::transport
--- a/src/transport/socket_listener.h
+++ b/src/transport/socket_listener.h
@@ -14,19 +14,19 @@
 
 class Loop;
 
-// A connection that was accepted and has no owner yet.
+// A connection that has been accepted and that no stream has adopted yet.
 class AcceptedSocket final : public PendingConnection {
  public:
   explicit AcceptedSocket(FileDescriptor socket) : socket_(std::move(socket)) {}
   void refuse() const override { socket_.close(); }
-  FileDescriptor take() const { return std::move(socket_); }
+  FileDescriptor take_socket() const { return std::move(socket_); }
 
  private:
-  // Mutable, as whoever adopts or refuses it is handed a const PendingConnection.
+  // Mutable because the connection is passed as a const PendingConnection to be adopted or refused.
   mutable FileDescriptor socket_;
 };
 
-// Accepts connections whenever the loop finds it readable. It must not outlive the loop.
+// Accepts connections whenever the loop finds the socket readable. It must not outlive the loop.
 class SocketListener final : public BoundSocket, public EventSource {
  public:
   SocketListener(Loop& loop, FileDescriptor socket, AcceptHandler handler);
@@ -41,16 +41,16 @@
 
  private:
   void on_readable() override;
-  // What came of accepting the next connection.
+  // The result of accepting the next connection.
   enum class AcceptResult : std::uint8_t {
     accepted,
     queue_empty,
-    no_capacity,         // the predicate of accept_while() says so
-    connection_lost,     // one in the queue, or one call, has failed
-    resources_exhausted  // of this machine; the connection stays in the queue
+    no_capacity,         // the predicate of accept_while() returned false
+    connection_lost,     // a connection in the queue, or one call, has failed
+    resources_exhausted  // this machine lacks a resource; the connection stays in the queue
   };
   AcceptResult accept();
-  AcceptResult next_waiting();
+  AcceptResult check_queue();
   void pause(Time span);
   void watch(bool on);
 
--- a/src/transport/socket_stream.cpp
+++ b/src/transport/socket_stream.cpp
@@ -14,15 +14,15 @@
 namespace rushhill::transport {
 namespace {
 
-// Bytes read in an iteration from a connection that a peer opened; all its open requests fit.
+// Bytes read per iteration from a connection that a peer opened; enough for all its open requests.
 constexpr std::size_t max_iteration_bytes = 1024 * 1024;
-constexpr int keepalive_idle_s = 5;      // without a byte, until the system probes whether the peer is there
+constexpr int keepalive_idle_s = 5;      // without any data before the system sends the first probe
 constexpr int keepalive_interval_s = 1;  // between two probes
-constexpr int keepalive_probes = 3;      // without an answer, which end the connection
+constexpr int keepalive_probes = 3;      // unanswered probes that end the connection
 constexpr int milliseconds_per_second = 1000;
-constexpr int max_tries = 8;  // of a call that a signal interrupts
+constexpr int max_tries = 8;  // of a call that signals interrupt
 constexpr Time time_units_per_ms = 10;
-constexpr Time negligible_age = 200;  // tenths of a millisecond; what is read so soon counts as read at once
+constexpr Time negligible_age = 200;  // tenths of a millisecond; bytes read so soon count as read at once
 
 }  // namespace
 
@@ -31,20 +31,20 @@
 SocketStream::SocketStream(Loop& loop, StreamHandler& handler, FileDescriptor accepted)
     : EventSource(true), loop_(loop), socket_(std::move(accepted)), handler_(&handler) {}
 
-// The socket is made here: a failure for lack of a descriptor is reported like any other loss, as its own
-// kind.
+// The socket is created here rather than in the constructor, so that a lack of descriptors can be reported to
+// the handler with a close reason of its own.
 void SocketStream::connect(const Address& address) {
-  if (!begin_connect(address)) {
-    const bool local = cannot_begin(errno);
+  if (!start_connect(address)) {
+    const bool local = is_local_connect_failure(errno);
     socket_.close();
-    return local ? fail_to_begin() : lose_soon(CloseReason::connect_failed);
+    return local ? report_not_started() : post_close_and_notify(CloseReason::connect_failed);
   }
   set_option(loop_.system(), socket_, IPPROTO_TCP, TCP_NODELAY, 1);
-  wait_for({.readable = wanted_.readable, .writable = true});
+  set_interest({.readable = wanted_.readable, .writable = true});
 }
 
-// A signal that interrupts connect() leaves the connection to be set up on.
-bool SocketStream::begin_connect(const Address& address) {
+// If a signal interrupts connect(), the system continues to establish the connection.
+bool SocketStream::start_connect(const Address& address) {
   SystemCalls& system = loop_.system();
   socket_ =
       FileDescriptor(system, system.socket(address.af(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
@@ -53,15 +53,16 @@
          errno == EINTR;
 }
 
-// Reported after a pause: the handler may try again at once, and must not spin.
-void SocketStream::fail_to_begin() {
-  begin_pause_ = loop_.at(loop_.now() + loop_.connect_backoff().failed(),
-                          [self = shared_from_this()] { self->lose(CloseReason::not_started); });
+// Reports after a pause, because a handler that retries at once would make the loop spin.
+void SocketStream::report_not_started() {
+  connect_failure_timer_ =
+      loop_.at(loop_.now() + loop_.connect_backoff().pause_after_failure(),
+               [self = shared_from_this()] { self->close_and_notify(CloseReason::not_started); });
 }
 
 void SocketStream::establish() {
   established_ = true;
-  arrived_after_ = loop_.looked_before();
+  arrived_after_ = loop_.previous_poll_at();
   set_option(loop_.system(), socket_, IPPROTO_TCP, TCP_NODELAY, 1);
   set_reading(true);
 }
@@ -79,7 +80,7 @@
 }
 
 void SocketStream::send_deferred() {
-  deferred_ = false;
+  is_deferred_ = false;
   if (closed() || failed_) return;
   flush();
   if (unsent_.empty() && !closed()) handler_->on_write_drained();
@@ -87,53 +88,53 @@
 
 void SocketStream::flush() {
   if (!opened_by_peer() && !unsent_.empty() && !loop_.may_send()) {
-    if (!std::exchange(deferred_, true)) loop_.send_later(weak_from_this());
+    if (!std::exchange(is_deferred_, true)) loop_.defer_send(weak_from_this());
     return;
   }
-  if (!send_unsent()) return;
-  wait_for({.readable = wanted_.readable, .writable = !unsent_.empty()});
-  if (unsent_.empty() && finishing_) end_our_side();
+  if (!send_pending()) return;
+  set_interest({.readable = wanted_.readable, .writable = !unsent_.empty()});
+  if (unsent_.empty() && shutdown_requested_) shut_down_sending();
 }
 
-// Hands over as much as the system takes. False: the connection has failed.
-bool SocketStream::send_unsent() {
+// Sends as much as the system takes. Returns false if the connection has failed.
+bool SocketStream::send_pending() {
   while (!unsent_.empty() && !sending_paused_) {
     const std::size_t part = std::min(unsent_.size(), loop_.most_at_once);
     const auto sent =
-        loop_.system().send(socket_.number(), unsent_.waiting().data(), part, MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (sent < 0) return survives_send_failure(errno);
-    send_backoff_.succeeded();
+        loop_.system().send(socket_.number(), unsent_.pending().data(), part, MSG_NOSIGNAL | MSG_DONTWAIT);
+    if (sent < 0) return handle_send_failure(errno);
+    send_backoff_.record_success();
     handed_over_ += static_cast<std::size_t>(sent);
     unsent_.consume(static_cast<std::size_t>(sent));
     const bool small_part = part < unsent_.size() && part < loop_.read_buffer().size();
-    if (small_part) break;  // one at a time, for tests
+    if (small_part) break;  // one part per iteration, so that tests can split messages
   }
   return true;
 }
 
-bool SocketStream::survives_send_failure(int error) {
-  if (would_block(error)) return true;
+bool SocketStream::handle_send_failure(int error) {
+  if (would_block_or_interrupted(error)) return true;
   if (out_of_memory(error)) {
     pause_sending();
     return true;
   }
   unsent_.clear();
   failed_ = true;
-  // Not from within the handler's own call to write().
-  loop_.post([self = shared_from_this()] { self->lose_when_read(); });
+  // Posted, because the handler must not be called from within its own call to write().
+  loop_.post([self = shared_from_this()] { self->read_rest_and_close(); });
   return false;
 }
 
-// The handler is notified only where bytes had to wait.
+// Notifies the handler only if there were bytes waiting.
 void SocketStream::flush_and_notify() {
   const bool waited = !unsent_.empty();
   flush();
   if (waited && unsent_.empty() && !closed()) handler_->on_write_drained();
 }
 
-void SocketStream::set_reading(bool on) { wait_for({.readable = on, .writable = wanted_.writable}); }
+void SocketStream::set_reading(bool on) { set_interest({.readable = on, .writable = wanted_.writable}); }
 
-void SocketStream::wait_for(Interest interest) {
+void SocketStream::set_interest(Interest interest) {
   wanted_ = interest;
   update_watch();
 }
@@ -147,17 +148,18 @@
 
 void SocketStream::pause_reading() {
   reading_paused_ = true;
-  read_pause_ = loop_.at(loop_.now() + read_backoff_.failed(), [self = shared_from_this()] {
-    self->reading_paused_ = false;
-    self->update_watch();
-  });
+  read_pause_timer_ =
+      loop_.at(loop_.now() + read_backoff_.pause_after_failure(), [self = shared_from_this()] {
+        self->reading_paused_ = false;
+        self->update_watch();
+      });
   update_watch();
 }
 
 void SocketStream::pause_sending() {
   sending_paused_ = true;
-  send_pause_ =
-      loop_.at(loop_.now() + send_backoff_.failed(), [self = shared_from_this()] { self->resume_sending(); });
+  send_pause_timer_ = loop_.at(loop_.now() + send_backoff_.pause_after_failure(),
+                               [self = shared_from_this()] { self->resume_sending(); });
 }
 
 void SocketStream::resume_sending() {
@@ -166,7 +168,7 @@
   flush_and_notify();
 }
 
-// A call that a signal interrupts is made again: its result is not known otherwise.
+// Repeats a call that a signal interrupts, because its result would be unknown otherwise.
 ssize_t SocketStream::receive(char* bytes, std::size_t count, int flags) {
   ssize_t got = -1;
   for (int tries = 0; tries < max_tries; ++tries) {
@@ -176,7 +178,7 @@
   return got;
 }
 
-void SocketStream::end_our_side() { loop_.system().shutdown(socket_.number(), SHUT_WR); }
+void SocketStream::shut_down_sending() { loop_.system().shutdown(socket_.number(), SHUT_WR); }
 
 Stream::Peeked SocketStream::peek() {
   char byte = 0;
@@ -184,7 +186,7 @@
   if (got > 0) return Peeked::bytes;
   if (got == 0) return Peeked::end;
   if (errno == EAGAIN || errno == EWOULDBLOCK) return Peeked::nothing;
-  // Not known: something may stand there.
+  // After these errors it is unknown whether there are bytes to read, so assume that there are.
   return errno == EINTR || out_of_memory(errno) ? Peeked::bytes : Peeked::end;
 }
 
@@ -201,28 +203,30 @@
   do {
     measure_unread_age();
     const auto got = receive(buffer.data(), max_bytes, 0);
-    if (got < 0 && would_block(errno)) return;
+    if (got < 0 && would_block_or_interrupted(errno)) return;
     if (got < 0 && out_of_memory(errno)) return pause_reading();
-    if (got < 0) return lose(CloseReason::reset);
-    if (got == 0) return lose(CloseReason::closed_by_peer);
-    read_backoff_.succeeded();
+    if (got < 0) return close_and_notify(CloseReason::reset);
+    if (got == 0) return close_and_notify(CloseReason::closed_by_peer);
+    read_backoff_.record_success();
     read += static_cast<std::size_t>(got);
     handler_->on_data({buffer.data(), static_cast<std::size_t>(got)});
   } while (opened_by_peer() && !closed() && wanted_.readable && read < max_iteration_bytes);
 }
 
-// Measured before the bytes are read, and only where the loop polled so late that they may have waited. No
-// longer than since the loop last polled, whatever the system says.
+// Called before the bytes are read. Asks the system only if the loop polled so late that the bytes may have
+// waited. Its answer is capped at the time since the previous iteration's poll, before which they cannot have
+// arrived.
 void SocketStream::measure_unread_age() {
   if (!opened_by_peer()) return;
-  const Time arrived_after = std::min(loop_.looked_before(), arrived_after_.value_or(loop_.looked_before()));
+  const Time arrived_after =
+      std::min(loop_.previous_poll_at(), arrived_after_.value_or(loop_.previous_poll_at()));
   arrived_after_.reset();
-  const Time at_most = loop_.now() - arrived_after;
-  unread_age_ = at_most > negligible_age ? std::min(since_last_data(), at_most) : 0;
+  const Time max_age = loop_.now() - arrived_after;
+  unread_age_ = max_age > negligible_age ? std::min(last_data_age(), max_age) : 0;
 }
 
-// By the system; 0 where it does not know.
-Time SocketStream::since_last_data() const {
+// Returns how long ago the system received the last data, or 0 if it does not know.
+Time SocketStream::last_data_age() const {
   tcp_info info{};
   socklen_t length = sizeof info;
   if (loop_.system().getsockopt(socket_.number(), IPPROTO_TCP, TCP_INFO, &info, &length) != 0) return 0;
@@ -238,37 +242,38 @@
   flush_and_notify();
 }
 
-// Where even its error cannot be read, nothing has left on it all the same.
+// If even the error of the connection cannot be read, no byte has been sent on it in any case.
 void SocketStream::finish_connect() {
   int error = 0;
   socklen_t length = sizeof error;
-  const bool known = loop_.system().getsockopt(socket_.number(), SOL_SOCKET, SO_ERROR, &error, &length) == 0;
-  if (!known || cannot_begin(error)) {
-    wait_for({});
+  const bool error_known =
+      loop_.system().getsockopt(socket_.number(), SOL_SOCKET, SO_ERROR, &error, &length) == 0;
+  if (!error_known || is_local_connect_failure(error)) {
+    set_interest({});
     socket_.close();
-    return fail_to_begin();
+    return report_not_started();
   }
-  if (error != 0) return lose(CloseReason::connect_failed);
-  loop_.connect_backoff().succeeded();
+  if (error != 0) return close_and_notify(CloseReason::connect_failed);
+  loop_.connect_backoff().record_success();
   established_ = true;
   set_reading(true);
   handler_->on_connected();
 }
 
-void SocketStream::lose(CloseReason why) {
+void SocketStream::close_and_notify(CloseReason why) {
   if (closed()) return;
   StreamHandler* handler = handler_;
   close();
   handler->on_closed(why);
 }
 
-void SocketStream::lose_soon(CloseReason why) {
-  loop_.post([self = shared_from_this(), why] { self->lose(why); });
+void SocketStream::post_close_and_notify(CloseReason why) {
+  loop_.post([self = shared_from_this(), why] { self->close_and_notify(why); });
 }
 
-// What the peer sent before it reset the connection can still be read, and may be all that is known of what
-// it did.
-void SocketStream::lose_when_read() {
+// Bytes that the peer sent before it reset the connection can still be read, and may be the only evidence of
+// what it did.
+void SocketStream::read_rest_and_close() {
   const std::size_t max_bytes = max_read_bytes();
   std::vector<char>& buffer = loop_.read_buffer();
   while (!closed() && wanted_.readable) {
@@ -277,18 +282,19 @@
     if (got <= 0) break;
     handler_->on_data({buffer.data(), static_cast<std::size_t>(got)});
   }
-  lose(CloseReason::reset);
+  close_and_notify(CloseReason::reset);
 }
 
 void SocketStream::shutdown_write() {
-  if (closed() || std::exchange(finishing_, true)) return;
-  if (unsent_.empty() && established_) end_our_side();
+  if (closed() || std::exchange(shutdown_requested_, true)) return;
+  if (unsent_.empty() && established_) shut_down_sending();
 }
 
 void SocketStream::close() {
   if (closed()) return;
-  for (core::Timer* pause : {&read_pause_, &send_pause_, &begin_pause_}) loop_.cancel(*pause);
-  wait_for({});
+  for (core::Timer* pause : {&read_pause_timer_, &send_pause_timer_, &connect_failure_timer_})
+    loop_.cancel(*pause);
+  set_interest({});
   handler_ = nullptr;
   unsent_.clear();
   socket_.close();
@@ -296,8 +302,8 @@
 
 void SocketStream::reset() {
   if (closed()) return;
-  const linger at_once{.l_onoff = 1, .l_linger = 0};
-  loop_.system().setsockopt(socket_.number(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  const linger zero_linger{.l_onoff = 1, .l_linger = 0};
+  loop_.system().setsockopt(socket_.number(), SOL_SOCKET, SO_LINGER, &zero_linger, sizeof zero_linger);
   close();
 }
 
@@ -308,9 +314,9 @@
   set_option(system, socket_, IPPROTO_TCP, TCP_KEEPIDLE, keepalive_idle_s);
   set_option(system, socket_, IPPROTO_TCP, TCP_KEEPINTVL, keepalive_interval_s);
   set_option(system, socket_, IPPROTO_TCP, TCP_KEEPCNT, keepalive_probes);
-  // The same bound for what we have written and the peer has not taken.
-  const int silence_s = keepalive_idle_s + keepalive_probes * keepalive_interval_s;
-  set_option(system, socket_, IPPROTO_TCP, TCP_USER_TIMEOUT, silence_s * milliseconds_per_second);
+  // The same limit applies to sent bytes that the peer has not acknowledged.
+  const int max_silence_s = keepalive_idle_s + keepalive_probes * keepalive_interval_s;
+  set_option(system, socket_, IPPROTO_TCP, TCP_USER_TIMEOUT, max_silence_s * milliseconds_per_second);
 }
 
 }  // namespace rushhill::transport
--- a/src/transport/socket_stream.h
+++ b/src/transport/socket_stream.h
@@ -16,15 +16,15 @@
 
 class Loop;
 
-// A byte stream on a TCP socket of the event loop, which must outlive it. Shared ownership, as posted calls
-// hold it.
+// A byte stream on a TCP socket of the event loop, which must outlive it. Ownership is shared, because posted
+// calls keep the stream alive.
 class SocketStream final : public Stream,
                            public EventSource,
                            public std::enable_shared_from_this<SocketStream> {
  public:
-  // One that we open, by connect().
+  // Creates a stream that we open; connect() must follow.
   SocketStream(Loop& loop, StreamHandler& handler);
-  // One that a peer opened; establish() follows.
+  // Creates a stream for a connection that a peer opened; establish() must follow.
   SocketStream(Loop& loop, StreamHandler& handler, FileDescriptor accepted);
   SocketStream(const SocketStream&) = delete;
   SocketStream& operator=(const SocketStream&) = delete;
@@ -34,7 +34,7 @@
 
   void connect(const Address& address);
   void establish();
-  // Sends what had to wait until the loop has read the connections that peers opened.
+  // Sends the bytes that waited until the loop had read the connections that peers opened.
   void send_deferred();
 
   void write(std::string_view bytes) override;
@@ -53,45 +53,46 @@
  private:
   void on_readable() override;
   void on_writable() override;
-  bool begin_connect(const Address& address);
+  bool start_connect(const Address& address);
   void finish_connect();
   void flush();
-  bool send_unsent();
-  bool survives_send_failure(int error);
+  bool send_pending();
+  bool handle_send_failure(int error);
   void flush_and_notify();
-  void wait_for(Interest interest);
+  void set_interest(Interest interest);
   void update_watch();
   void pause_reading();
   void pause_sending();
   void resume_sending();
-  void fail_to_begin();
+  void report_not_started();
   ssize_t receive(char* bytes, std::size_t count, int flags);
-  void end_our_side();
-  void lose(CloseReason why);
-  void lose_when_read();
-  void lose_soon(CloseReason why);
+  void shut_down_sending();
+  void close_and_notify(CloseReason why);
+  void read_rest_and_close();
+  void post_close_and_notify(CloseReason why);
   std::size_t max_read_bytes() const;
   void measure_unread_age();
-  Time since_last_data() const;
+  Time last_data_age() const;
 
   Loop& loop_;
   FileDescriptor socket_;
   StreamHandler* handler_;
   SendBuffer unsent_;
   std::size_t handed_over_ = 0;
-  std::optional<Time> arrived_after_;  // of one that a peer opened and that has not been read yet
+  std::optional<Time>
+      arrived_after_;  // no byte arrived before; set until the first read of a peer's connection
   Time unread_age_ = 0;
   bool established_ = false;
-  bool finishing_ = false;
+  bool shutdown_requested_ = false;
   bool failed_ = false;
-  bool deferred_ = false;
-  // What it waits for, apart from the pauses after calls that failed for lack of memory.
+  bool is_deferred_ = false;
+  // The events to wait for, except during pauses after calls that failed for lack of memory.
   Interest wanted_;
   bool reading_paused_ = false;
   bool sending_paused_ = false;
-  core::Timer read_pause_;
-  core::Timer send_pause_;
-  core::Timer begin_pause_;
+  core::Timer read_pause_timer_;
+  core::Timer send_pause_timer_;
+  core::Timer connect_failure_timer_;
   Backoff read_backoff_;
   Backoff send_backoff_;
 };
--- a/src/transport/sockets.cpp
+++ b/src/transport/sockets.cpp
@@ -9,29 +9,29 @@
 namespace rushhill::transport {
 namespace {
 
-constexpr int backlog = 4096;  // connections that may stand in a listener's queue
+constexpr int backlog = 4096;  // maximum connections in a listener's queue
 
-[[noreturn]] void fail(const char* call, const Address& address) {
+[[noreturn]] void throw_system_error(const char* call, const Address& address) {
   throw std::system_error(errno, std::generic_category(), std::string(call) + " " + address.toString());
 }
 
 }  // namespace
 
 FileDescriptor bound_socket(SystemCalls& system, const Address& address, int type, BindOptions options) {
-  FileDescriptor socket(system, try_for_a_moment(system, [&] {
+  FileDescriptor socket(system, retry_briefly(system, [&] {
                           return system.socket(address.af(), type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
                         }));
-  if (!socket.open()) fail("socket", address);
+  if (!socket.open()) throw_system_error("socket", address);
   set_option(system, socket, SOL_SOCKET, SO_REUSEADDR, 1);
   if (options.shared) set_option(system, socket, SOL_SOCKET, SO_REUSEPORT, 1);
   const auto bind = [&] { return system.bind(socket.number(), address.addr(), address.length()); };
-  if (try_for_a_moment(system, bind) != 0) fail("bind", address);
+  if (retry_briefly(system, bind) != 0) throw_system_error("bind", address);
   return socket;
 }
 
 void start_listening(SystemCalls& system, const FileDescriptor& socket) {
   const auto listen = [&] { return system.listen(socket.number(), backlog); };
-  if (try_for_a_moment(system, listen) != 0) fail("listen", local_address(system, socket));
+  if (retry_briefly(system, listen) != 0) throw_system_error("listen", local_address(system, socket));
 }
 
 Address local_address(SystemCalls& system, const FileDescriptor& socket) {
@@ -40,16 +40,18 @@
   const auto getsockname = [&] {
     return system.getsockname(socket.number(), reinterpret_cast<sockaddr*>(&address), &length);
   };
-  if (try_for_a_moment(system, getsockname) != 0)
+  if (retry_briefly(system, getsockname) != 0)
     throw std::system_error(errno, std::generic_category(), "getsockname");
   return {reinterpret_cast<const sockaddr*>(&address), length};
 }
 
-bool would_block(int error) { return error == EAGAIN || error == EWOULDBLOCK || error == EINTR; }
+bool would_block_or_interrupted(int error) {
+  return error == EAGAIN || error == EWOULDBLOCK || error == EINTR;
+}
 
 bool out_of_memory(int error) { return error == ENOBUFS || error == ENOMEM; }
 
-bool cannot_begin(int error) {
+bool is_local_connect_failure(int error) {
   switch (error) {
     case EMFILE:
     case ENFILE:
@@ -68,7 +70,7 @@
   }
 }
 
-bool cannot_accept(int error) { return error == EMFILE || error == ENFILE || out_of_memory(error); }
+bool is_local_accept_failure(int error) { return error == EMFILE || error == ENFILE || out_of_memory(error); }
 
 void set_non_blocking(const FileDescriptor& socket) {
   const int flags = ::fcntl(socket.number(), F_GETFL);
--- a/src/transport/sockets.h
+++ b/src/transport/sockets.h
@@ -1,4 +1,4 @@
-// Making sockets and reading their state, by system calls that can be exchanged.
+// Creates sockets and reads their state through replaceable system calls.
 #pragma once
 
 #include <cerrno>
@@ -11,49 +11,51 @@
 
 // How an address is bound.
 struct BindOptions {
-  bool shared = false;  // with other sockets that share the port (SO_REUSEPORT)
+  bool shared = false;  // allows other sockets on the same port (SO_REUSEPORT)
 };
 
-// A non-blocking socket of this type at the address, which may have been in use just now.
-// Throws std::system_error, naming the call and the address.
+// Creates a non-blocking socket of this type and binds it to the address, which may have been in use shortly
+// before (SO_REUSEADDR). Throws std::system_error with the failed call and the address.
 FileDescriptor bound_socket(SystemCalls& system, const Address& address, int type, BindOptions options);
 
-// Throws std::system_error.
+// Makes a bound socket listen; throws std::system_error on failure.
 void start_listening(SystemCalls& system, const FileDescriptor& socket);
 
-// The address that the socket is bound to; throws std::system_error.
+// Returns the address that the socket is bound to; throws std::system_error on failure.
 Address local_address(SystemCalls& system, const FileDescriptor& socket);
 
-// Whether a call failed only for now, with nothing to do but wait until the descriptor is ready again.
-bool would_block(int error);
+// Whether a call on a socket failed only for now. The caller waits until the descriptor is ready again.
+bool would_block_or_interrupted(int error);
 
-// Whether a call on an open connection failed for lack of memory: the connection is as it was, and the call
-// is made again after a pause.
+// Whether a call on an open connection failed for lack of memory. The connection is unchanged, and the call
+// is repeated after a pause.
 bool out_of_memory(int error);
 
-// Whether a connection could not be begun for lack of a resource on this machine (a descriptor, memory, a
-// local port, a route, a permission): nothing has left, and it says nothing of the peer.
-bool cannot_begin(int error);
+// Whether a connection could not be started for lack of a resource on this machine (a descriptor, memory, a
+// local port, a route or a permission). No byte has been sent, and the failure says nothing about the peer.
+bool is_local_connect_failure(int error);
 
-// Whether accept4() failed for lack of a resource on this machine, with the connection still in the queue.
-// Any other failure is of one connection, which is gone, or of one call.
-bool cannot_accept(int error);
+// Whether accept4() failed for lack of a resource on this machine, so that the connection is still in the
+// queue. Any other failure concerns one connection, which is lost, or one call.
+bool is_local_accept_failure(int error);
 
-// At a start, when nothing else waits: makes a call again, with rests, while it fails for lack of a
-// resource on this machine, for half a second at most. Returns what the call returned last, as -1 with errno.
+// Repeats a call with pauses while it fails for lack of a resource on this machine or is interrupted, for
+// half a second at most. Returns the last result, which is -1 with errno set on failure. This blocks, so it
+// is only for calls at startup, when nothing else is waiting.
 template <typename SystemCall>
-int try_for_a_moment(SystemCalls& system, SystemCall call) {
+int retry_briefly(SystemCalls& system, SystemCall call) {
   constexpr int max_tries = 50;
-  constexpr int rest_ms = 10;
+  constexpr int pause_ms = 10;
   int result = call();
-  for (int tries = 1; result < 0 && tries < max_tries && (cannot_accept(errno) || errno == EINTR); ++tries) {
-    system.poll(nullptr, 0, rest_ms);
+  for (int tries = 1; result < 0 && tries < max_tries && (is_local_accept_failure(errno) || errno == EINTR);
+       ++tries) {
+    system.poll(nullptr, 0, pause_ms);
     result = call();
   }
   return result;
 }
 
-// For a socket that this process was started with.
+// Makes a socket non-blocking; needed for sockets that this process inherited.
 void set_non_blocking(const FileDescriptor& socket);
 
 void set_option(SystemCalls& system, const FileDescriptor& socket, int level, int name, int value);
--- a/src/transport/stream.h
+++ b/src/transport/stream.h
@@ -1,8 +1,8 @@
-// Byte streams between this process and a peer, without blocking.
+// Non-blocking byte streams between this process and a peer.
 //
-// A stream belongs to whoever connected or adopted it and calls its handler from the reactor's loop, never
-// from within the handler's own call of the stream. The handler has to outlive the stream or close it;
-// on_closed() is the last call that it gets, and none comes after close() or reset().
+// A stream is owned by the object that connected or adopted it. It calls its handler from the reactor's loop,
+// never from within the handler's own call to the stream. The handler must outlive the stream or close it.
+// on_closed() is the last call to the handler, and no call follows close() or reset().
 #pragma once
 
 #include <cstddef>
@@ -18,15 +18,15 @@
 class Reactor;
 class PendingConnection;
 
-// Why a stream was closed by anything but this process.
+// Why a stream was closed, other than by its handler.
 enum class CloseReason : std::uint8_t {
-  connect_failed,  // never established
+  connect_failed,  // the connection was never established
   closed_by_peer,
   reset,       // reset by the peer, or failed
-  not_started  // for lack of a resource on this machine: no byte has left, and it says nothing of the peer
+  not_started  // this machine lacked a resource: no byte was sent, which says nothing about the peer
 };
 
-// Called by a stream; see above.
+// Callbacks of a stream; see above.
 class StreamHandler {
  public:
   StreamHandler() = default;
@@ -37,13 +37,13 @@
   virtual ~StreamHandler() = default;
 
   virtual void on_connected() {}
-  // All bytes that had to wait have been handed over to the system.
+  // The system has taken all bytes that were waiting.
   virtual void on_write_drained() {}
   virtual void on_data(std::string_view bytes) = 0;
   virtual void on_closed(CloseReason reason) = 0;
 };
 
-// A connected byte stream. Bytes are written at once, or queued without bound until the system takes them.
+// A byte stream. Bytes are sent at once, or queued without limit until the system takes them.
 class Stream {
  public:
   static std::shared_ptr<Stream> connect(Reactor& reactor, const Address& address, StreamHandler& handler);
@@ -58,28 +58,29 @@
   virtual ~Stream() = default;
 
   virtual void write(std::string_view bytes) = 0;
-  // Takes back `count` bytes written `from` bytes after the start, where the system has taken none of them.
+  // Removes `count` bytes that were written at offset `from` of the stream. Returns false, and removes
+  // nothing, unless all of them are still waiting to be sent.
   virtual bool cancel_unsent(std::size_t from, std::size_t count) = 0;
-  // Bytes that the system has taken, all in all; and bytes that it has not taken yet.
+  // Total bytes that the system has taken, and bytes that it has not taken yet.
   virtual std::size_t handed_over_bytes() const = 0;
   virtual std::size_t pending_bytes() const = 0;
 
-  // Off: nothing is read, and the peer has to wait.
+  // While reading is off, nothing is read and the peer has to wait.
   virtual void set_reading(bool on) = 0;
-  // What can be read next, without reading it.
+  // Returns what can be read next, without reading it.
   enum class Peeked : std::uint8_t { nothing, bytes, end };
   virtual Peeked peek() = 0;
-  // How long the bytes that on_data() is given had been here, unread, since the last of them came. 0 where
-  // the system can't tell, and where the loop has looked just before.
+  // How long the bytes that are passed to on_data() had been waiting in the system, since the last of them
+  // arrived. 0 if the system cannot tell, or if the loop polled only shortly before.
   virtual Time unread_age() const { return 0; }
 
-  // Ends this side once all bytes are handed over; the peer's bytes still arrive.
+  // Ends this side of the connection once the system has taken all bytes. The peer's bytes still arrive.
   virtual void shutdown_write() = 0;
-  // No further call to the handler; bytes that wait are dropped. With reset() the peer sees a reset.
+  // Both drop all waiting bytes, and the handler is not called any more. With reset(), the peer sees a reset.
   virtual void close() = 0;
   virtual void reset() = 0;
   virtual bool closed() const = 0;
-  // From now on a peer that has vanished is noticed, also while nothing is sent.
+  // From now on a vanished peer is detected even if nothing is sent.
   virtual void keepalive() {}
 };
 
--- a/src/transport/system_calls.cpp
+++ b/src/transport/system_calls.cpp
@@ -54,8 +54,8 @@
 int SystemCalls::epoll_ctl(int poller, int operation, int descriptor, epoll_event* event) {
   return ::epoll_ctl(poller, operation, descriptor, event);
 }
-int SystemCalls::epoll_wait(int poller, epoll_event* events, int most, int timeout_ms) {
-  return ::epoll_wait(poller, events, most, timeout_ms);
+int SystemCalls::epoll_wait(int poller, epoll_event* events, int max_events, int timeout_ms) {
+  return ::epoll_wait(poller, events, max_events, timeout_ms);
 }
 
 std::int64_t SystemCalls::unix_ns() {
--- a/src/transport/system_calls.h
+++ b/src/transport/system_calls.h
@@ -1,5 +1,5 @@
-// The operating system's calls that the event loop makes, behind one interface, so that a test can make each
-// of them fail in every documented way. Each member behaves as the call of the same name: -1 and errno on
+// An interface to the system calls of the event loop, so that a test can make each of them fail in every
+// documented way. Each function behaves as the system call of the same name: it returns -1 and sets errno on
 // failure.
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace rushhill::transport {
 
-// Makes the calls; a test's own class overrides them.
+// Makes the system calls. Tests derive a class that overrides them.
 class SystemCalls {
  public:
   SystemCalls() = default;
@@ -43,12 +43,12 @@
   virtual int poll(pollfd* descriptors, nfds_t count, int timeout_ms);
   virtual int epoll_create1(int flags);
   virtual int epoll_ctl(int poller, int operation, int descriptor, epoll_event* event);
-  virtual int epoll_wait(int poller, epoll_event* events, int most, int timeout_ms);
+  virtual int epoll_wait(int poller, epoll_event* events, int max_events, int timeout_ms);
 
-  // Unix time in nanoseconds; it may be stepped.
+  // Unix time in nanoseconds. It may jump when the system clock is set.
   virtual std::int64_t unix_ns();
 
-  // The calls of the operating system itself.
+  // Returns an instance that makes the real system calls.
   static SystemCalls& real();
 };
 
--- a/src/transport/upstream_requests.cpp
+++ b/src/transport/upstream_requests.cpp
@@ -15,11 +15,11 @@
 constexpr const char* time_left_header = "rushhill-time-left-ms";
 constexpr Time time_units_per_ms = 10;
 
-std::string model_path(const FunctionId& function, const char* verb) {
-  return "/v2/repository/models/" + path_segment(function) + "/" + verb;
+std::string model_path(const FunctionId& function, const char* action) {
+  return "/v2/repository/models/" + path_segment(function) + "/" + action;
 }
 
-// A request with a JSON body to the model repository.
+// Builds a request with a JSON body to the endpoint's model repository.
 std::string repository_request(int router, const EndpointId& endpoint, std::string path, const Json& body) {
   const HttpRequest request{.method = "POST",
                             .target = std::move(path),
@@ -31,8 +31,8 @@
   return to_bytes(request);
 }
 
-// Letters, digits and the marks that a path segment may hold as they are.
-bool unreserved(char character) {
+// Whether a path segment can contain the character without encoding.
+bool is_unreserved(char character) {
   return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z') ||
          (character >= '0' && character <= '9') || character == '-' || character == '_' || character == '.' ||
          character == '~';
@@ -83,7 +83,7 @@
   constexpr std::string_view digits = "0123456789ABCDEF";
   std::string encoded;
   for (const char character : text) {
-    if (unreserved(character)) {
+    if (is_unreserved(character)) {
       encoded += character;
       continue;
     }
--- a/src/transport/upstream_requests.h
+++ b/src/transport/upstream_requests.h
@@ -1,4 +1,4 @@
-// The HTTP requests that are sent to endpoints, as bytes. docs/servers.md is the contract.
+// Serializes the HTTP requests to endpoints. docs/servers.md is the contract with the endpoints.
 #pragma once
 
 #include <string>
@@ -8,16 +8,16 @@
 
 namespace rushhill::transport {
 
-// `router`: the sender's number, which endpoints put into their records.
+// `router` is the number of this router, which endpoints put into their records.
 std::string attempt_request(int router, const core::AttemptCall& call);
 std::string probe_request(const EndpointId& endpoint);
-// Asks the endpoint to have that many copies of the function loaded.
+// Asks the endpoint to have `copies` copies of the function loaded.
 std::string prewarm_request(int router, const EndpointId& endpoint, const FunctionId& function, int copies);
-// Asks which functions are loaded, and how many copies of each.
+// Asks the endpoint which functions are loaded, and how many copies of each.
 std::string copy_query_request(int router, const EndpointId& endpoint);
 std::string evict_request(int router, const EndpointId& endpoint, const FunctionId& function);
 
-// Any text as one segment of a path, percent-encoded.
+// Percent-encodes any text as one segment of a path.
 std::string path_segment(std::string_view text);
 
 }  // namespace rushhill::transport
--- a/src/transport/upstream_responses.cpp
+++ b/src/transport/upstream_responses.cpp
@@ -19,9 +19,9 @@
 constexpr const char* in_flight_header = "rushhill-crowd";
 constexpr const char* copy_state_header = "rushhill-copy";
 
-// Larger figures are taken for these.
-constexpr int most_in_flight = 1'000'000;
-constexpr int most_copies = 1'000;
+// Larger reported values are reduced to these.
+constexpr int max_in_flight = 1'000'000;
+constexpr int max_copies = 1'000;
 
 bool is_success(const HttpResponse& response) { return response.status >= 200 && response.status < 300; }
 
@@ -34,7 +34,7 @@
   return value;
 }
 
-// What a response without success proves; nothing: it may have run.
+// Returns the outcome if an unsuccessful response proves that the request did not run, else nothing.
 std::optional<core::AttemptResult> proven_rejection(const HttpResponse& response) {
   const std::string* reason = response.header(never_ran_header);
   if (reason == nullptr) return std::nullopt;
@@ -49,23 +49,24 @@
 }
 
 CopyState copy_state(const HttpResponse& response) {
-  const std::string* word = response.header(copy_state_header);
-  if (word == nullptr) return CopyState::unknown;
-  if (*word == "found") return CopyState::loaded;
-  if (*word == "began-load") return CopyState::load_started;
-  if (*word == "awaited-load") return CopyState::load_awaited;
+  const std::string* state = response.header(copy_state_header);
+  if (state == nullptr) return CopyState::unknown;
+  if (*state == "found") return CopyState::loaded;
+  if (*state == "began-load") return CopyState::load_started;
+  if (*state == "awaited-load") return CopyState::load_awaited;
   return CopyState::unknown;
 }
 
-// The `copies` of a JSON object; nothing: it has none.
+// Returns the `copies` of a JSON object, or nothing if there is no such integer.
 std::optional<int> copies_in(const Json& object) {
   if (!object.is_object() || !object.contains("copies")) return std::nullopt;
   const Json& copies = object["copies"];
   if (!copies.is_number_integer()) return std::nullopt;
-  return std::clamp(copies.get<int>(), 0, most_copies);
+  return std::clamp(copies.get<int>(), 0, max_copies);
 }
 
-// In the repository's index, by function; the last row of a function counts.
+// Returns the copies of a function in the repository index. The last row of the function with a number
+// counts.
 int copies_in_index(const Json& index, const FunctionId& function) {
   int copies = 0;
   if (!index.is_array()) return copies;
@@ -89,15 +90,16 @@
   core::AttemptResult result{.outcome = AttemptOutcome::error};
   const bool success = is_success(response);
   if (!success) result = proven_rejection(response).value_or(result);
-  if (const std::string* report = response.header(load_report_header)) result.report = load_report(*report);
-  result.in_flight = std::clamp(parsed_int(response.header(in_flight_header)).value_or(0), 0, most_in_flight);
+  if (const std::string* report = response.header(load_report_header))
+    result.report = parse_load_report(*report);
+  result.in_flight = std::clamp(parsed_int(response.header(in_flight_header)).value_or(0), 0, max_in_flight);
   if (!success) return result;
   result.copy_state = copy_state(response);
   try {
     result.reply = events::from_headers(response.headers, std::move(response.body));
     result.outcome = AttemptOutcome::succeeded;
   } catch (const events::BadEvent&) {
-    result.outcome = AttemptOutcome::error;  // an answer that is no event: it may have run
+    result.outcome = AttemptOutcome::error;  // the response is no CloudEvent, but the request may have run
   }
   return result;
 }
@@ -109,7 +111,8 @@
   } else if (const auto rejection = proven_rejection(response)) {
     result.outcome = rejection->outcome;
   }
-  if (const std::string* report = response.header(load_report_header)) result.report = load_report(*report);
+  if (const std::string* report = response.header(load_report_header))
+    result.report = parse_load_report(*report);
   return result;
 }
 
--- a/src/transport/upstream_responses.h
+++ b/src/transport/upstream_responses.h
@@ -1,4 +1,4 @@
-// What an endpoint's HTTP response says of the call that it answers. docs/servers.md is the contract.
+// Interprets HTTP responses of endpoints. docs/servers.md is the contract with the endpoints.
 #pragma once
 
 #include "core/upstream_transport.h"
@@ -7,15 +7,15 @@
 
 namespace rushhill::transport {
 
-// How an attempt ended. Only a response that proves that nothing ran ends it as something that did not run;
-// whatever is in doubt is AttemptOutcome::error.
+// Returns how an attempt ended. The outcome says that the request did not run only if the response proves it;
+// in doubt it is AttemptOutcome::error.
 core::AttemptResult attempt_result(HttpResponse response);
 
-// What came of a probe, a prewarm, a copy query or an eviction.
+// The result of a probe, prewarm, copy query or eviction.
 struct CallResult {
   AttemptOutcome outcome = AttemptOutcome::error;
   LoadReport report{};
-  int copies = 0;  // of the function at the endpoint; of prewarm and copy_query
+  int copies = 0;  // loaded at the endpoint; only for prewarm and copy_query
 };
 CallResult call_result(const UpstreamCall& call, const HttpResponse& response);
 
--- a/tests/transport/bare_peers_test.cpp
+++ b/tests/transport/bare_peers_test.cpp
@@ -1,4 +1,5 @@
-// Datagrams between routers: who sent one is told by its address, and nobody else is heard.
+// Checks that datagrams without a header are attributed to the router with the sender's address, and that
+// datagrams from other addresses are ignored.
 #include "transport/bare_peers.h"
 
 #include <gtest/gtest.h>
@@ -8,42 +9,44 @@
 namespace rushhill::transport {
 namespace {
 
-struct Heard {
+struct ReceivedMessage {
   int router = 0;
   std::string bytes;
-  bool operator==(const Heard&) const = default;
+  bool operator==(const ReceivedMessage&) const = default;
 };
 
-class PeersStory : public testing::Test {
+class UnframedPeerLinksTest : public testing::Test {
  protected:
-  std::unique_ptr<BarePeers> peer(int number, const std::string& listen) {
+  std::unique_ptr<BarePeers> make_peer(int number, const std::string& listen) {
     return std::make_unique<BarePeers>(network, numeric_address(listen), number, addresses, "",
                                        [this, number](int from, const std::string& bytes) {
-                                         if (number == 1) heard.push_back({from, bytes});
+                                         if (number == 1) received.push_back({from, bytes});
                                        });
   }
-  void pass() { network.run_until(network.now() + 100); }
+  void deliver_messages() { network.run_until(network.now() + 100); }
 
   emulator::Network network{1};
   std::vector<std::string> addresses{"127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:7002", "127.0.0.1:7000"};
-  std::vector<Heard> heard;
-  std::unique_ptr<BarePeers> zero = peer(0, "127.0.0.1:7000"), one = peer(1, "127.0.0.1:7001"),
-                             two = peer(2, "127.0.0.1:7002"), stranger = peer(9, "127.0.0.1:7009");
+  std::vector<ReceivedMessage> received;
+  std::unique_ptr<BarePeers> router_zero = make_peer(0, "127.0.0.1:7000"),
+                             router_one = make_peer(1, "127.0.0.1:7001"),
+                             router_two = make_peer(2, "127.0.0.1:7002"),
+                             stranger = make_peer(9, "127.0.0.1:7009");
 };
 
-TEST_F(PeersStory, EachIsKnownByItsAddressAndTheFirstOfTwoAlikeCounts) {
-  two->send(-1, "from two");
-  zero->send(1, "from nought");
-  pass();
-  EXPECT_EQ(heard, (std::vector<Heard>{{2, "from two"}, {0, "from nought"}}));
+TEST_F(UnframedPeerLinksTest, IdentifiesSendersByAddressAndTheLowestNumberWins) {
+  router_two->send(-1, "from two");
+  router_zero->send(1, "from nought");
+  deliver_messages();
+  EXPECT_EQ(received, (std::vector<ReceivedMessage>{{2, "from two"}, {0, "from nought"}}));
 }
 
-TEST_F(PeersStory, StrangersOnesOwnAndWhatIsTooLongAreNotHeard) {
+TEST_F(UnframedPeerLinksTest, IgnoresUnknownSendersItselfAndOverlongMessages) {
   stranger->send(1, "who is that");
-  one->send(1, "myself");
-  zero->send(1, std::string(257, 'x'));
-  pass();
-  EXPECT_TRUE(heard.empty());
+  router_one->send(1, "myself");
+  router_zero->send(1, std::string(257, 'x'));
+  deliver_messages();
+  EXPECT_TRUE(received.empty());
 }
 
 }  // namespace
--- a/tests/transport/connection_pool_test.cpp
+++ b/tests/transport/connection_pool_test.cpp
@@ -1,4 +1,4 @@
-// What all pools of connections share, on connections that carry nothing.
+// Checks the code that all connection pools share, on fake connections that transfer no data.
 #include "transport/connection_pool.h"
 
 #include "loopback.h"
@@ -42,7 +42,7 @@
 
 class FakePool final : public ConnectionPool<FakeEndpoint> {
  public:
-  FakePool(Reactor& reactor, core::EventLog& log) : ConnectionPool(reactor, log) {}
+  FakePool(Reactor& reactor, core::EventLog& event_log) : ConnectionPool(reactor, event_log) {}
 
   using ConnectionPool::close_longest_idle;
   using ConnectionPool::connection_of;
@@ -81,19 +81,19 @@
 class ConnectionPoolTest : public testing::Test {
  protected:
   ConnectionPoolTest() {
-    pool->report_to(ends);
+    pool->report_to(end_counter);
     pool->set_address("a", "127.0.0.1:1");
     pool->set_address("b", "127.0.0.1:2");
   }
 
   Loop reactor;
   Pump pump{reactor};
-  Silent silent;
-  EndCounter ends;
-  std::unique_ptr<FakePool> pool = std::make_unique<FakePool>(reactor, silent);
+  Silent event_log;
+  EndCounter end_counter;
+  std::unique_ptr<FakePool> pool = std::make_unique<FakePool>(reactor, event_log);
 };
 
-TEST_F(ConnectionPoolTest, ClosesTheLongestIdleConnectionWhicheverEndpointsItIs) {
+TEST_F(ConnectionPoolTest, ClosesTheLongestIdleConnectionOfAnyEndpoint) {
   const auto later = pool->open("a", 20);
   const auto earlier = pool->open("b", 10);
   const auto busy = pool->open("b", 5);
@@ -108,13 +108,13 @@
   EXPECT_EQ(pool->connections(), 1U);
 }
 
-TEST_F(ConnectionPoolTest, ANewAddressRetiresAllConnectionsAndClosesIdleOnes) {
+TEST_F(ConnectionPoolTest, NewAddressRetiresAllConnectionsAndClosesIdleOnes) {
   const auto idle = pool->open("a", 1);
   const auto busy = pool->open("a", 1);
   const auto other = pool->open("b", 1);
   busy->busy = true;
   pool->set_address("a", "127.0.0.1:1");
-  EXPECT_FALSE(idle->retired) << "the address is the same";
+  EXPECT_FALSE(idle->retired) << "the address has not changed";
   pool->set_address("a", "127.0.0.1:3");
   EXPECT_TRUE(idle->closed);
   EXPECT_TRUE(busy->retired);
@@ -122,7 +122,7 @@
   EXPECT_FALSE(other->retired);
 }
 
-TEST_F(ConnectionPoolTest, AnAddressThatCannotBeReadMakesTheEndpointUnreachable) {
+TEST_F(ConnectionPoolTest, InvalidAddressMakesTheEndpointUnreachable) {
   pool->set_address("a", "localhost");
   ASSERT_NE(pool->find_endpoint("a"), nullptr);
   EXPECT_FALSE(pool->find_endpoint("a")->address);
@@ -130,45 +130,45 @@
   EXPECT_TRUE(pool->find_endpoint("a")->address);
 }
 
-TEST_F(ConnectionPoolTest, AnEndpointThatHasLeftGoesWithItsLastConnection) {
+TEST_F(ConnectionPoolTest, RemovesAnUnlistedEndpointWithItsLastConnection) {
   const auto busy = pool->open("a", 1);
   busy->busy = true;
   pool->set_address("a", "");
   EXPECT_EQ(pool->endpoint_count(), 2U);
   pool->remove(*busy);
   pool->remove(*busy);
-  EXPECT_EQ(pool->connections(), 0U) << "removed once";
+  EXPECT_EQ(pool->connections(), 0U) << "the second removal must have no effect";
   ASSERT_TRUE(pump.until([&] { return pool->endpoint_count() == 1; }));
   pool->set_address("b", "");
   EXPECT_EQ(pool->endpoint_count(), 0U);
 }
 
-TEST_F(ConnectionPoolTest, KnowsWhichConnectionAnAttemptIsOn) {
+TEST_F(ConnectionPoolTest, TracksTheConnectionOfEachAttempt) {
   const auto connection = pool->open("a", 1);
   const UpstreamCall call{.endpoint = "a", .request = 7, .attempt_number = 1};
   pool->track_attempt(call, *connection);
   pool->track_attempt({.kind = UpstreamCallKind::probe, .endpoint = "a"}, *connection);
   EXPECT_EQ(pool->connection_of({7, 1}), connection.get());
   EXPECT_EQ(pool->connection_of({7, 0}), nullptr);
-  EXPECT_EQ(pool->connection_of({0, 0}), nullptr) << "a probe is no attempt";
+  EXPECT_EQ(pool->connection_of({0, 0}), nullptr) << "a probe must not be tracked";
   EXPECT_EQ(pool->untrack({7, 1}), connection.get());
   EXPECT_EQ(pool->untrack({7, 1}), nullptr);
 }
 
-TEST_F(ConnectionPoolTest, EndsAreReportedLaterByTheCallsKindAndNeverOnceThePoolIsGone) {
+TEST_F(ConnectionPoolTest, ReportsEndsLaterByCallKindAndNotAfterDestruction) {
   pool->report_end_later({.request = 1}, AttemptOutcome::not_sent);
   pool->report_end_later({.kind = UpstreamCallKind::probe}, AttemptOutcome::not_sent);
   pool->report_end_later({.kind = UpstreamCallKind::prewarm}, AttemptOutcome::not_sent);
   pool->report_end_later({.kind = UpstreamCallKind::copy_query}, AttemptOutcome::not_sent);
   pool->report_end_later({.kind = UpstreamCallKind::evict}, AttemptOutcome::not_sent);
-  EXPECT_EQ(ends.attempts, 0);
-  ASSERT_TRUE(pump.until([&] { return ends.prewarms == 2; }));
-  EXPECT_EQ(ends.attempts, 1);
-  EXPECT_EQ(ends.probes, 1);
+  EXPECT_EQ(end_counter.attempts, 0);
+  ASSERT_TRUE(pump.until([&] { return end_counter.prewarms == 2; }));
+  EXPECT_EQ(end_counter.attempts, 1);
+  EXPECT_EQ(end_counter.probes, 1);
   pool->report_end_later({.request = 2}, AttemptOutcome::not_sent);
   pool.reset();
   pump.pass(100);
-  EXPECT_EQ(ends.attempts, 1);
+  EXPECT_EQ(end_counter.attempts, 1);
 }
 
 }  // namespace
--- a/tests/transport/descriptors_test.cpp
+++ b/tests/transport/descriptors_test.cpp
@@ -1,4 +1,4 @@
-// Descriptors are counted, and too few are said at the start.
+// Checks how descriptors are counted and divided, and that having too few of them is an error.
 #include "transport/descriptors.h"
 
 #include <gtest/gtest.h>
@@ -10,23 +10,23 @@
 namespace rushhill::transport {
 namespace {
 
-TEST(Descriptors, WhatIsOpenIsTakenOffTheLimitThatIsLower) {
+TEST(Descriptors, SubtractsOpenDescriptorsFromTheLowerLimit) {
   rlimit system{};
   getrlimit(RLIMIT_NOFILE, &system);
-  rlimit less = system;
-  less.rlim_cur = 100;
-  setrlimit(RLIMIT_NOFILE, &less);
-  const std::size_t of_system = descriptors_left(0);
-  EXPECT_LT(of_system, 100U);
-  EXPECT_EQ(descriptors_left(200), of_system);
-  EXPECT_EQ(descriptors_left(90), of_system - 10);
-  const int one = dup(STDERR_FILENO);
-  EXPECT_EQ(descriptors_left(0), of_system - 1);
-  close(one);
+  rlimit lowered = system;
+  lowered.rlim_cur = 100;
+  setrlimit(RLIMIT_NOFILE, &lowered);
+  const std::size_t left = descriptors_left(0);
+  EXPECT_LT(left, 100U);
+  EXPECT_EQ(descriptors_left(200), left);
+  EXPECT_EQ(descriptors_left(90), left - 10);
+  const int duplicate = dup(STDERR_FILENO);
+  EXPECT_EQ(descriptors_left(0), left - 1);
+  close(duplicate);
   setrlimit(RLIMIT_NOFILE, &system);
 }
 
-TEST(Descriptors, WhatIsLeftBesideTheReserveIsHalvedAndTooFewAreSaid) {
+TEST(Descriptors, HalvesDescriptorsBeyondTheReserveAndRejectsTooFew) {
   const DescriptorShares shares = share_descriptors(60, 5);
   EXPECT_EQ(shares.clients, 28U);
   EXPECT_EQ(shares.servers, 27U);
@@ -34,8 +34,10 @@
   try {
     share_descriptors(6, 5);
     FAIL() << "taken";
-  } catch (const std::invalid_argument& wrong) {
-    EXPECT_STREQ(wrong.what(), "too few descriptors: 6 are left, at least 7 are needed");
+  } catch (const std::invalid_argument& error) {
+    EXPECT_STREQ(error.what(),
+                 "too few file descriptors: 6 are available, but at least 7 are required; raise the limit on "
+                 "open files");
   }
 }
 
--- a/tests/transport/loop_test.cpp
+++ b/tests/transport/loop_test.cpp
@@ -1,4 +1,5 @@
-// The order in which the loop serves what is ready.
+// Checks the order in which the loop serves what is ready: connections that peers opened, connections that we
+// opened, then timers.
 #include "transport/loop.h"
 
 #include <Poco/Net/ServerSocket.h>
@@ -9,60 +10,63 @@
 namespace rushhill::transport {
 namespace {
 
-// Bytes on connections that came to us and on ones that we opened, and an alarm that is due, all stand there
-// before the loop turns; many of each, so that no order by chance passes.
-TEST(Turn, WhatCameToUsIsReadFirstThenWhatWeOpenedThenAlarmsRing) {
+// Before the iteration starts, bytes are ready on connections that peers opened ('c') and on connections that
+// we opened ('o'), and a timer is due ('a'). There are eight connections of each kind, so that a wrong order
+// does not pass by chance.
+TEST(EventLoopIteration, ReadsPeerOpenedConnectionsThenOursThenFiresTimers) {
   Loop reactor;
   Pump pump(reactor);
   RawServer server(reactor);
   std::string order;
-  Poco::Net::ServerSocket partner(numeric_address("127.0.0.1:0"));
-  std::vector<Poco::Net::StreamSocket> callers, called;
+  Poco::Net::ServerSocket remote_listener(numeric_address("127.0.0.1:0"));
+  std::vector<Poco::Net::StreamSocket> clients, accepted;
   std::vector<std::unique_ptr<RawPeer>> opened;
   for (int i = 0; i < 8; ++i) {
-    opened.push_back(std::make_unique<RawPeer>(reactor, partner.address()));
+    opened.push_back(std::make_unique<RawPeer>(reactor, remote_listener.address()));
     opened.back()->on_bytes = [&] { order += 'o'; };
-    called.push_back(partner.acceptConnection());
-    callers.emplace_back(numeric_address(server.address()));
+    accepted.push_back(remote_listener.acceptConnection());
+    clients.emplace_back(numeric_address(server.address()));
   }
   server.on_bytes = [&](RawPeer&) { order += 'c'; };
   ASSERT_TRUE(pump.until([&] { return server.peers.size() == 8; }));
   pump.pass(200);
   for (int i = 0; i < 8; ++i) {
-    called[static_cast<std::size_t>(i)].sendBytes("x", 1);
-    callers[static_cast<std::size_t>(i)].sendBytes("x", 1);
+    accepted[static_cast<std::size_t>(i)].sendBytes("x", 1);
+    clients[static_cast<std::size_t>(i)].sendBytes("x", 1);
   }
-  const Time due = reactor.now() + 1;  // not yet rung by the turn that stands still now
+  const Time due =
+      reactor.now() +
+      1;  // after the timer at which the driver paused the loop, so that the next iteration fires it
   reactor.at(due, [&] { order += 'a'; });
   while (reactor.now() <= due + 10) {}
   ASSERT_TRUE(pump.until([&] { return order.size() == 17; }));
   EXPECT_EQ(order, "ccccccccooooooooa");
 }
 
-// More connections can be read than the system tells of at once.
-TEST(Turn, HoweverManyCameToUsAllAreReadBeforeWhatWeOpened) {
-  constexpr int many = 1'500;  // the system tells of 1,024
+// More connections are readable than the system reports in one wait.
+TEST(EventLoopIteration, ReadsAllPeerOpenedConnectionsBeforeOurs) {
+  constexpr int client_count = 1'500;  // the system reports at most 1,024
   Loop reactor;
   Pump pump(reactor);
   RawServer server(reactor);
   std::string order;
-  Poco::Net::ServerSocket partner(numeric_address("127.0.0.1:0"));
-  std::vector<std::unique_ptr<Visitor>> callers;
-  RawPeer opened(reactor, partner.address());
+  Poco::Net::ServerSocket remote_listener(numeric_address("127.0.0.1:0"));
+  std::vector<std::unique_ptr<Visitor>> clients;
+  RawPeer opened(reactor, remote_listener.address());
   opened.on_bytes = [&] { order += 'o'; };
-  Poco::Net::StreamSocket called = partner.acceptConnection();
-  for (int i = 0; i < many; ++i)
-    callers.push_back(std::make_unique<Visitor>(numeric_address(server.address())));
+  Poco::Net::StreamSocket accepted = remote_listener.acceptConnection();
+  for (int i = 0; i < client_count; ++i)
+    clients.push_back(std::make_unique<Visitor>(numeric_address(server.address())));
   server.on_bytes = [&](RawPeer&) { order += 'c'; };
-  ASSERT_TRUE(pump.until([&] { return server.peers.size() == many; }));
+  ASSERT_TRUE(pump.until([&] { return server.peers.size() == client_count; }));
   pump.pass(200);
-  called.sendBytes("x", 1);
-  for (const auto& caller : callers) caller->send("x");
-  ASSERT_TRUE(pump.until([&] { return order.size() == many + 1; }));
-  EXPECT_EQ(order.find('o'), static_cast<std::size_t>(many));
+  accepted.sendBytes("x", 1);
+  for (const auto& client : clients) client->send("x");
+  ASSERT_TRUE(pump.until([&] { return order.size() == client_count + 1; }));
+  EXPECT_EQ(order.find('o'), static_cast<std::size_t>(client_count));
 }
 
-TEST(PumpStory, ALoopThatNeverHadATurnEndsToo) {
+TEST(EventLoopDriver, StopsALoopThatHasNeverRun) {
   Loop reactor;
   const Pump pump{reactor};
 }
--- a/tests/transport/no_descriptor_left_test.cpp
+++ b/tests/transport/no_descriptor_left_test.cpp
@@ -1,4 +1,5 @@
-// Streams and listeners of a process that gets no socket more.
+// Checks that streams and listeners report a lack of file descriptors, or pause, instead of spinning. Each
+// test runs in a child process in which every call that creates a socket fails.
 #include <Poco/Net/StreamSocket.h>
 #include <linux/filter.h>
 #include <linux/seccomp.h>
@@ -17,57 +18,60 @@
 namespace rushhill::transport {
 namespace {
 
-// From here on this process gets no socket more, as where no descriptor is left. (With none left in truth the
-// sanitizers, which need some now and then, end the story.)
-bool no_socket_is_left() {
-  constexpr auto none = static_cast<unsigned>(SECCOMP_RET_ERRNO | EMFILE);
-  constexpr auto number = static_cast<unsigned>(offsetof(seccomp_data, nr));
+// Makes socket() and accept4() fail with EMFILE in this process from now on, as if no descriptor were left.
+// The sanitizers need descriptors now and then, so using up the real ones would end the test.
+bool block_new_sockets() {
+  constexpr auto fail_with_emfile = static_cast<unsigned>(SECCOMP_RET_ERRNO | EMFILE);
+  constexpr auto call_number = static_cast<unsigned>(offsetof(seccomp_data, nr));
   std::array<sock_filter, 5> steps{
-      {BPF_STMT(BPF_LD | BPF_W | BPF_ABS, number), BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_socket, 1, 0),
-       BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_accept4, 0, 1), BPF_STMT(BPF_RET | BPF_K, none),
+      {BPF_STMT(BPF_LD | BPF_W | BPF_ABS, call_number), BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_socket, 1, 0),
+       BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_accept4, 0, 1), BPF_STMT(BPF_RET | BPF_K, fail_with_emfile),
        BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW)}};
   sock_fprog program{static_cast<unsigned short>(steps.size()), steps.data()};
   return prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) == 0 &&
          prctl(PR_SET_SECCOMP, SECCOMP_MODE_FILTER, &program) == 0;
 }
-constexpr Time looked_at_for = 2'000;  // tenths of a millisecond
-constexpr int turns_at_rest = 100;     // in that time; a rest lasts 10 ms, spinning makes many thousands
-constexpr int as_it_should_be = 17;    // how the child ends
+constexpr Time observation_time = 2'000;  // tenths of a millisecond
+constexpr int max_iterations =
+    100;  // in that time; pauses last 1 to 16 ms, while spinning makes many thousands
+constexpr int success_exit_code = 17;  // of the child process
 
 int connect_without_a_descriptor() {
   Loop reactor;
-  struct User final : StreamHandler {
+  struct RecordingHandler final : StreamHandler {
     void on_data(std::string_view) override {}
-    void on_closed(CloseReason why) override { ways.push_back(why); }
-    std::vector<CloseReason> ways;
-  } user;
-  if (!no_socket_is_left()) return 1;
-  const auto stream = Stream::connect(reactor, numeric_address("127.0.0.1:9"), user);
+    void on_closed(CloseReason reason) override { close_reasons.push_back(reason); }
+    std::vector<CloseReason> close_reasons;
+  } handler;
+  if (!block_new_sockets()) return 1;
+  const auto stream = Stream::connect(reactor, numeric_address("127.0.0.1:9"), handler);
   stream->write("x");
-  if (!user.ways.empty()) return 2;  // never from within the call
-  reactor.at(reactor.now() + looked_at_for, [&] { reactor.halt(); });
+  if (!handler.close_reasons.empty()) return 2;  // the handler must not be called from within connect()
+  reactor.at(reactor.now() + observation_time, [&] { reactor.halt(); });
   reactor.run();
-  return user.ways == std::vector{CloseReason::not_started} && stream->closed() ? as_it_should_be : 3;
+  return handler.close_reasons == std::vector{CloseReason::not_started} && stream->closed()
+             ? success_exit_code
+             : 3;
 }
 int listen_without_a_descriptor() {
   Loop reactor;
-  int came = 0, turns = 0;
+  int accepted = 0, iterations = 0;
   Listener listener(reactor, numeric_address("127.0.0.1:0"), false,
-                    [&](const PendingConnection&) { ++came; });
-  Poco::Net::StreamSocket caller(listener.address());
-  if (!no_socket_is_left()) return 1;
-  reactor.every_turn([&] { ++turns; });
-  reactor.at(reactor.now() + looked_at_for, [&] { reactor.halt(); });
+                    [&](const PendingConnection&) { ++accepted; });
+  Poco::Net::StreamSocket client(listener.address());
+  if (!block_new_sockets()) return 1;
+  reactor.every_turn([&] { ++iterations; });
+  reactor.at(reactor.now() + observation_time, [&] { reactor.halt(); });
   reactor.run();
-  if (came != 0) return 2;
-  return turns < turns_at_rest ? as_it_should_be : 3;
+  if (accepted != 0) return 2;
+  return iterations < max_iterations ? success_exit_code : 3;
 }
 
-TEST(DescriptorsDeathTest, WithNoneLeftAConnectionIsLostAsNeverBegun) {
-  EXPECT_EXIT(_exit(connect_without_a_descriptor()), testing::ExitedWithCode(as_it_should_be), "");
+TEST(DescriptorExhaustionDeathTest, ConnectionEndsAsNotStarted) {
+  EXPECT_EXIT(_exit(connect_without_a_descriptor()), testing::ExitedWithCode(success_exit_code), "");
 }
-TEST(DescriptorsDeathTest, WithNoneLeftAListenerRests) {
-  EXPECT_EXIT(_exit(listen_without_a_descriptor()), testing::ExitedWithCode(as_it_should_be), "");
+TEST(DescriptorExhaustionDeathTest, ListenerPausesInsteadOfSpinning) {
+  EXPECT_EXIT(_exit(listen_without_a_descriptor()), testing::ExitedWithCode(success_exit_code), "");
 }
 
 }  // namespace
--- a/tests/transport/socket_listener_test.cpp
+++ b/tests/transport/socket_listener_test.cpp
@@ -1,4 +1,4 @@
-// Listeners that may not accept for a while.
+// Checks that a listener stops accepting while there is no capacity and continues afterwards.
 #include <Poco/Net/StreamSocket.h>
 
 #include "loopback.h"
@@ -8,23 +8,24 @@
 namespace rushhill::transport {
 namespace {
 
-// Room is asked for once for each that is taken, and what finds none waits.
-TEST(Listener, TakesOnlyWhereThereIsRoomAndTheRestOnceThereIs) {
+// The predicate reserves capacity, so it must be called once per accepted connection. The third connection
+// stays in the queue until there is capacity.
+TEST(Listener, AcceptsOnlyWithCapacityAndTheRestLater) {
   Loop reactor;
   Pump pump(reactor);
-  int came = 0, room = 2;
+  int accepted = 0, capacity = 2;
   Listener listener(reactor, numeric_address("127.0.0.1:0"), false,
-                    [&](const PendingConnection&) { ++came; });
-  listener.accept_while([&] { return room > 0 && room-- > 0; });
-  std::vector<Poco::Net::StreamSocket> callers;
-  for (int i = 0; i < 3; ++i) callers.emplace_back(listener.address());
-  ASSERT_TRUE(pump.until([&] { return came == 2; }));
+                    [&](const PendingConnection&) { ++accepted; });
+  listener.accept_while([&] { return capacity > 0 && capacity-- > 0; });
+  std::vector<Poco::Net::StreamSocket> clients;
+  for (int i = 0; i < 3; ++i) clients.emplace_back(listener.address());
+  ASSERT_TRUE(pump.until([&] { return accepted == 2; }));
   pump.pass(500);
-  EXPECT_EQ(came, 2);
-  room = 5;
-  ASSERT_TRUE(pump.until([&] { return came == 3; }));
+  EXPECT_EQ(accepted, 2);
+  capacity = 5;
+  ASSERT_TRUE(pump.until([&] { return accepted == 3; }));
   pump.pass(500);
-  EXPECT_EQ(room, 4) << "no room is made for nobody";
+  EXPECT_EQ(capacity, 4) << "capacity must be reserved only if a connection is in the queue";
 }
 
 }  // namespace
--- a/tests/transport/socket_stream_test.cpp
+++ b/tests/transport/socket_stream_test.cpp
@@ -1,4 +1,4 @@
-// What a stream does when its peer does not read, and where no descriptor is left.
+// Checks a stream whose peer does not read for a while, and one for which no descriptor is left.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -8,47 +8,49 @@
 namespace rushhill::transport {
 namespace {
 
-TEST(Stream, APeerThatDoesNotReadIsToldOfOnceItHasReadAll) {
+TEST(Stream, ReportsDrainedOnlyAfterASlowPeerHasReadAll) {
   Loop reactor;
   Pump pump(reactor);
   RawServer server(reactor);
-  struct User final : StreamHandler {
+  struct RecordingHandler final : StreamHandler {
     void on_connected() override { stream->write(std::string(8'000'000, 'x')); }
     void on_data(std::string_view) override {}
-    void on_write_drained() override { ++drains; }
+    void on_write_drained() override { ++drained_count; }
     void on_closed(CloseReason) override {}
     std::shared_ptr<Stream> stream;
-    int drains = 0;
-  } user;
-  user.stream = Stream::connect(reactor, numeric_address(server.address()), user);
+    int drained_count = 0;
+  } handler;
+  handler.stream = Stream::connect(reactor, numeric_address(server.address()), handler);
   ASSERT_TRUE(pump.until([&] { return !server.peers.empty(); }));
   server.peers.front()->stream->set_reading(false);
   pump.pass(500);
-  EXPECT_GT(user.stream->pending_bytes(), 0U);
-  EXPECT_EQ(user.drains, 0);
+  EXPECT_GT(handler.stream->pending_bytes(), 0U);
+  EXPECT_EQ(handler.drained_count, 0);
   server.peers.front()->stream->set_reading(true);
-  ASSERT_TRUE(pump.until([&] { return user.drains == 1; }));
+  ASSERT_TRUE(pump.until([&] { return handler.drained_count == 1; }));
   ASSERT_TRUE(pump.until([&] { return server.peers.front()->seen.size() == 8'000'000; }));
-  user.stream->close();
+  handler.stream->close();
 }
 
-// The system gives none, whatever the program counts: that ends the connection and not the program.
-TEST(Stream, WithoutADescriptorLeftAConnectionIsRefused) {
+// The system may refuse a descriptor although the program has counted a free one. That must end the
+// connection and not the program. Lowering the limit to the open descriptors causes it.
+TEST(Stream, ClosesANewStreamWithoutFreeDescriptors) {
   Loop reactor;
   Pump pump(reactor);
   RawServer server(reactor);
-  // The sanitizer needs descriptors itself to look at an object of a kind that it has not met.
-  RawPeer met(reactor, numeric_address(server.address()));
+  // The sanitizer needs descriptors to inspect an object of a type that is new to it, so one is created
+  // before.
+  RawPeer first_peer(reactor, numeric_address(server.address()));
   ASSERT_TRUE(pump.until([&] { return server.peers.size() == 1; }));
-  rlimit before{};
-  getrlimit(RLIMIT_NOFILE, &before);
-  const int next = dup(0);
-  close(next);
-  const rlimit none{static_cast<rlim_t>(next), before.rlim_max};
-  setrlimit(RLIMIT_NOFILE, &none);
+  rlimit original_limit{};
+  getrlimit(RLIMIT_NOFILE, &original_limit);
+  const int lowest_free = dup(0);
+  close(lowest_free);
+  const rlimit no_more{static_cast<rlim_t>(lowest_free), original_limit.rlim_max};
+  setrlimit(RLIMIT_NOFILE, &no_more);
   std::unique_ptr<RawPeer> opened;
   EXPECT_NO_THROW(opened = std::make_unique<RawPeer>(reactor, numeric_address(server.address())));
-  setrlimit(RLIMIT_NOFILE, &before);
+  setrlimit(RLIMIT_NOFILE, &original_limit);
   ASSERT_NE(opened, nullptr);
   EXPECT_TRUE(pump.until([&] { return opened->ended; }));
 }
--- a/tests/transport/timer_queue_test.cpp
+++ b/tests/transport/timer_queue_test.cpp
@@ -1,4 +1,4 @@
-// Timers fire in their order.
+// Checks that timers fire in the order of their times, and that cancelled timers do not fire.
 #include "core/timer_queue.h"
 
 #include <gtest/gtest.h>
@@ -9,51 +9,51 @@
 namespace rushhill::transport {
 namespace {
 
-TEST(TimerQueue, RingInTheirOrderAndWithdrawnOnesNever) {
-  core::TimerQueue alarms;
-  std::string rung;
-  alarms.add(20, [&] { rung += 'c'; });
-  alarms.add(10, [&] { rung += 'a'; });
-  core::Timer gone = alarms.add(10, [&] { rung += 'x'; });
-  alarms.add(10, [&] {
-    rung += 'b';
-    alarms.add(5, [&] { rung += '!'; });  // due already
+TEST(TimerQueue, FiresInOrderAndSkipsCancelledTimers) {
+  core::TimerQueue timers;
+  std::string fired;
+  timers.add(20, [&] { fired += 'c'; });
+  timers.add(10, [&] { fired += 'a'; });
+  core::Timer cancelled = timers.add(10, [&] { fired += 'x'; });
+  timers.add(10, [&] {
+    fired += 'b';
+    timers.add(5, [&] { fired += '!'; });  // already due
   });
-  alarms.cancel(gone);
-  alarms.cancel(gone);
-  alarms.fire_due(15);
-  EXPECT_EQ(rung, "ab!");
-  EXPECT_EQ(alarms.next_deadline(), 20);
+  timers.cancel(cancelled);
+  timers.cancel(cancelled);
+  timers.fire_due(15);
+  EXPECT_EQ(fired, "ab!");
+  EXPECT_EQ(timers.next_deadline(), 20);
 }
 
-TEST(TimerQueue, AHundredThousandRingInTheirOrderWithoutTheWithdrawn) {
-  core::TimerQueue alarms;
-  std::vector<core::Timer> set;
+TEST(TimerQueue, FiresAHundredThousandInOrderWithoutTheCancelled) {
+  core::TimerQueue timers;
+  std::vector<core::Timer> added;
   Time last = 0;
-  int rung = 0;
+  int fired = 0;
   for (int i = 0; i < 100'000; ++i) {
     const Time when = 1 + (i * 7'919) % 100'003;
-    set.push_back(alarms.add(when, [&, when] {
+    added.push_back(timers.add(when, [&, when] {
       EXPECT_LE(last, when);
       last = when;
-      ++rung;
+      ++fired;
     }));
   }
-  for (std::size_t i = 0; i < set.size(); i += 2) alarms.cancel(set[i]);
-  for (Time now = 0; now <= 100'003; now += 100) alarms.fire_due(now);
-  alarms.fire_due(100'003);
-  EXPECT_EQ(rung, 50'000);
-  EXPECT_EQ(alarms.count(), 0U);
+  for (std::size_t i = 0; i < added.size(); i += 2) timers.cancel(added[i]);
+  for (Time now = 0; now <= 100'003; now += 100) timers.fire_due(now);
+  timers.fire_due(100'003);
+  EXPECT_EQ(fired, 50'000);
+  EXPECT_EQ(timers.count(), 0U);
 }
 
-TEST(TimerQueue, AnAlarmMayWithdrawTheOneThatWouldRingNext) {
-  core::TimerQueue alarms;
-  bool rung = false;
+TEST(TimerQueue, TimerCanCancelTheOneThatFiresNext) {
+  core::TimerQueue timers;
+  bool fired = false;
   core::Timer second;
-  alarms.add(1, [&] { alarms.cancel(second); });
-  second = alarms.add(1, [&] { rung = true; });
-  alarms.fire_due(1);
-  EXPECT_FALSE(rung);
+  timers.add(1, [&] { timers.cancel(second); });
+  second = timers.add(1, [&] { fired = true; });
+  timers.fire_due(1);
+  EXPECT_FALSE(fired);
 }
 
 }  // namespace
--- a/tests/transport/upstream_requests_test.cpp
+++ b/tests/transport/upstream_requests_test.cpp
@@ -5,7 +5,7 @@
 namespace rushhill::transport {
 namespace {
 
-TEST(UpstreamRequests, AnAttemptCarriesTheEventTheSenderAndWhatIsLeftOfItsTime) {
+TEST(UpstreamRequests, AttemptContainsTheEventTheSenderAndTheTimeLeft) {
   const events::CloudEvent message{.id = "1", .source = "/c", .type = "t", .data = "hello"};
   const EndpointId endpoint = "a";
   const std::string bytes = attempt_request(3, {7, 2, endpoint, Duration{10'005}, message});
@@ -16,7 +16,7 @@
       << bytes;
 }
 
-TEST(UpstreamRequests, CallsToTheModelRepositoryAreWrittenByteForByte) {
+TEST(UpstreamRequests, SerializesProbesAndRepositoryCallsExactly) {
   EXPECT_EQ(probe_request("a"),
             "GET /v2/health/ready HTTP/1.1\r\nhost: a\r\nrushhill-server: a\r\n"
             "endpoint-load-metrics-format: JSON\r\n\r\n");
