--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -73,8 +73,8 @@
   ~HttpResponseReader();
 
   HttpProgress put(std::string& buffer);
-  HttpProgress
-  end();  // to be called when the stream ends; `done` if that completes the body, else `malformed`
+  // To be called when the stream ends. Returns `done` if that completes the body, else `malformed`.
+  HttpProgress end();
   HttpResponse take();  // to be called after `done`; the reader is then ready for the next response
 
  private:
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -25,7 +25,7 @@
 class ReservedPort final : public BoundSocket {
  public:
   ReservedPort(SystemCalls& system, const Address& address)
-      : system_(system), socket_(bound_socket(system, address, SOCK_STREAM, {.shared = true})) {}
+      : system_(system), socket_(create_bound_socket(system, address, SOCK_STREAM, {.shared = true})) {}
   Address address() const override { return local_address(system_, socket_); }
 
  private:
@@ -199,7 +199,7 @@
 }
 
 std::unique_ptr<BoundSocket> Loop::listen(const Address& address, bool shared, AcceptHandler handler) {
-  FileDescriptor socket = bound_socket(system_, address, SOCK_STREAM, {.shared = shared});
+  FileDescriptor socket = create_bound_socket(system_, address, SOCK_STREAM, {.shared = shared});
   start_listening(system_, socket);
   return std::make_unique<SocketListener>(*this, std::move(socket), std::move(handler));
 }
@@ -211,7 +211,7 @@
 std::unique_ptr<BoundSocket> Loop::open_datagrams(const Address& address, DatagramHandler handler) {
   // An earlier process of this router may still have a socket with this address. It receives nothing once the
   // new socket is bound.
-  return std::make_unique<DatagramSocket>(*this, bound_socket(system_, address, SOCK_DGRAM, {}),
+  return std::make_unique<DatagramSocket>(*this, create_bound_socket(system_, address, SOCK_DGRAM, {}),
                                           std::move(handler));
 }
 
--- a/src/transport/sockets.cpp
+++ b/src/transport/sockets.cpp
@@ -17,7 +17,8 @@
 
 }  // namespace
 
-FileDescriptor bound_socket(SystemCalls& system, const Address& address, int type, BindOptions options) {
+FileDescriptor create_bound_socket(SystemCalls& system, const Address& address, int type,
+                                   BindOptions options) {
   FileDescriptor socket(system, retry_briefly(system, [&] {
                           return system.socket(address.af(), type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
                         }));
--- a/src/transport/sockets.h
+++ b/src/transport/sockets.h
@@ -16,7 +16,8 @@
 
 // Creates a non-blocking socket of this type and binds it to the address, which may have been in use shortly
 // before (SO_REUSEADDR). Throws std::system_error with the failed call and the address.
-FileDescriptor bound_socket(SystemCalls& system, const Address& address, int type, BindOptions options);
+FileDescriptor create_bound_socket(SystemCalls& system, const Address& address, int type,
+                                   BindOptions options);
 
 // Makes a bound socket listen; throws std::system_error on failure.
 void start_listening(SystemCalls& system, const FileDescriptor& socket);
--- a/src/transport/stream.h
+++ b/src/transport/stream.h
@@ -23,7 +23,7 @@
   connect_failed,  // the connection was never established
   closed_by_peer,
   reset,       // reset by the peer, or failed
-  not_started  // this machine lacked a resource: no byte was sent, which says nothing about the peer
+  not_started  // this machine lacked a resource; no byte was sent, and nothing is known about the peer
 };
 
 // Callbacks of a stream; see above.
--- a/tests/transport/loop_test.cpp
+++ b/tests/transport/loop_test.cpp
@@ -34,9 +34,8 @@
     accepted[static_cast<std::size_t>(i)].sendBytes("x", 1);
     clients[static_cast<std::size_t>(i)].sendBytes("x", 1);
   }
-  const Time due =
-      reactor.now() +
-      1;  // after the timer at which the driver paused the loop, so that the next iteration fires it
+  // The paused iteration fires only timers that were due when it began to, so the next one fires this timer.
+  const Time due = reactor.now() + 1;
   reactor.at(due, [&] { order += 'a'; });
   while (reactor.now() <= due + 10) {}
   ASSERT_TRUE(pump.until([&] { return order.size() == 17; }));
--- a/tests/transport/no_descriptor_left_test.cpp
+++ b/tests/transport/no_descriptor_left_test.cpp
@@ -32,8 +32,8 @@
          prctl(PR_SET_SECCOMP, SECCOMP_MODE_FILTER, &program) == 0;
 }
 constexpr Time observation_time = 2'000;  // tenths of a millisecond
-constexpr int max_iterations =
-    100;  // in that time; pauses last 1 to 16 ms, while spinning makes many thousands
+// In that time. Pauses last 1 to 16 ms, while a spinning loop makes many thousands of iterations.
+constexpr int max_iterations = 100;
 constexpr int success_exit_code = 17;  // of the child process
 
 int connect_without_a_descriptor() {
--- a/tests/transport/socket_stream_test.cpp
+++ b/tests/transport/socket_stream_test.cpp
@@ -38,8 +38,7 @@
   Loop reactor;
   Pump pump(reactor);
   RawServer server(reactor);
-  // The sanitizer needs descriptors to inspect an object of a type that is new to it, so one is created
-  // before.
+  // The sanitizer needs descriptors to inspect an object of a type that is new to it, so create one first.
   RawPeer first_peer(reactor, numeric_address(server.address()));
   ASSERT_TRUE(pump.until([&] { return server.peers.size() == 1; }));
   rlimit original_limit{};
--- a/tests/transport/system_calls_test.cpp
+++ b/tests/transport/system_calls_test.cpp
@@ -1,5 +1,5 @@
-// Checks that the event loop neither spins, nor loses bytes or connections, nor blames a peer for a local
-// fault when system calls fail. Each call is made to fail in every way that Linux documents.
+// Checks that the event loop neither spins, nor loses bytes or connections, nor attributes a local
+// fault to a peer, when system calls fail. Each call is made to fail in every way that Linux documents.
 #include <Poco/Net/DatagramSocket.h>
 
 #include <cerrno>
@@ -20,8 +20,8 @@
 using simulation::SystemCallFailure;
 
 constexpr Time observation_time = 1'000;  // tenths of a millisecond
-constexpr std::uint64_t max_calls_without_spinning =
-    200;  // in that time without spinning, which makes many thousands
+// In that time. A spinning loop makes many thousands of calls.
+constexpr std::uint64_t max_calls_without_spinning = 200;
 constexpr int client_count = 20;
 
 std::vector<SystemCallFailure> failures_of(SystemCall call) {
@@ -417,17 +417,17 @@
 // The timer of its pause is the only owner of the stream. The stream must be destroyed with the loop's
 // timers, whether forget_all() or the loop's destructor drops them.
 TEST(Loop, StreamInAPauseIsDestroyedWithTheLoopsTimers) {
-  for (const bool explicitly : {true, false}) {
+  for (const bool drop_explicitly : {true, false}) {
     FaultySystemCalls system(1);
     RecordingHandler handler;
     Loop reactor(system);
     system.fail_always({.call = SystemCall::socket, .error = EMFILE});
     Stream::connect(reactor, numeric_address("127.0.0.1:9"), handler);
-    if (explicitly) reactor.forget_all();
+    if (drop_explicitly) reactor.forget_all();
   }
 }
 
-// A lack of resources during startup, before anything else is waiting, must not end the program.
+// A short lack of resources during startup, before anything else is waiting, must not end the program.
 TEST(Startup, WaitsForTemporarilyMissingResources) {
   for (const SystemCall call : {SystemCall::epoll_create1, SystemCall::socket, SystemCall::bind,
                                 SystemCall::setsockopt, SystemCall::getsockname, SystemCall::epoll_ctl}) {
