--- a/tests/node/deadline_test.cpp
+++ b/tests/node/deadline_test.cpp
@@ -1,5 +1,5 @@
 // Guards against servers that work on a request for longer than its client waits. The deadline that is sent
-// to a server (`max`) may exceed what the client has left when the bytes are sent by 0.15 s at most: for a
+// to a server (`max`) may exceed the time that the client has left at that moment by 0.15 s at most: for a
 // retry, a hedged request, a request that waited for its connection and one that waited for the event loop.
 // The bounds are computed for a moment that is certainly before the bytes were sent.
 #include <netinet/in.h>
--- a/tests/node/owed_test.cpp
+++ b/tests/node/owed_test.cpp
@@ -1,4 +1,4 @@
-// Guards against races between an open request and what ends its work: a client that withdraws it while it is
+// Guards against races between an open request and other events: a client that withdraws it while it is
 // pending, an endpoint list that drains the server of an attempt that has not been sent, a router that shuts
 // down with requests unread. The tests force the bad order every time: what has to coincide is in the
 // kernel's buffers before the loop's next iteration.
