--- a/src/routing/attempt_feedback.h
+++ b/src/routing/attempt_feedback.h
@@ -1,4 +1,4 @@
-// What the policy learns from an attempt that has ended.
+// Updates the policy's state from attempts that have ended.
 #pragma once
 
 #include "routing/endpoint_monitor.h"
@@ -6,7 +6,7 @@
 
 namespace rushhill::routing {
 
-// Hands the end of an attempt to each part that it concerns.
+// Passes the result of an attempt to each part that it concerns.
 class AttemptFeedback {
  public:
   AttemptFeedback(RoutingParts& parts, EndpointMonitor& monitor) : parts_(parts), monitor_(monitor) {}
@@ -14,7 +14,7 @@
   void attempt_ended(Timestamp now, const TrackedRequest& tracked, Attempt& attempt, const AttemptEnd& end);
 
  private:
-  // The attempt with all that it concerns.
+  // The attempt with the records that it concerns.
   struct EndedAttempt {
     const TrackedRequest& tracked;
     const Attempt& attempt;
@@ -22,15 +22,15 @@
     EndpointRecord& endpoint;
     FunctionRecord& function;
     BelievedCopy& copy;
-    bool found_copy = false;  // a loaded one
+    bool found_copy = false;  // whether a loaded copy served the attempt
     EstimateKey key() const { return {.request_class = *tracked.class_estimate, .function = function.times}; }
   };
 
-  void learn_presence(Timestamp now, const EndedAttempt& ended);
-  void learn_success(Timestamp now, const EndedAttempt& ended);
-  void learn_times(Timestamp now, const EndedAttempt& ended);
-  void learn_rejection(Timestamp now, const EndedAttempt& ended);
-  void learn_overload(Timestamp now, const EndedAttempt& ended);
+  void update_in_flight(Timestamp now, const EndedAttempt& ended);
+  void record_success(Timestamp now, const EndedAttempt& ended);
+  void record_times(Timestamp now, const EndedAttempt& ended);
+  void record_rejection(Timestamp now, const EndedAttempt& ended);
+  void record_overload_signal(Timestamp now, const EndedAttempt& ended);
   bool found_copy(const Attempt& attempt, const AttemptEnd& end) const;
 
   RoutingParts& parts_;
--- a/src/routing/attempt_history.h
+++ b/src/routing/attempt_history.h
@@ -1,4 +1,4 @@
-// What the attempts at one endpoint showed of late.
+// Statistics of the recent attempts at one endpoint.
 #pragma once
 
 #include "routing/sliding_window.h"
@@ -6,17 +6,17 @@
 
 namespace rushhill::routing {
 
-constexpr int history_buckets = 20;  // what an endpoint bears is steady over that
+constexpr int history_buckets = 20;  // an endpoint's capacity is steady over that time
 constexpr Duration history_bucket_width = one_second;
 constexpr Duration history_span = history_buckets * history_bucket_width;
 
 // Sums over the attempts that ended at an endpoint.
 struct AttemptStatistics {
   double succeeded = 0;
-  double judged = 0;    // attempts that went well or badly
-  double bad = 0;       // of these: failed, or overdue
-  double paced = 0;     // answers whose pace is known
-  double pace_sum = 0;  // response times over the usual ones of their functions
+  double judged = 0;    // attempts counted as good or bad
+  double bad = 0;       // attempts that failed or were overdue
+  double paced = 0;     // answers with a known pace
+  double pace_sum = 0;  // sum of their paces: response times divided by the usual ones of their functions
   AttemptStatistics& operator+=(const AttemptStatistics& other) {
     succeeded += other.succeeded;
     judged += other.judged;
@@ -32,19 +32,21 @@
  public:
   void add_success(Timestamp now) { window_.bucket_at(now).succeeded += 1; }
 
-  // An answer took that many times the usual response time of its function.
+  // Adds an answer that took `times_usual` times the usual response time of its function.
   void add_pace(Timestamp now, double times_usual) {
     AttemptStatistics& bucket = window_.bucket_at(now);
     bucket.paced += 1;
     bucket.pace_sum += times_usual;
   }
 
+  // Adds an attempt that was counted as good or bad.
   void add_verdict(Timestamp now, bool bad) {
     AttemptStatistics& bucket = window_.bucket_at(now);
     bucket.judged += 1;
     bucket.bad += bad ? 1 : 0;
   }
 
+  // Returns the sums over the newest buckets.
   AttemptStatistics recent(Timestamp now, int newest_buckets) const {
     return window_.total(now, newest_buckets);
   }
--- a/src/routing/believed_copy.h
+++ b/src/routing/believed_copy.h
@@ -1,4 +1,4 @@
-// One endpoint's copy of a function, as far as this router believes in it.
+// What this router knows or assumes about one endpoint's copy of a function.
 #pragma once
 
 #include <cstdint>
@@ -10,20 +10,21 @@
 
 struct EndpointRecord;
 
-// A copy is predicted while own attempts of the function are at the endpoint, prewarmed while an order is
-// pending, and confirmed from an answer that found it until it has been idle for the keep-alive span.
+// The copy is assumed to exist while this router has open attempts of the function at the endpoint and while
+// a prewarm order is pending. It is confirmed from an answer of the copy until the copy has been idle for the
+// keep-alive span.
 class BelievedCopy {
  public:
   bool believed(Timestamp now, Duration keep_alive) const {
     return open_attempts_ > 0 || prewarming_ || confirmed(now, keep_alive);
   }
   bool confirmed(Timestamp now, Duration keep_alive) const {
-    return confirmed_ && now - used_at_ < keep_alive;
+    return confirmed_ && now - last_used_at_ < keep_alive;
   }
   bool prewarming() const { return prewarming_; }
   int open_attempts() const { return open_attempts_; }
 
-  // Returns whether the copy was confirmed at that moment.
+  // Returns whether the copy was confirmed at that time.
   bool attempt_sent(Timestamp now, Duration keep_alive) {
     confirmed_ = confirmed(now, keep_alive);
     ++open_attempts_;
@@ -34,26 +35,26 @@
   }
   void confirm(Timestamp now) {
     confirmed_ = true;
-    used_at_ = now;
+    last_used_at_ = now;
   }
-  void refute() { confirmed_ = false; }
+  void mark_missing() { confirmed_ = false; }
 
-  // Returns whether no order was pending.
+  // Returns false if an order was already pending.
   bool prewarm_ordered() { return !std::exchange(prewarming_, true); }
   void prewarm_ended(Timestamp now, bool loaded) {
     prewarming_ = false;
     confirmed_ = loaded;
-    used_at_ = now;
+    last_used_at_ = now;
   }
 
-  // The endpoint has lost its copies; own attempts may still be there.
+  // Marks the copy as lost. Open attempts of this router may still be at the endpoint.
   void forget() {
     confirmed_ = false;
     prewarming_ = false;
   }
 
-  // The endpoint's record, looked up again by `find` when the endpoint list has a new version; nullptr where
-  // the endpoint is not on the list.
+  // Returns the endpoint's record, or nullptr if the table has none. Calls `find` to look it up again when
+  // the endpoint list has a new version.
   template <typename Find>
   EndpointRecord* endpoint(std::uint64_t list_version, const Find& find) {
     if (std::exchange(endpoint_version_, list_version) != list_version) endpoint_ = find();
@@ -61,23 +62,23 @@
   }
 
  private:
-  int open_attempts_ = 0;  // own attempts of the function there
+  int open_attempts_ = 0;  // this router's open attempts of the function at the endpoint
   bool prewarming_ = false;
   bool confirmed_ = false;
-  Timestamp used_at_{};
+  Timestamp last_used_at_{};
   EndpointRecord* endpoint_ = nullptr;
   std::uint64_t endpoint_version_ = 0;
 };
 
-// From an endpoint to its copy of the function that is being placed, valid for one selection. It spares the
-// selection a look-up for each endpoint.
+// Link from an endpoint to its copy of the function that a selection is for, valid for that selection only.
+// It saves the selection a lookup for each endpoint.
 class CopyLink {
  public:
   void set(const BelievedCopy& copy, std::uint64_t selection) {
     copy_ = &copy;
     selection_ = selection;
   }
-  const BelievedCopy* of_selection(std::uint64_t selection) const {
+  const BelievedCopy* for_selection(std::uint64_t selection) const {
     return selection_ == selection ? copy_ : nullptr;
   }
 
--- a/src/routing/configuration.h
+++ b/src/routing/configuration.h
@@ -1,4 +1,4 @@
-// What a router is configured with at its start, as far as its decisions need it.
+// The part of a router's configuration that its routing decisions depend on. It is fixed at the start.
 #pragma once
 
 #include <map>
@@ -9,76 +9,82 @@
 
 namespace rushhill {
 
-// How many requests an endpoint that warms up may get from all routers together (rule 4).
+// Limits the requests that all routers together send to an endpoint that is warming up (rule 4).
 struct SlowStartConfiguration {
-  double budget_multiple = 1;  // of what it can bear within the span; more overloads it
+  // The budget, as a multiple of the requests that the endpoint can process within the span. Exceeding it
+  // overloads the endpoint.
+  double budget_multiple = 1;
   Duration budget_span{};
-  double initial_capacity = 1;  // share of its capacity that it has as it starts
-  Duration warm_up_span{};      // its capacity is full after that
+  double initial_capacity = 1;  // fraction of the full capacity at the start
+  Duration warm_up_span{};      // time from the start to full capacity
 };
 
-// How many loads a router may order within a window (rule 5).
+// Limits the function loads that a router may order within a window (rule 5).
 struct LoadBudgetConfiguration {
-  Duration window{};  // 0: no limit
+  Duration window{};  // 0 for no limit
   double free_loads = 0;
-  double loads_per_request = 0;  // on top, for each request taken
-  // What this router ordered before its restart is reported after the start; until then it orders nothing.
+  double loads_per_request = 0;  // additional loads for each request received
+  // Whether the orders sent before a restart are reported to the router after its start. Until then it orders
+  // nothing.
   bool restored_after_restart = false;
 };
 
-// What may be done about a request after its first attempt.
+// Limits the retries, hedged requests and cancellations of a request.
 struct RetryConfiguration {
-  int attempt_limit = 1;         // of one request
+  int attempt_limit = 1;         // attempts per request
   bool cancel_attempts = false;  // whether attempts may be cancelled
-  bool hedging = false;          // whether a request may have several attempts at a time
-  bool retry_after = false;      // whether rejected clients are told when to come back
+  bool hedging = false;          // whether a request may have several concurrent attempts
+  bool retry_after = false;      // whether a rejection carries a Retry-After time
   Duration longest_retry_after{};
 };
 
-// Copies of functions at the endpoints.
+// How endpoints load and report copies of functions.
 struct CopyConfiguration {
-  bool prewarm = false;              // loading and evicting may be ordered
-  bool missing_is_answered = false;  // an endpoint without a copy answers so and does not load one
-  bool state_is_reported = false;    // answers say whether a copy was there
-  Duration keep_alive{};             // an idle copy is kept that long
+  bool prewarm = false;  // whether routers may order an endpoint to load or evict a copy
+  // Whether an endpoint without a copy rejects the request as function_missing. Otherwise it loads a copy.
+  bool missing_is_answered = false;
+  bool state_is_reported = false;  // whether answers report the state of the copy
+  Duration keep_alive{};           // time for which an endpoint keeps an idle copy
   Duration prewarm_timeout{};
 };
 
-// Messages about load and health besides those of requests.
+// Sources of information about load and health besides the answers to requests.
 struct ReportConfiguration {
-  bool probes = false;         // endpoints may be probed
-  bool gossip = false;         // routers may send each other messages
-  std::string load_reports{};  // how load reports come, by the wire's word
+  bool probes = false;         // whether endpoints may be probed
+  bool gossip = false;         // whether routers may send messages to each other
+  std::string load_reports{};  // which answers carry load reports, as named on the wire
 };
 
-// Costs, in points off the result.
+// Costs of routing decisions, in the unit of a request's priority weight.
 struct PriceConfiguration {
-  double cross_location = 0;  // of an attempt at an endpoint in another location
-  double load = 0;            // of loading a copy from its store
+  double cross_location = 0;  // cost of an attempt at an endpoint in another location
+  double load = 0;            // cost of loading a copy from the store
 };
 
-// All of it, for one router.
+// The routing configuration of one router.
 struct RoutingConfiguration {
-  int router_number = 0;  // from 0
+  int router_number = 0;  // counted from 0
   int routers = 1;
   std::string location{};
-  Duration tick{};             // messages to the router arrive no more often than this
-  int open_request_limit = 0;  // 0: no limit
+  Duration tick{};             // shortest interval between two deliveries of messages to the router
+  int open_request_limit = 0;  // 0 for no limit
   std::vector<RequestClass> request_classes;
   std::vector<Tenant> tenants;
-  double over_quota_value = 1;  // of a request beyond its tenant's quota, beside one within it
+  double over_quota_value = 1;  // value of a request beyond its tenant's quota relative to one within it
   SlowStartConfiguration slow_start;
   LoadBudgetConfiguration load_budget;
   RetryConfiguration retries;
   CopyConfiguration copies;
   ReportConfiguration reports;
   PriceConfiguration prices;
-  bool endpoints_on_request = false;  // service discovery answers polls and has to be asked for a watch
-  Duration drain_grace{};             // read by the simulation: how long a draining endpoint still answers
-  // Read by the pools of connections to the endpoints.
+  // Whether the policy itself starts the watch of the endpoint list, when it was sent an out-of-date list.
+  // Otherwise the router watches the list from its start.
+  bool endpoints_on_request = false;
+  Duration drain_grace{};  // time for which a draining endpoint still answers; used by the simulation
+  // Used by the connection pools of the endpoints.
   Duration connect_timeout{};
   Duration connection_idle_timeout{};
-  int requests_per_connection = 1;  // at a time
+  int requests_per_connection = 1;  // concurrent requests
 };
 
 }  // namespace rushhill
--- a/src/routing/endpoint_selector.h
+++ b/src/routing/endpoint_selector.h
@@ -1,7 +1,7 @@
-// Which endpoint gets a request's next attempt (docs/design.md, "Score").
+// Selects the endpoint for a request's next attempt (docs/design.md, "Score").
 //
-// First the endpoints without a known fault are scored; where none of them may get the request, all that the
-// rules permit.
+// The endpoints without a known fault are scored first. If none of them may get the request, all endpoints
+// that the rules permit are scored.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 namespace rushhill::routing {
 
-// The parts that a selection asks.
+// The parts that a selection depends on.
 struct SelectionParts {
   EndpointTable& endpoints;
   const Placement& placement;
@@ -28,45 +28,47 @@
   const LatencyEstimates& estimates;
   const Scorer& scorer;
   RandomSource& random;
-  Duration keep_alive;  // of an idle copy
+  Duration keep_alive;  // time for which an endpoint keeps an idle copy
 };
 
-// Selects endpoints. It keeps nothing of them but the number of the selection.
+// Selects endpoints. Its only state is the number of the newest selection.
 class EndpointSelector {
  public:
   explicit EndpointSelector(const SelectionParts& parts) : parts_(parts) {}
 
-  // nullptr: no endpoint may get the request now.
+  // Returns nullptr if no endpoint may get the request now.
   EndpointRecord* select(Timestamp now, const TrackedRequest& tracked, FunctionRecord& function);
 
  private:
-  // A request that is being placed.
+  // The input of one selection.
   struct Selection {
     Timestamp now;
     const TrackedRequest& tracked;
     const FunctionRecord& function;
     ExpectedTimes expected{};
-    bool copy_stands = false;  // at an endpoint that can serve it: a load elsewhere would be a further copy
+    // Whether an endpoint that can serve the request is expected to hold a copy, so that another endpoint
+    // would load an additional one.
+    bool copy_available = false;
   };
   class BestEndpoint;
 
   EndpointRecord* best_preferred(const Selection& selection);
   EndpointRecord* best_permitted(const Selection& selection);
 
-  bool any_copy_stands(const Selection& selection) const;
+  bool any_copy_available(const Selection& selection) const;
   bool permitted(const Selection& selection, const EndpointRecord& endpoint) const;
-  bool without_fault(const Selection& selection, const EndpointRecord& endpoint, const Attempt* earlier);
-  bool takes_ramp_turn(const TrackedRequest& tracked, const EndpointRecord& endpoint);
+  bool has_no_known_fault(const Selection& selection, const EndpointRecord& endpoint, const Attempt* earlier);
+  bool admitted_by_recovery_ramp(const TrackedRequest& tracked, const EndpointRecord& endpoint);
   static bool would_load_needlessly(const Selection& selection, const ScoredEndpoint& candidate);
-  ScoredEndpoint with_copy(const Selection& selection, const EndpointRecord& endpoint, int rank) const {
-    const BelievedCopy* const copy = endpoint.copy.of_selection(selections_);
+  ScoredEndpoint make_candidate(const Selection& selection, const EndpointRecord& endpoint, int rank) const {
+    const BelievedCopy* const copy = endpoint.copy.for_selection(selection_number_);
     const bool believed = copy != nullptr && copy->believed(selection.now, parts_.keep_alive);
     return {.endpoint = endpoint, .rank = rank, .copy = copy, .copy_believed = believed};
   }
   double score(const Selection& selection, const ScoredEndpoint& candidate);
 
   SelectionParts parts_;
-  std::uint64_t selections_ = 0;
+  std::uint64_t selection_number_ = 0;
 };
 
 }  // namespace rushhill::routing
--- a/src/routing/function_table.cpp
+++ b/src/routing/function_table.cpp
@@ -5,7 +5,7 @@
 namespace rushhill::routing {
 namespace {
 
-constexpr Duration unrequested_kept = 120 * one_second;  // longer than any copy is kept idle
+constexpr Duration unrequested_retention = 120 * one_second;  // longer than endpoints keep idle copies
 
 }  // namespace
 
@@ -15,9 +15,9 @@
 
 void FunctionTable::sweep(Timestamp now, Duration keep_alive) {
   const std::int64_t second = now.time_since_epoch() / one_second;
-  if (std::exchange(swept_second_, second) == second) return;
+  if (std::exchange(last_sweep_second_, second) == second) return;
   std::erase_if(functions_,
-                [&](const auto& item) { return now - item.second.requested_at > unrequested_kept; });
+                [&](const auto& item) { return now - item.second.requested_at > unrequested_retention; });
   for (auto& [id, function] : functions_) function.copies.sweep(now, keep_alive);
 }
 
--- a/src/routing/function_table.h
+++ b/src/routing/function_table.h
@@ -1,4 +1,4 @@
-// The functions that were requested of late, and what each part of the policy keeps of them.
+// The recently requested functions, with the state that each part of the policy keeps for them.
 #pragma once
 
 #include <map>
@@ -10,29 +10,30 @@
 
 namespace rushhill::routing {
 
-// One function. Each member is changed by its own part alone.
+// One function. Each member is changed by a single part of the policy.
 struct FunctionRecord {
-  double lanes = 1;  // requests at a time in one copy
+  double lanes = 1;  // requests that one copy runs concurrently
   FunctionTimes times;
-  Timestamp requested_at{};  // the last time
+  Timestamp requested_at{};  // time of the last request
   FunctionPlacement placement;
   WarmIndex copies;
 };
 
-// The records by function.
+// The function records by id.
 class FunctionTable {
  public:
-  // Adds the function where it is not known.
+  // Returns the function's record and adds it if there is none.
   FunctionRecord& at(const FunctionId& id) { return functions_[id]; }
 
-  // The endpoint holds no copy of any function any more.
+  // Marks the endpoint's copies of all functions as lost.
   void forget_copies(const EndpointId& endpoint);
-  // Once a second: erases lapsed copies, and functions that were long not requested.
+  // Erases expired copies and functions that were not requested for a long time. Does so at most once a
+  // second.
   void sweep(Timestamp now, Duration keep_alive);
 
  private:
   std::map<FunctionId, FunctionRecord> functions_;
-  std::int64_t swept_second_ = 0;  // of the clock
+  std::int64_t last_sweep_second_ = 0;  // clock reading of the last sweep, in whole seconds
 };
 
 }  // namespace rushhill::routing
--- a/src/routing/periodic_maintenance.cpp
+++ b/src/routing/periodic_maintenance.cpp
@@ -6,7 +6,7 @@
 
 namespace rushhill::routing {
 
-// What the endpoints that may receive requests showed of late.
+// Recent figures of the endpoints that may receive requests.
 struct PeriodicMaintenance::FleetSample {
   int serving = 0;
   int ejected = 0;
@@ -62,7 +62,7 @@
   parts_.observation.update(now, serving);
 }
 
-// The tables are bounded: what has lapsed counts for nothing and goes.
+// Bounds the tables by erasing expired records.
 void PeriodicMaintenance::sweep_tables(Timestamp now) {
   parts_.functions.sweep(now, parts_.configuration.copies.keep_alive);
   parts_.endpoints.erase_removed(now);
--- a/src/routing/periodic_maintenance.h
+++ b/src/routing/periodic_maintenance.h
@@ -1,4 +1,4 @@
-// Periodic maintenance: what the policy does by its clock rather than for a message.
+// Periodic maintenance: the work of the policy that is driven by a timer instead of an event.
 #pragma once
 
 #include "routing/endpoint_monitor.h"
@@ -7,10 +7,11 @@
 
 namespace rushhill::routing {
 
-// Runs every tenth of a second. It keeps nothing but the moment of its last run.
+// Runs every tenth of a second. Its only state is the time of its last run.
 class PeriodicMaintenance {
  public:
-  static constexpr Duration period = one_second / 10;  // short beside any objective, long beside a tick
+  // Short compared with a latency objective, and long compared with a tick.
+  static constexpr Duration period = one_second / 10;
 
   PeriodicMaintenance(RoutingParts& parts, EndpointMonitor& monitor, RequestDispatcher& dispatcher)
       : parts_(parts), monitor_(monitor), dispatcher_(dispatcher) {}
--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -8,9 +8,13 @@
 namespace rushhill::routing {
 namespace {
 
-constexpr double few_requests = 20;    // a router that has seen fewer knows no function's part
-constexpr double first_request = 0.5;  // requests; the first of a router that has seen nothing: 1/40
-constexpr double replica_share = 0.3;  // of an endpoint's even load; what one replica of a hot function bears
+// Added to the requests seen: a router that has seen fewer cannot know a function's share of the requests.
+constexpr double prior_requests = 20;
+// Counted for a function's first request. At a router that has seen no other request, it stands for about
+// 1/40 of all requests.
+constexpr double min_other_requests = 0.5;
+// Load of one replica of a hot function, as a fraction of the load that an endpoint has on average.
+constexpr double load_share_per_replica = 0.3;
 
 }  // namespace
 
@@ -18,7 +22,7 @@
   if (std::exchange(function.ranked_version_, endpoints_.version()) != endpoints_.version()) {
     collect_candidates(id, function);
   }
-  // Weights move slowly: mostly the order still holds.
+  // Weights change slowly, so the order is usually still right.
   const auto weighted_distance = [](const FunctionPlacement::Candidate& candidate) {
     return candidate.distance / candidate.endpoint->placed_weight();
   };
@@ -37,12 +41,14 @@
   }
 }
 
-// One request alone says little, but more the fewer came before it: what is seen first is likely hot.
+// A function's first request is weak evidence of load, but stronger the fewer requests the router has seen:
+// the functions seen first are likely hot.
 int Placement::count_replicas(Timestamp now, const FunctionPlacement& function) const {
-  const double others = std::max(function.requests_.total(now) - 1, first_request);
-  const double part = others / (observation_.requests(now) + few_requests) / replica_share;
-  const int least = others < 1 ? 0 : 1;
-  return least + static_cast<int>(part * static_cast<double>(function.candidates_.size()));
+  const double others = std::max(function.requests_.total(now) - 1, min_other_requests);
+  const double endpoint_share =
+      others / (observation_.requests(now) + prior_requests) / load_share_per_replica;
+  const int min_replicas = others < 1 ? 0 : 1;
+  return min_replicas + static_cast<int>(endpoint_share * static_cast<double>(function.candidates_.size()));
 }
 
 }  // namespace rushhill::routing
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -1,8 +1,9 @@
-// Where copies of a function are to be loaded (docs/design.md, "Homes").
+// Decides where copies of a function are loaded (docs/design.md, "Homes").
 //
-// Every function has an order of endpoints by rendezvous hashing, the same at every router without a message
-// between them. A hot function has several replicas by its part of the requests, alike at every router; what
-// all routers send keeps its copies there loaded though this one's index lapses.
+// Rendezvous hashing orders the endpoints for each function. Every router computes the same order without
+// exchanging messages. A hot function has several replicas, in proportion to its share of the requests, which
+// is alike at every router. The requests of all routers together keep those copies loaded even when the
+// entries in this router's own index have expired.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +16,20 @@
 
 namespace rushhill::routing {
 
-// One function's places.
+// The placement of one function.
 class FunctionPlacement {
  public:
-  // An endpoint that may receive requests, and how far it is from the function by hash.
+  // An endpoint that may receive requests, with its distance from the function by hash.
   struct Candidate {
     double distance = 0;
     EndpointRecord* endpoint = nullptr;
   };
 
-  void request_taken(Timestamp now) { requests_.bucket_at(now) += 1; }
+  void count_request(Timestamp now) { requests_.bucket_at(now) += 1; }
 
-  // In the order of placement, as last ranked.
+  // Returns the candidates in placement order, as of the last call of Placement::rank().
   const std::vector<Candidate>& candidates() const { return candidates_; }
-  // As many of the first candidates as all routers' requests keep copies at.
+  // Returns the number of first candidates at which the requests of all routers keep a copy loaded.
   int replicas() const { return replicas_; }
 
  private:
@@ -37,16 +38,16 @@
   RequestWindow requests_{history_bucket_width};
   std::vector<Candidate> candidates_;
   int replicas_ = 0;
-  std::uint64_t ranked_version_ = 0;  // version of the endpoint list
+  std::uint64_t ranked_version_ = 0;  // version of the endpoint list at the last ranking
 };
 
-// Ranks functions' places.
+// Ranks the endpoints for each function.
 class Placement {
  public:
   Placement(EndpointTable& endpoints, const ObservationWindow& observation)
       : endpoints_(endpoints), observation_(observation) {}
 
-  // Brings the function's candidates and replicas up to date.
+  // Updates the function's candidates and replica count.
   void rank(Timestamp now, const FunctionId& id, FunctionPlacement& function) const;
 
  private:
--- a/src/routing/placement_weight.h
+++ b/src/routing/placement_weight.h
@@ -1,4 +1,4 @@
-// How far placement departs from an endpoint's rated capacity.
+// Correction of an endpoint's rated capacity for placement.
 #pragma once
 
 #include <algorithm>
@@ -6,20 +6,22 @@
 
 namespace rushhill::routing {
 
-// Hashes load endpoints unevenly: what bears more than usual becomes home to fewer functions.
+// Rendezvous hashing loads the endpoints unevenly. An endpoint with more load than usual gets a lower weight,
+// so that placement prefers it for fewer functions.
 class PlacementWeight {
  public:
-  // The endpoint bears that share more than usual (-1 to 1); `step`: how far one observation counts.
+  // Records that the endpoint's load exceeds the usual load by the fraction `excess`, which is limited to -1
+  // to 1. `step` is the weight of the observation.
   void observe(double excess, double step) {
     factor_ *= std::exp(-step * std::clamp(excess, -1.0, 1.0));
-    factor_ = std::clamp(factor_, 1 / most_factor, most_factor);
+    factor_ = std::clamp(factor_, 1 / max_factor, max_factor);
   }
-  // Times its rated capacity.
+  // Returns the factor by which placement multiplies the rated capacity.
   double factor() const { return factor_; }
 
  private:
-  // An endpoint stays home to some functions, however busy it is.
-  static constexpr double most_factor = 4.5;
+  // Bounded so that placement prefers even the busiest endpoint for some functions.
+  static constexpr double max_factor = 4.5;
 
   double factor_ = 1;
 };
--- a/src/routing/rendezvous_hash.cpp
+++ b/src/routing/rendezvous_hash.cpp
@@ -5,13 +5,14 @@
 namespace rushhill::routing {
 namespace {
 
-// FNV-1a, 64 bits, with the finalizer of MurmurHash3: FNV alone leaves the high bits of short texts alike.
+// 64-bit FNV-1a with part of the MurmurHash3 finalizer, because FNV alone gives short strings similar high
+// bits.
 constexpr std::uint64_t fnv_offset_basis = 14695981039346656037ULL;
 constexpr std::uint64_t fnv_prime = 1099511628211ULL;
 constexpr std::uint64_t murmur_multiplier = 0xff51afd7ed558ccdULL;
 constexpr unsigned murmur_shift = 33;
-constexpr unsigned unused_bits = 11;  // of 64; a double holds 53 exactly
-constexpr double one_of_2_to_53 = 0x1p-53;
+constexpr unsigned unused_bits = 11;  // of 64 bits, a double holds 53 exactly
+constexpr double two_to_minus_53 = 0x1p-53;
 
 std::uint64_t append(std::uint64_t hash, std::string_view text) {
   for (const char byte : text) {
@@ -28,7 +29,7 @@
   hash ^= hash >> murmur_shift;
   hash *= murmur_multiplier;
   hash ^= hash >> murmur_shift;
-  return (static_cast<double>(hash >> unused_bits) + 1) * one_of_2_to_53;
+  return (static_cast<double>(hash >> unused_bits) + 1) * two_to_minus_53;
 }
 
 }  // namespace rushhill::routing
--- a/src/routing/request_dispatcher.cpp
+++ b/src/routing/request_dispatcher.cpp
@@ -6,11 +6,14 @@
 namespace rushhill::routing {
 namespace {
 
-constexpr double over_quota_part = 0.5;  // of the time left; requests beyond a quota give way first
-constexpr double tolerated_answers = 2;  // response times; no wait within that is too long
-constexpr double least_time_left = 2;    // response times; a request with less is not worth a wait
-
-EstimateKey key_of(const TrackedRequest& tracked, const FunctionRecord& function) {
+// Requests beyond their tenant's quota are shed first: they may use only this fraction of the time left.
+constexpr double over_quota_wait_share = 0.5;
+// In response times. No request is shed for an expected response time within that.
+constexpr double tolerated_wait_factor = 2;
+// In response times. A request with less time left does not wait for an endpoint.
+constexpr double min_time_left_factor = 2;
+
+EstimateKey estimate_key_of(const TrackedRequest& tracked, const FunctionRecord& function) {
   return {.request_class = *tracked.class_estimate, .function = function.times};
 }
 
@@ -19,43 +22,45 @@
 void RequestDispatcher::dispatch(Timestamp now, TrackedRequest& tracked) {
   tracked.waiting = false;
   FunctionRecord& function = parts_.functions.at(tracked.request.function);
-  const EstimateKey key = key_of(tracked, function);
+  const EstimateKey key = estimate_key_of(tracked, function);
   EndpointRecord* const endpoint = parts_.selector.select(now, tracked, function);
   if (endpoint == nullptr) {
-    wait_or_give_up(now, key, tracked);
+    wait_or_shed(now, key, tracked);
     return;
   }
-  // What can't be answered in its time, or before its client leaves, is shed at once: such work is wasted.
+  // An answer after the objective or the client's deadline would be wasted work, so the request is shed at
+  // once.
   const bool too_late = would_be_late(now, key, tracked, *endpoint);
-  if (too_late && RetryPolicy::may_reject(tracked) && !tracked.any_open()) {
-    reject_for_load(tracked);
+  if (too_late && RetryPolicy::may_reject(tracked) && !tracked.has_open_attempt()) {
+    shed_request(tracked);
     return;
   }
   send_attempt(now, tracked, function, *endpoint);
 }
 
-// No endpoint may take the request now: it waits here while it can still be answered in time.
-void RequestDispatcher::wait_or_give_up(Timestamp now, const EstimateKey& key, TrackedRequest& tracked) {
-  const FractionalDuration time_left = std::min(tracked.objective, tracked.limit) - now;
+// No endpoint may get the request now. It waits while it can still be answered in time.
+void RequestDispatcher::wait_or_shed(Timestamp now, const EstimateKey& key, TrackedRequest& tracked) {
+  const FractionalDuration time_left = std::min(tracked.objective, tracked.answer_deadline) - now;
   const bool worth_waiting = !tracked.over_quota && RetryPolicy::may_reject(tracked) &&
-                             parts_.retries.attempts_left(tracked) &&
-                             least_time_left * parts_.estimates.response_time(key) < time_left;
+                             parts_.retries.has_attempts_left(tracked) &&
+                             min_time_left_factor * parts_.estimates.response_time(key) < time_left;
   if (worth_waiting) {
-    parts_.requests.wait(tracked);
+    parts_.requests.add_waiting(tracked);
   } else {
-    reject_for_load(tracked);
+    shed_request(tracked);
   }
 }
 
 bool RequestDispatcher::would_be_late(Timestamp now, const EstimateKey& key, const TrackedRequest& tracked,
                                       const EndpointRecord& endpoint) const {
   const FractionalDuration objective_left = tracked.objective - now;
-  const FractionalDuration limit_left = tracked.limit - now;
+  const FractionalDuration deadline_left = tracked.answer_deadline - now;
   const FractionalDuration response_time = parts_.estimates.response_time(key);
-  const FractionalDuration wait = parts_.scorer.expected_wait(now, response_time, endpoint);
-  const FractionalDuration tolerated = tracked.over_quota ? objective_left * over_quota_part : objective_left;
-  if (wait > std::max(tolerated, tolerated_answers * response_time)) return true;
-  if (wait > limit_left) return true;
+  const FractionalDuration expected = parts_.scorer.expected_response_time(now, response_time, endpoint);
+  const FractionalDuration tolerated =
+      tracked.over_quota ? objective_left * over_quota_wait_share : objective_left;
+  if (expected > std::max(tolerated, tolerated_wait_factor * response_time)) return true;
+  if (expected > deadline_left) return true;
   const double value = tracked.over_quota ? parts_.configuration.over_quota_value : 1;
   return parts_.overload.misses_objective(
       {.no_load_time = parts_.estimates.no_load_response_time(key), .time_left = objective_left * value});
@@ -73,22 +78,23 @@
   parts_.host.send_attempt(tracked.request.id, id, Duration::zero());
 }
 
-bool RequestDispatcher::await_prewarm(Timestamp now, const EndpointId& endpoint, TrackedRequest& tracked) {
+bool RequestDispatcher::wait_for_prewarm(Timestamp now, const EndpointId& endpoint, TrackedRequest& tracked) {
   BelievedCopy& copy = parts_.functions.at(tracked.request.function).copies.at(endpoint);
   EndpointRecord& record = parts_.endpoints.at(endpoint);
-  if (!copy.prewarming() && !may_order(now, record)) return false;
+  if (!copy.prewarming() && !may_prewarm(now, record)) return false;
   if (copy.prewarm_ordered()) {
     parts_.load_budget.order_sent(now);
     record.tokens.take(1);
     parts_.host.prewarm(endpoint, tracked.request.function, 1);
   }
-  // An attempt sent now could overtake the order: the request follows in maintenance, or when the order ends.
-  parts_.requests.wait(tracked);
+  // An attempt sent now could overtake the order, so the request is dispatched in the next maintenance or
+  // when the order ends.
+  parts_.requests.add_waiting(tracked);
   return true;
 }
 
-// Rule 5. Whether one more function may be prewarmed at this endpoint.
-bool RequestDispatcher::may_order(Timestamp now, const EndpointRecord& endpoint) const {
+// Rule 5. Returns whether one more function may be prewarmed at this endpoint.
+bool RequestDispatcher::may_prewarm(Timestamp now, const EndpointRecord& endpoint) const {
   return endpoint.may_receive() && parts_.warm_up.admits_order(now, endpoint) &&
          parts_.load_budget.allows_order(now);
 }
@@ -97,37 +103,38 @@
   if (tracked.done || tracked.streaming() || tracked.attempts.empty() || !tracked.attempts.back().open)
     return;
   FunctionRecord& function = parts_.functions.at(tracked.request.function);
-  const EstimateKey key = key_of(tracked, function);
+  const EstimateKey key = estimate_key_of(tracked, function);
   for (Attempt& attempt : tracked.attempts) {
-    // A judged one is overdue: at a silent endpoint, it keeps nobody waiting.
+    // An open attempt that was already judged is overdue. It does not count as load: at a silent endpoint it
+    // delays no other request.
     if (attempt.open && !attempt.judged) check_attempt(now, key, attempt);
   }
   const Attempt& newest = tracked.attempts.back();
   const EndpointRecord& endpoint = parts_.endpoints.at(newest.endpoint);
   const Timestamp awaiting_since = endpoint.liveness.awaiting_since();
-  const bool quiet = awaiting_since != Timestamp{} && awaiting_since <= newest.sent;
-  if (!quiet && !endpoint.outlier.ejected()) return;
-  if (parts_.retries.overdue(now, key, newest, endpoint)) move_overdue(now, tracked, function);
+  const bool silent = awaiting_since != Timestamp{} && awaiting_since <= newest.sent;
+  if (!silent && !endpoint.outlier.ejected()) return;
+  if (parts_.retries.is_overdue(now, key, newest, endpoint)) hedge_or_cancel(now, tracked, function);
 }
 
 void RequestDispatcher::check_attempt(Timestamp now, const EstimateKey& key, Attempt& attempt) {
   EndpointRecord& endpoint = parts_.endpoints.at(attempt.endpoint);
-  if (parts_.retries.outlasts(now, key, attempt)) endpoint.in_flight.add_outlasting();
-  if (parts_.retries.overdue(now, key, attempt, endpoint))
+  if (parts_.retries.is_long_running(now, key, attempt)) endpoint.in_flight.add_outlasting();
+  if (parts_.retries.is_overdue(now, key, attempt, endpoint))
     monitor_.judge_attempt(now, true, attempt, endpoint);
 }
 
-void RequestDispatcher::move_overdue(Timestamp now, TrackedRequest& tracked, FunctionRecord& function) {
+void RequestDispatcher::hedge_or_cancel(Timestamp now, TrackedRequest& tracked, FunctionRecord& function) {
   const OverdueAction action = parts_.retries.overdue_action(tracked);
   if (action == OverdueAction::none) return;
   if (action == OverdueAction::hedge) {
     EndpointRecord* const endpoint = parts_.selector.select(now, tracked, function);
-    if (endpoint == nullptr || tracked.newest_at(endpoint->endpoint.id) != nullptr) return;
+    if (endpoint == nullptr || tracked.newest_attempt_at(endpoint->endpoint.id) != nullptr) return;
     send_attempt(now, tracked, function, *endpoint);
   } else {
     parts_.host.cancel_attempt(tracked.request.id, static_cast<int>(tracked.attempts.size()) - 1);
   }
-  parts_.retries.overdue_moved();
+  parts_.retries.spend_overdue_budget();
 }
 
 void RequestDispatcher::cancel_open_attempts(const TrackedRequest& tracked) {
@@ -138,7 +145,7 @@
   }
 }
 
-void RequestDispatcher::give_up(TrackedRequest& tracked, Duration retry_after) {
+void RequestDispatcher::reject_or_fail(TrackedRequest& tracked, Duration retry_after) {
   const RetryConfiguration& retries = parts_.configuration.retries;
   if (RetryPolicy::may_reject(tracked)) {
     const Duration advice = std::min(retry_after, retries.longest_retry_after);
--- a/src/routing/request_dispatcher.h
+++ b/src/routing/request_dispatcher.h
@@ -1,4 +1,4 @@
-// What becomes of a request: an attempt, a wait, or a final answer without a reply.
+// Decides whether a request gets an attempt, waits for an endpoint, or is rejected or failed.
 #pragma once
 
 #include "routing/endpoint_monitor.h"
@@ -6,37 +6,39 @@
 
 namespace rushhill::routing {
 
-// Carries out the decisions about requests at the host.
+// Carries out the decisions about requests through the host.
 class RequestDispatcher {
  public:
   RequestDispatcher(RoutingParts& parts, EndpointMonitor& monitor) : parts_(parts), monitor_(monitor) {}
 
-  // Sends an attempt, or has the request wait or gives it up where none may be sent.
+  // Sends an attempt. If no endpoint may get one, makes the request wait, or rejects or fails it.
   void dispatch(Timestamp now, TrackedRequest& tracked);
   void dispatch_waiting(Timestamp now);
-  // Orders the missing copy at the endpoint and has the request wait for it; false where no order may be
-  // sent.
-  bool await_prewarm(Timestamp now, const EndpointId& endpoint, TrackedRequest& tracked);
-  // Judges overdue attempts; where the endpoint looks bad the request is moved or hedged.
+  // Orders the endpoint to load the missing copy and makes the request wait for it. Returns false if no order
+  // may be sent.
+  bool wait_for_prewarm(Timestamp now, const EndpointId& endpoint, TrackedRequest& tracked);
+  // Counts overdue attempts as bad. If the endpoint of the newest attempt is silent or ejected, hedges the
+  // request or cancels that attempt.
   void check_overdue(Timestamp now, TrackedRequest& tracked);
 
   void cancel_open_attempts(const TrackedRequest& tracked);
-  // Ends the request: rejected where that is safe, otherwise failed. `retry_after`: when its client may
-  // return.
-  void give_up(TrackedRequest& tracked, Duration retry_after);
-  void reject_for_load(TrackedRequest& tracked) {
-    give_up(tracked, parts_.configuration.retries.longest_retry_after);
+  // Ends the request with a rejection where that is safe, otherwise with a failure. `retry_after` is the time
+  // after which the client may retry.
+  void reject_or_fail(TrackedRequest& tracked, Duration retry_after);
+  // Ends a request that cannot be served in time, with the longest Retry-After time.
+  void shed_request(TrackedRequest& tracked) {
+    reject_or_fail(tracked, parts_.configuration.retries.longest_retry_after);
   }
 
  private:
-  void wait_or_give_up(Timestamp now, const EstimateKey& key, TrackedRequest& tracked);
+  void wait_or_shed(Timestamp now, const EstimateKey& key, TrackedRequest& tracked);
   bool would_be_late(Timestamp now, const EstimateKey& key, const TrackedRequest& tracked,
                      const EndpointRecord& endpoint) const;
   void send_attempt(Timestamp now, TrackedRequest& tracked, FunctionRecord& function,
                     EndpointRecord& endpoint);
   void check_attempt(Timestamp now, const EstimateKey& key, Attempt& attempt);
-  void move_overdue(Timestamp now, TrackedRequest& tracked, FunctionRecord& function);
-  bool may_order(Timestamp now, const EndpointRecord& endpoint) const;
+  void hedge_or_cancel(Timestamp now, TrackedRequest& tracked, FunctionRecord& function);
+  bool may_prewarm(Timestamp now, const EndpointRecord& endpoint) const;
 
   RoutingParts& parts_;
   EndpointMonitor& monitor_;
--- a/src/routing/request_tracker.cpp
+++ b/src/routing/request_tracker.cpp
@@ -11,13 +11,13 @@
   function_missing = outcome == AttemptOutcome::function_missing;
 }
 
-const Attempt* TrackedRequest::search_newest_at(const EndpointId& endpoint) const {
+const Attempt* TrackedRequest::search_newest_attempt_at(const EndpointId& endpoint) const {
   const auto newest_first = std::views::reverse(attempts);
   const auto it = std::ranges::find(newest_first, endpoint, &Attempt::endpoint);
   return it == newest_first.end() ? nullptr : &*it;
 }
 
-Attempt* TrackedRequest::find_open(int attempt_number) {
+Attempt* TrackedRequest::find_open_attempt(int attempt_number) {
   const auto index = static_cast<std::size_t>(attempt_number);
   if (index >= attempts.size() || !attempts[index].open) return nullptr;
   return &attempts[index];
@@ -34,7 +34,7 @@
   return it == requests_.end() ? nullptr : &it->second;
 }
 
-void RequestTracker::wait(TrackedRequest& tracked) {
+void RequestTracker::add_waiting(TrackedRequest& tracked) {
   tracked.waiting = true;
   waiting_.insert(tracked.request.id);
 }
@@ -45,7 +45,8 @@
 }
 
 void RequestTracker::erase_finished() {
-  std::erase_if(requests_, [](const auto& item) { return item.second.done && !item.second.any_open(); });
+  std::erase_if(requests_,
+                [](const auto& item) { return item.second.done && !item.second.has_open_attempt(); });
 }
 
 }  // namespace rushhill::routing
--- a/src/routing/request_tracker.h
+++ b/src/routing/request_tracker.h
@@ -1,4 +1,4 @@
-// The requests under way: their attempts, and which of them wait for an endpoint.
+// The open requests with their attempts, and which of them wait for an endpoint.
 #pragma once
 
 #include <algorithm>
@@ -19,9 +19,9 @@
   Timestamp sent{};
   bool open = true;
   bool may_have_run = true;
-  bool judged = false;            // counted as good or bad at its endpoint
-  bool function_missing = false;  // was answered so
-  bool copy_confirmed = false;    // a copy was believed confirmed as it was sent
+  bool judged = false;            // already counted as good or bad at its endpoint
+  bool function_missing = false;  // the endpoint answered that it has no copy of the function
+  bool copy_confirmed = false;    // the endpoint's copy was confirmed when the attempt was sent
 
   void end(AttemptOutcome outcome);
 };
@@ -32,42 +32,43 @@
 
   RoutingRequest request{};
   ClassEstimate* class_estimate = nullptr;
-  Timestamp objective{};  // an answer is wanted before that
-  Timestamp limit{};      // the last moment for a final answer
+  Timestamp objective{};        // latest time for an answer that meets the latency objective
+  Timestamp answer_deadline{};  // latest time for a final answer
   bool over_quota = false;
-  bool done = false;                   // it has its final answer
-  bool waiting = false;                // no endpoint may take it now
-  int streaming_attempt = no_attempt;  // its answer has begun: no other can answer any more
+  bool done = false;                   // the request has its final answer
+  bool waiting = false;                // no endpoint may get the request now
+  int streaming_attempt = no_attempt;  // the attempt whose answer has begun; no other can answer any more
   std::vector<Attempt> attempts;
 
   const RequestClass& request_class() const { return class_estimate->request_class; }
   bool streaming() const { return streaming_attempt != no_attempt; }
-  bool any_open() const { return std::ranges::any_of(attempts, &Attempt::open); }
-  // The last attempt at the endpoint; nullptr: none.
-  const Attempt* newest_at(const EndpointId& endpoint) const {
-    return attempts.empty() ? nullptr : search_newest_at(endpoint);
+  bool has_open_attempt() const { return std::ranges::any_of(attempts, &Attempt::open); }
+  // Returns the newest attempt at the endpoint, or nullptr if there is none.
+  const Attempt* newest_attempt_at(const EndpointId& endpoint) const {
+    return attempts.empty() ? nullptr : search_newest_attempt_at(endpoint);
   }
-  Attempt* find_open(int attempt_number);
+  Attempt* find_open_attempt(int attempt_number);
 
  private:
-  const Attempt* search_newest_at(const EndpointId& endpoint) const;
+  const Attempt* search_newest_attempt_at(const EndpointId& endpoint) const;
 };
 
-// The requests by id.
+// The tracked requests by id.
 class RequestTracker {
  public:
   using Requests = std::map<RequestId, TrackedRequest>;
 
   TrackedRequest& add(const RoutingRequest& request);
-  // nullptr where the request is not known, or no longer.
+  // Returns nullptr if the request is unknown or already erased.
   TrackedRequest* find(RequestId id);
   Requests& requests() { return requests_; }
 
-  void wait(TrackedRequest& tracked);
-  // The request has its final answer.
+  void add_waiting(TrackedRequest& tracked);
+  // Marks the request as finally answered.
   void finish(TrackedRequest& tracked);
-  // The requests that waited; those that still do have to be put back by wait().
+  // Returns the waiting requests and clears the list. The caller adds those that still have to wait again.
   std::set<RequestId> take_waiting() { return std::exchange(waiting_, {}); }
+  // Erases the finished requests that have no open attempts.
   void erase_finished();
 
  private:
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -5,21 +5,23 @@
 namespace rushhill::routing {
 namespace {
 
-constexpr double patience_factor = 6;          // response times; an exponential one is longer 1 time in 400
-constexpr double ejected_patience_factor = 3;  // response times, at an ejected endpoint
-constexpr double budget_per_success = 0.1;     // a silent endpoint costs as many
+// In response times. If they are exponentially distributed, 1 in 400 is longer.
+constexpr double overdue_factor = 6;
+constexpr double ejected_overdue_factor = 3;  // in response times, at an ejected endpoint
+// Overdue attempts that one success allows to hedge or cancel: about as many as one silent endpoint causes.
+constexpr double budget_per_success = 0.1;
 
 }  // namespace
 
-bool RetryPolicy::earlier_allow(Timestamp now, const TrackedRequest& tracked,
-                                const EndpointRecord& endpoint) const {
+bool RetryPolicy::earlier_attempts_allow(Timestamp now, const TrackedRequest& tracked,
+                                         const EndpointRecord& endpoint) const {
   const RequestClass& request_class = tracked.request_class();
   return std::ranges::none_of(tracked.attempts, [&](const Attempt& attempt) {
-    return hinders_another(now, request_class, attempt, endpoint);
+    return forbids_another(now, request_class, attempt, endpoint);
   });
 }
 
-bool RetryPolicy::hinders_another(Timestamp now, const RequestClass& request_class, const Attempt& attempt,
+bool RetryPolicy::forbids_another(Timestamp now, const RequestClass& request_class, const Attempt& attempt,
                                   const EndpointRecord& endpoint) const {
   if (attempt.open && !retries_.hedging) return true;
   if (!attempt.open && !attempt.may_have_run) return false;
@@ -55,11 +57,11 @@
   return std::ranges::none_of(tracked.attempts, &Attempt::may_have_run);
 }
 
-Duration RetryPolicy::patience(const EstimateKey& key, const Attempt& attempt,
-                               const EndpointRecord& endpoint) const {
+Duration RetryPolicy::overdue_delay(const EstimateKey& key, const Attempt& attempt,
+                                    const EndpointRecord& endpoint) const {
   const bool ejected = endpoint.outlier.ejected();
   const FractionalDuration response_time = estimates_.response_time(key) * estimates_.fleet_pace() *
-                                           (ejected ? ejected_patience_factor : patience_factor);
+                                           (ejected ? ejected_overdue_factor : overdue_factor);
   const int loads = (ejected ? 0 : 1) + (attempt.copy_confirmed ? 0 : 1);
   const FractionalDuration expected = response_time + loads * estimates_.load_time(key);
   return std::chrono::duration_cast<Duration>(expected) + 2 * tick_;
@@ -68,7 +70,7 @@
 OverdueAction RetryPolicy::overdue_action(const TrackedRequest& tracked) const {
   const RequestClass& request_class = tracked.request_class();
   if (request_class.retry_safety == RetrySafety::at_most_once) return OverdueAction::none;
-  if (!attempts_left(tracked) || overdue_budget_ < 1) return OverdueAction::none;
+  if (!has_attempts_left(tracked) || overdue_budget_ < 1) return OverdueAction::none;
   if (retries_.hedging) return OverdueAction::hedge;
   const bool key_is_local = request_class.retry_safety == RetrySafety::keyed &&
                             request_class.deduplication_scope != DeduplicationScope::everywhere;
@@ -77,7 +79,7 @@
 }
 
 void RetryPolicy::attempt_succeeded() {
-  overdue_budget_ = std::min(overdue_budget_ + budget_per_success, most_overdue_budget);
+  overdue_budget_ = std::min(overdue_budget_ + budget_per_success, max_overdue_budget);
 }
 
 }  // namespace rushhill::routing
--- a/src/routing/routing_parts.cpp
+++ b/src/routing/routing_parts.cpp
@@ -17,7 +17,7 @@
           .window = configuration.load_budget.window,
           .free_orders = configuration.load_budget.free_loads,
           .orders_per_request = configuration.load_budget.loads_per_request,
-          .earlier_orders_follow = configuration.load_budget.restored_after_restart};
+          .earlier_orders_expected = configuration.load_budget.restored_after_restart};
 }
 
 }  // namespace
--- a/src/routing/routing_parts.h
+++ b/src/routing/routing_parts.h
@@ -1,4 +1,5 @@
-// The parts of one router's policy, in the order of their dependencies: each knows only those above it.
+// The parts of one router's policy, in the order of their dependencies: each part depends only on those above
+// it.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +25,7 @@
 
 namespace rushhill::routing {
 
-// Owns the parts. They refer to each other, so that it is neither copied nor moved.
+// Owns the parts. They hold references to each other, so this struct can be neither copied nor moved.
 struct RoutingParts {
   RoutingParts(const RoutingConfiguration& settings, std::uint64_t seed, RoutingHost& router);
   RoutingParts(const RoutingParts&) = delete;
--- a/src/routing/routing_policy.cpp
+++ b/src/routing/routing_policy.cpp
@@ -1,4 +1,4 @@
-// The policy of one router: what happens, in its order, handed to the parts that decide.
+// The routing policy of one router: passes each event to the parts that make the decisions.
 #include "routing/routing_policy.h"
 
 #include <algorithm>
@@ -18,14 +18,14 @@
 using routing::EndpointRecord;
 using routing::TrackedRequest;
 
-// Tokens of the host's timers: that of a request's limit follows its id.
+// Timer tokens: 0 is periodic maintenance, and a request's answer deadline uses its id plus one.
 constexpr std::int64_t maintenance_token = 0;
-constexpr std::int64_t token_of(RequestId id) { return id + 1; }
-constexpr RequestId request_of(std::int64_t token) { return token - 1; }
+constexpr std::int64_t timer_token_of(RequestId id) { return id + 1; }
+constexpr RequestId request_id_of(std::int64_t token) { return token - 1; }
 
-class PolicyOfParts final : public RoutingPolicy {
+class DefaultRoutingPolicy final : public RoutingPolicy {
  public:
-  PolicyOfParts(const RoutingConfiguration& configuration, std::uint64_t seed, RoutingHost& host)
+  DefaultRoutingPolicy(const RoutingConfiguration& configuration, std::uint64_t seed, RoutingHost& host)
       : parts_(configuration, seed, host), monitor_(parts_), feedback_(parts_, monitor_),
         dispatcher_(parts_, monitor_), maintenance_(parts_, monitor_, dispatcher_) {}
 
@@ -33,35 +33,36 @@
                          const std::vector<Endpoint>& endpoints) override {
     if (!parts_.observation.started()) start(now);
     const bool list_is_old = form == EndpointListForm::cached || form == EndpointListForm::failed;
-    watch_due_ |= parts_.configuration.endpoints_on_request && list_is_old;
+    watch_pending_ |= parts_.configuration.endpoints_on_request && list_is_old;
     if (form == EndpointListForm::failed) return;
     parts_.endpoints.new_version();
     for (const Endpoint& endpoint : endpoints) update_endpoint(now, endpoint);
-    if (form != EndpointListForm::delta) remove_unnamed(now, endpoints);
+    if (form != EndpointListForm::delta) remove_unlisted(now, endpoints);
     dispatcher_.dispatch_waiting(now);
   }
 
   void request_received(Timestamp now, const RoutingRequest& request) override {
-    parts_.load_budget.request_taken(now);
+    parts_.load_budget.count_request(now);
     TrackedRequest& tracked = track(now, request);
-    note_function(now, request);
+    record_function_request(now, request);
     parts_.observation.request_taken(now);
-    tracked.over_quota = !parts_.tenant_quotas.take(now, request.tenant);
+    tracked.over_quota = !parts_.tenant_quotas.take_token(now, request.tenant);
     if (request.time_left <= parts_.configuration.tick) {
-      dispatcher_.give_up(tracked, Duration::zero());
+      dispatcher_.reject_or_fail(tracked, Duration::zero());
       return;
     }
-    parts_.host.set_timer(token_of(request.id), tracked.limit);
-    // In an overload a part is shed at once, at every router alike, for the rest to be in time.
+    parts_.host.set_timer(timer_token_of(request.id), tracked.answer_deadline);
+    // In an overload every router rejects about the same share at once, so that the remaining requests are in
+    // time.
     const double share = parts_.overload.share_to_reject(now, request.tenant);
     if (routing::RetryPolicy::may_reject(tracked) && parts_.random.draw() < share) {
-      dispatcher_.reject_for_load(tracked);
+      dispatcher_.shed_request(tracked);
       return;
     }
     dispatcher_.dispatch(now, tracked);
   }
 
-  // NOLINTNEXTLINE(bugprone-easily-swappable-parameters): the interface's, with an id of 64 bits
+  // NOLINTNEXTLINE(bugprone-easily-swappable-parameters): given by the interface; the id has 64 bits
   void response_started(Timestamp, RequestId id, int attempt_number) override {
     if (TrackedRequest* const tracked = parts_.requests.find(id)) tracked->streaming_attempt = attempt_number;
   }
@@ -70,7 +71,7 @@
     TrackedRequest* const tracked = parts_.requests.find(end.request);
     if (tracked == nullptr) return;
     if (end.final) tracked->done = true;
-    Attempt* const attempt = tracked->find_open(end.attempt_number);
+    Attempt* const attempt = tracked->find_open_attempt(end.attempt_number);
     if (attempt == nullptr) return;
     attempt->end(end.outcome);
     feedback_.attempt_ended(now, *tracked, *attempt, end);
@@ -78,7 +79,7 @@
     if (tracked->streaming_attempt == end.attempt_number) {
       tracked->streaming_attempt = TrackedRequest::no_attempt;
     }
-    if (!tracked->done) dispatch_again(now, end, *tracked);
+    if (!tracked->done) dispatch_next_attempt(now, end, *tracked);
   }
 
   void client_cancelled(Timestamp, RequestId id) override {
@@ -90,13 +91,13 @@
 
   void timer_fired(Timestamp now, std::int64_t token) override {
     if (token == maintenance_token) {
-      maintain(now);
+      run_maintenance(now);
       return;
     }
-    TrackedRequest* const tracked = parts_.requests.find(request_of(token));
+    TrackedRequest* const tracked = parts_.requests.find(request_id_of(token));
     if (tracked == nullptr || tracked->done || tracked->streaming()) return;
     dispatcher_.cancel_open_attempts(*tracked);
-    dispatcher_.give_up(*tracked, Duration::zero());
+    dispatcher_.reject_or_fail(*tracked, Duration::zero());
   }
 
   void probe_ended(Timestamp now, const ProbeEnd& end) override { monitor_.probe_ended(now, end); }
@@ -106,7 +107,7 @@
   }
 
   void load_budget_restored(Timestamp now, double orders) override {
-    parts_.load_budget.earlier_orders_known(now, orders);
+    parts_.load_budget.add_earlier_orders(now, orders);
   }
 
   void prewarm_ended(Timestamp now, const PrewarmEnd& end) override {
@@ -127,9 +128,9 @@
     parts_.host.set_timer(maintenance_token, now + routing::PeriodicMaintenance::period);
   }
 
-  void maintain(Timestamp now) {
+  void run_maintenance(Timestamp now) {
     schedule_maintenance(now);
-    if (std::exchange(watch_due_, false)) parts_.host.watch_endpoints(true);
+    if (std::exchange(watch_pending_, false)) parts_.host.watch_endpoints(true);
     maintenance_.run(now);
   }
 
@@ -146,7 +147,7 @@
     if (endpoint.state == EndpointState::removed) remove_endpoint(now, record);
   }
 
-  void remove_unnamed(Timestamp now, const std::vector<Endpoint>& endpoints) {
+  void remove_unlisted(Timestamp now, const std::vector<Endpoint>& endpoints) {
     std::set<EndpointId> named;
     for (const Endpoint& endpoint : endpoints) named.insert(endpoint.id);
     for (auto& [id, record] : parts_.endpoints.records()) {
@@ -162,7 +163,7 @@
   TrackedRequest& track(Timestamp now, const RoutingRequest& request) {
     TrackedRequest& tracked = parts_.requests.add(request);
     tracked.class_estimate = &parts_.estimates.of_class(request.request_class);
-    tracked.limit = now + request.time_left - parts_.configuration.tick;
+    tracked.answer_deadline = now + request.time_left - parts_.configuration.tick;
     // The objective grows with the request's own work, up to the deadline.
     const RequestClass& request_class = tracked.request_class();
     const auto stretch = std::chrono::duration_cast<Duration>(request_class.latency_objective_stretch *
@@ -173,20 +174,20 @@
     return tracked;
   }
 
-  void note_function(Timestamp now, const RoutingRequest& request) {
+  void record_function_request(Timestamp now, const RoutingRequest& request) {
     routing::FunctionRecord& function = parts_.functions.at(request.function);
     function.lanes = std::max(request.lanes, 1.0);
     function.requested_at = now;
-    function.placement.request_taken(now);
+    function.placement.count_request(now);
     function.times.load_time_stated(request.load_time);
   }
 
-  void dispatch_again(Timestamp now, const AttemptEnd& end, TrackedRequest& tracked) {
+  void dispatch_next_attempt(Timestamp now, const AttemptEnd& end, TrackedRequest& tracked) {
     if (end.outcome == AttemptOutcome::function_missing &&
-        dispatcher_.await_prewarm(now, end.endpoint, tracked)) {
+        dispatcher_.wait_for_prewarm(now, end.endpoint, tracked)) {
       return;
     }
-    if (!tracked.streaming() && !tracked.any_open()) dispatcher_.dispatch(now, tracked);
+    if (!tracked.streaming() && !tracked.has_open_attempt()) dispatcher_.dispatch(now, tracked);
   }
 
   routing::RoutingParts parts_;
@@ -194,14 +195,14 @@
   routing::AttemptFeedback feedback_;
   routing::RequestDispatcher dispatcher_;
   routing::PeriodicMaintenance maintenance_;
-  bool watch_due_ = false;  // the endpoint list has to be watched from the next maintenance on
+  bool watch_pending_ = false;  // whether the next maintenance starts the watch of the endpoint list
 };
 
 }  // namespace
 
 std::unique_ptr<RoutingPolicy> make_routing_policy(const RoutingConfiguration& configuration,
                                                    std::uint64_t seed, RoutingHost& host) {
-  return std::make_unique<PolicyOfParts>(configuration, seed, host);
+  return std::make_unique<DefaultRoutingPolicy>(configuration, seed, host);
 }
 
 }  // namespace rushhill
--- a/src/routing/scorer.cpp
+++ b/src/routing/scorer.cpp
@@ -6,65 +6,71 @@
 namespace rushhill::routing {
 namespace {
 
-constexpr double failure_loads = 2;      // an attempt that fails costs its wait and another attempt
-constexpr double in_flight_slope = 0.3;  // response times; wait that an own open attempt adds for the next
-constexpr double quiet_factor = 3;       // response times; silence that long makes an endpoint look worse
-constexpr double home_bonus = 0.8;       // under a load, so that a loaded copy beats a home
-constexpr double near_tie = 0.01;        // less apart is noise to one router, and chance decides
+constexpr double failure_cost = 2;  // loads; a failed attempt costs its response time and another attempt
+// Response times that each open attempt of this router at the endpoint adds for the next one.
+constexpr double in_flight_slope = 0.3;
+constexpr double silence_factor = 3;  // response times; longer silence lowers the score
+// Loads; below 1, so that a loaded copy beats the endpoint that placement prefers.
+constexpr double preferred_endpoint_score = 0.8;
+// Loads; smaller differences are noise to a single router and are decided at random.
+constexpr double tie_break_scale = 0.01;
 
 }  // namespace
 
 Scorer::Scorer(const RoutingConfiguration& configuration, const ObservationWindow& observation,
                const LatencyEstimates& estimates, const OutlierDetection& outliers)
     : observation_(observation), estimates_(estimates), outliers_(outliers),
-      location_(configuration.location),
-      crossing_price_(configuration.prices.cross_location / (configuration.prices.load + load_value)) {}
+      location_(configuration.location), cross_location_cost_(configuration.prices.cross_location /
+                                                              (configuration.prices.load + load_delay_cost)) {
+}
 
 double Scorer::score(Timestamp now, const ExpectedTimes& expected, const FunctionRecord& function,
                      const ScoredEndpoint& candidate) const {
   const EndpointRecord& endpoint = candidate.endpoint;
-  const AttemptStatistics seen = recent(now, endpoint);
-  const double wait_term = expected_wait(now, expected.response_time, endpoint, seen) / expected.load_time;
+  const AttemptStatistics statistics = recent_attempts(now, endpoint);
+  const double response_time_term =
+      expected_response_time(now, expected.response_time, endpoint, statistics) / expected.load_time;
   return copy_term(function.placement, candidate) + location_term(endpoint) -
-         full_lanes_term(function.lanes, candidate.copy) - wait_term - failure_term(seen);
+         lane_overflow_term(function.lanes, candidate.copy) - response_time_term - failure_term(statistics);
 }
 
-// An endpoint without a believed copy counts as warm where the function's part of the requests says that
-// others keep a copy there.
+// An endpoint without a believed copy counts as having one if the function's share of the requests implies
+// that the requests of other routers keep a copy loaded there.
 double Scorer::copy_term(const FunctionPlacement& placement, const ScoredEndpoint& candidate) {
   if (candidate.rank < placement.replicas() || candidate.copy_believed) return 1;
-  const int beyond = candidate.rank - std::max(placement.replicas() - 1, 0);
-  return home_bonus * std::exp2(-beyond);
+  const int ranks_beyond_replicas = candidate.rank - std::max(placement.replicas() - 1, 0);
+  return preferred_endpoint_score * std::exp2(-ranks_beyond_replicas);
 }
 
 double Scorer::location_term(const EndpointRecord& endpoint) const {
-  return endpoint.endpoint.location == location_ ? crossing_price_ : 0;
+  return endpoint.endpoint.location == location_ ? cross_location_cost_ : 0;
 }
 
-double Scorer::full_lanes_term(double lanes, const BelievedCopy* copy) {
+double Scorer::lane_overflow_term(double lanes, const BelievedCopy* copy) {
   const int open = copy == nullptr ? 0 : copy->open_attempts();
   return std::max(0.0, open + 1 - lanes) / lanes;
 }
 
-double Scorer::failure_term(const AttemptStatistics& seen) const {
-  return failure_loads * outliers_.bad_share(seen);
+double Scorer::failure_term(const AttemptStatistics& statistics) const {
+  return failure_cost * outliers_.bad_share(statistics);
 }
 
-FractionalDuration Scorer::expected_wait(Timestamp now, FractionalDuration response_time,
-                                         const EndpointRecord& endpoint,
-                                         const AttemptStatistics& seen) const {
-  const FractionalDuration wait =
-      response_time * estimates_.pace(seen) * (1 + in_flight_slope * endpoint.in_flight.open());
-  // An endpoint that has gone quiet with attempts in flight takes at least that long already.
+FractionalDuration Scorer::expected_response_time(Timestamp now, FractionalDuration response_time,
+                                                  const EndpointRecord& endpoint,
+                                                  const AttemptStatistics& statistics) const {
+  const FractionalDuration expected =
+      response_time * estimates_.pace(statistics) * (1 + in_flight_slope * endpoint.in_flight.open());
+  // An endpoint that has been silent while attempts are in flight already takes at least as long as its
+  // silence.
   const Timestamp since = endpoint.liveness.awaiting_since();
-  const FractionalDuration quiet = since == Timestamp{} ? Duration::zero() : now - since;
-  return wait + std::max(FractionalDuration::zero(), quiet - quiet_factor * response_time);
+  const FractionalDuration silence = since == Timestamp{} ? Duration::zero() : now - since;
+  return expected + std::max(FractionalDuration::zero(), silence - silence_factor * response_time);
 }
 
 double Scorer::tie_break(const EndpointRecord& endpoint, double draw) {
-  return near_tie * (std::log(endpoint.placed_weight()) - std::log(-std::log(draw)));
+  return tie_break_scale * (std::log(endpoint.placed_weight()) - std::log(-std::log(draw)));
 }
 
-double Scorer::ramp_bonus() { return failure_loads + 1; }
+double Scorer::recovery_ramp_bonus() { return failure_cost + 1; }
 
 }  // namespace rushhill::routing
--- a/src/routing/scorer.h
+++ b/src/routing/scorer.h
@@ -1,5 +1,5 @@
-// The score by which endpoints are compared for a request (docs/design.md, "Score"). It is counted in loads,
-// since a loaded copy saves one load.
+// The score by which endpoints are compared for a request (docs/design.md, "Score"). Its unit is the cost of
+// one load, which a loaded copy saves.
 #pragma once
 
 #include <string>
@@ -14,13 +14,15 @@
 
 namespace rushhill::routing {
 
-constexpr double load_value = 0.5;  // of a request's priority weight; a load makes about that many late
+// Cost of the delay that a load causes, as a fraction of a request's priority weight: about that fraction of
+// the requests that wait for a load miss their latency objective.
+constexpr double load_delay_cost = 0.5;
 
 // An endpoint that may get the request.
 struct ScoredEndpoint {
   const EndpointRecord& endpoint;
-  int rank = 0;                        // in the order of placement, among those that may get it
-  const BelievedCopy* copy = nullptr;  // of the request's function there
+  int rank = 0;  // position in the placement order, among the endpoints that may get the request
+  const BelievedCopy* copy = nullptr;  // the endpoint's copy of the request's function
   bool copy_believed = false;
 };
 
@@ -30,37 +32,41 @@
   Scorer(const RoutingConfiguration& configuration, const ObservationWindow& observation,
          const LatencyEstimates& estimates, const OutlierDetection& outliers);
 
-  // What the request should get out of the endpoint.
+  // Returns the score of the endpoint for the request; higher is better.
   double score(Timestamp now, const ExpectedTimes& expected, const FunctionRecord& function,
                const ScoredEndpoint& candidate) const;
 
-  // How long a request with that response time should take at the endpoint when it finds a copy.
-  FractionalDuration expected_wait(Timestamp now, FractionalDuration response_time,
-                                   const EndpointRecord& endpoint) const {
-    return expected_wait(now, response_time, endpoint, recent(now, endpoint));
+  // Returns the response time expected at the endpoint if a copy is loaded, for a request whose usual
+  // response time is `response_time`.
+  FractionalDuration expected_response_time(Timestamp now, FractionalDuration response_time,
+                                            const EndpointRecord& endpoint) const {
+    return expected_response_time(now, response_time, endpoint, recent_attempts(now, endpoint));
   }
 
-  // Noise: near ties fall by chance, to larger endpoints more often. `draw`: above 0 and below 1.
+  // Returns random noise that decides near ties, more often in favour of larger endpoints. `draw` is a random
+  // number above 0 and below 1.
   static double tie_break(const EndpointRecord& endpoint, double draw);
-  // For an ejected endpoint whose turn on the recovery ramp it is: above what the others can score.
-  static double ramp_bonus();
+  // Added to the score of an ejected endpoint that its recovery ramp admits. It outweighs the highest failure
+  // term and a loaded copy at another endpoint.
+  static double recovery_ramp_bonus();
 
  private:
-  AttemptStatistics recent(Timestamp now, const EndpointRecord& endpoint) const {
+  AttemptStatistics recent_attempts(Timestamp now, const EndpointRecord& endpoint) const {
     return endpoint.history.recent(now, observation_.recent_buckets());
   }
-  FractionalDuration expected_wait(Timestamp now, FractionalDuration response_time,
-                                   const EndpointRecord& endpoint, const AttemptStatistics& seen) const;
+  FractionalDuration expected_response_time(Timestamp now, FractionalDuration response_time,
+                                            const EndpointRecord& endpoint,
+                                            const AttemptStatistics& statistics) const;
   static double copy_term(const FunctionPlacement& placement, const ScoredEndpoint& candidate);
   double location_term(const EndpointRecord& endpoint) const;
-  static double full_lanes_term(double lanes, const BelievedCopy* copy);
-  double failure_term(const AttemptStatistics& seen) const;
+  static double lane_overflow_term(double lanes, const BelievedCopy* copy);
+  double failure_term(const AttemptStatistics& statistics) const;
 
   const ObservationWindow& observation_;
   const LatencyEstimates& estimates_;
   const OutlierDetection& outliers_;
   const std::string& location_;
-  double crossing_price_;  // of an attempt in another location
+  double cross_location_cost_;  // cost of an attempt in another location, in loads
 };
 
 }  // namespace rushhill::routing
--- a/src/routing/tenant_quotas.cpp
+++ b/src/routing/tenant_quotas.cpp
@@ -5,7 +5,8 @@
 namespace rushhill::routing {
 namespace {
 
-// Requests beyond a second's part: a part of under one request a second comes by chance.
+// Capacity of a bucket in addition to one second's tokens. At less than one token a second, requests arrive
+// too irregularly for a smaller one.
 constexpr double burst_tokens = 3;
 
 }  // namespace
@@ -17,7 +18,7 @@
   }
 }
 
-bool TenantQuotas::take(Timestamp now, const std::string& tenant) {
+bool TenantQuotas::take_token(Timestamp now, const std::string& tenant) {
   const auto found = buckets_.find(tenant);
   if (found == buckets_.end() || found->second.tokens_per_s <= 0) return true;
   TokenBucket& bucket = found->second;
--- a/src/routing/tenant_quotas.h
+++ b/src/routing/tenant_quotas.h
@@ -1,5 +1,5 @@
-// Tenants' quotas, per router (docs/design.md, "Quotas" and "Overload"). A request beyond its tenant's quota
-// is not rejected for that alone: it gives way first when the endpoints are overloaded.
+// Quotas of the tenants at one router (docs/design.md, "Quotas" and "Overload"). A request beyond its
+// tenant's quota is not rejected for that alone, but it is shed first when the endpoints are overloaded.
 #pragma once
 
 #include <map>
@@ -10,19 +10,20 @@
 
 namespace rushhill::routing {
 
-// A token bucket for each tenant that has a quota. The quota holds for all routers together; each takes an
-// even part.
+// A token bucket for each tenant. The quota holds for all routers together; each router gets an equal part of
+// it.
 class TenantQuotas {
  public:
   TenantQuotas(const std::vector<Tenant>& tenants, int routers);
 
-  // Counts the request and says whether it is within its tenant's quota. A tenant without a quota always is.
-  bool take(Timestamp now, const std::string& tenant);
+  // Takes a token for one request. Returns whether the request is within its tenant's quota, which is always
+  // the case if the tenant has none.
+  bool take_token(Timestamp now, const std::string& tenant);
 
  private:
-  // One tenant's part at this router.
+  // One tenant's bucket, filled at this router's part of the quota.
   struct TokenBucket {
-    double tokens_per_s = 0;  // 0: no quota
+    double tokens_per_s = 0;  // 0 if the tenant has no quota
     double tokens = 0;
     Timestamp refilled_at{};
   };
--- a/src/routing/time.h
+++ b/src/routing/time.h
@@ -1,8 +1,8 @@
-// Moments and spans of time, counted in whole tenths of a millisecond.
+// Timestamps and durations, counted in whole tenths of a millisecond.
 //
-// The routing policy and its parts use the strong types: a Duration cannot be passed where a Timestamp is
-// wanted. Packages that have not been converted yet use `Time`, a plain count, for both; the functions below
-// convert where the two meet.
+// The routing policy and its parts use strong types: a Duration cannot be passed as a Timestamp. Packages
+// that have not been converted yet use `Time`, a plain count, for both; the functions below convert between
+// them.
 #pragma once
 
 #include <chrono>
@@ -13,7 +13,8 @@
 
 using Duration = std::chrono::duration<std::int64_t, std::ratio<1, 10'000>>;
 
-// The router's monotonic clock. It is read by the host, never by the policy: each call carries its reading.
+// The router's monotonic clock. The host reads it and passes the reading with each call; the policy never
+// reads a clock.
 struct MonotonicClock {
   using duration = Duration;
   using rep = Duration::rep;
@@ -22,23 +23,23 @@
   static constexpr bool is_steady = true;
 };
 
-// A span as an estimate: a mean or a product, not rounded to whole tenths.
+// An estimated duration, such as a mean or a product, in unrounded tenths of a millisecond.
 using FractionalDuration = std::chrono::duration<double, Duration::period>;
 
 constexpr Duration one_second = std::chrono::seconds{1};
 
-// A reading of that clock; the default value stands for "never" or "unknown".
+// A reading of MonotonicClock. The default value means "never" or "unknown".
 using Timestamp = MonotonicClock::time_point;
 
-// The later of two moments; by value, where std::max returns a reference and so keeps both in memory.
+// Returns the later timestamp by value; std::max returns a reference, which forces both into memory.
 constexpr Timestamp later_of(Timestamp first, Timestamp second) { return first < second ? second : first; }
 
-// Whole tenths of a millisecond, as a moment of the monotonic clock or as a span.
+// A timestamp or a duration as a plain count of tenths of a millisecond.
 using Time = std::int64_t;
 
 constexpr Duration to_duration(Time ticks) { return Duration{ticks}; }
 constexpr Timestamp to_timestamp(Time ticks) { return Timestamp{Duration{ticks}}; }
-constexpr Time to_ticks(Duration span) { return span.count(); }
-constexpr Time to_ticks(Timestamp moment) { return moment.time_since_epoch().count(); }
+constexpr Time to_ticks(Duration duration) { return duration.count(); }
+constexpr Time to_ticks(Timestamp timestamp) { return timestamp.time_since_epoch().count(); }
 
 }  // namespace rushhill
--- a/src/routing/warm_index.cpp
+++ b/src/routing/warm_index.cpp
@@ -2,7 +2,7 @@
 
 namespace rushhill::routing {
 
-void WarmIndex::link(EndpointTable& endpoints, std::uint64_t selection) {
+void WarmIndex::link_endpoints(EndpointTable& endpoints, std::uint64_t selection) {
   for (auto& [id, copy] : copies_) {
     EndpointRecord* const record =
         copy.endpoint(endpoints.version(), [&, &endpoint = id] { return endpoints.find(endpoint); });
--- a/src/routing/warm_index.h
+++ b/src/routing/warm_index.h
@@ -1,4 +1,4 @@
-// Which endpoints are believed to hold a copy of a function (docs/design.md, "Index").
+// Index of the endpoints that are believed to hold a copy of a function (docs/design.md, "Index").
 #pragma once
 
 #include <cstdint>
@@ -15,13 +15,13 @@
  public:
   BelievedCopy& at(const EndpointId& endpoint) { return copies_[endpoint]; }
 
-  // Lets the records of the endpoints find their copies, for one selection.
-  void link(EndpointTable& endpoints, std::uint64_t selection);
-  // The endpoint has lost its copy.
+  // Links the endpoint records to their copies of the function, for one selection.
+  void link_endpoints(EndpointTable& endpoints, std::uint64_t selection);
+  // Marks the endpoint's copy as lost.
   void forget(const EndpointId& endpoint) {
     if (const auto it = copies_.find(endpoint); it != copies_.end()) it->second.forget();
   }
-  // Erases the copies that have lapsed, which count for nothing.
+  // Erases the copies that are no longer believed in.
   void sweep(Timestamp now, Duration keep_alive);
 
   std::size_t size() const { return copies_.size(); }
