--- a/tests/routing/attempt_feedback_test.cpp
+++ b/tests/routing/attempt_feedback_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_EQ(history().bad, 0);
 }
 
-TEST_F(AttemptFeedbackTest, AnswerAfterALoadTellsOfTheLoadTimeAlone) {
+TEST_F(AttemptFeedbackTest, AnswerAfterALoadUpdatesOnlyTheLoadTime) {
   const FractionalDuration before = tracked.class_estimate->response_time;
   end(AttemptOutcome::succeeded, CopyState::load_started, one_second);
   EXPECT_EQ(history().paced, 0);
@@ -46,7 +46,7 @@
             one_second - before);
 }
 
-TEST_F(AttemptFeedbackTest, AnswerThatAwaitedAnothersLoadTellsOfNoTime) {
+TEST_F(AttemptFeedbackTest, AnswerThatWaitedForAnotherRequestsLoadUpdatesNoTime) {
   end(AttemptOutcome::succeeded, CopyState::load_awaited, one_second / 2);
   EXPECT_EQ(history().paced, 0);
   const FunctionTimes unknown;
@@ -54,14 +54,14 @@
             one_second);
 }
 
-TEST_F(AttemptFeedbackTest, RejectionLowersTheWeightAndSparesLoadsButIsNoFailure) {
+TEST_F(AttemptFeedbackTest, RejectionLowersTheWeightAndHoldsBackLoadsButCountsAsNoFailure) {
   end(AttemptOutcome::overloaded, CopyState::unknown);
   EXPECT_LT(endpoint("a").placement_weight.factor(), 1);
   EXPECT_TRUE(endpoint("a").liveness.loads_backing_off(start));
   EXPECT_EQ(history().judged, 0);
 }
 
-TEST_F(AttemptFeedbackTest, MissRefutesTheCopyAndCountsAsGood) {
+TEST_F(AttemptFeedbackTest, MissingFunctionClearsTheCopyAndCountsAsGood) {
   copy("a").confirm(start);
   end(AttemptOutcome::function_missing, CopyState::unknown);
   EXPECT_FALSE(copy_believed("a"));
@@ -69,7 +69,7 @@
   EXPECT_EQ(history().bad, 0);
 }
 
-TEST_F(AttemptFeedbackTest, ErrorCountsAsBadAndACancelledAttemptNotAtAll) {
+TEST_F(AttemptFeedbackTest, ErrorCountsAsBadAndACancelledAttemptIsNotCounted) {
   end(AttemptOutcome::error, CopyState::loaded);
   EXPECT_EQ(history().bad, 1);
   tracked.attempts.push_back({.endpoint = "a", .sent = start});
@@ -78,7 +78,7 @@
   EXPECT_EQ(history().judged, 1);
 }
 
-TEST_F(AttemptFeedbackTest, SlowAnswersOfLoadedCopiesAreTheTenantsOverload) {
+TEST_F(AttemptFeedbackTest, SlowAnswersOfLoadedCopiesRaiseTheTenantsShareToReject) {
   for (int i = 0; i < 20; ++i) {
     tracked.attempts.push_back({.endpoint = "a", .sent = start});
     end(AttemptOutcome::succeeded, CopyState::loaded, one_second);
--- a/tests/routing/attempt_history_test.cpp
+++ b/tests/routing/attempt_history_test.cpp
@@ -7,7 +7,7 @@
 
 constexpr Timestamp start{100 * one_second};
 
-TEST(AttemptHistory, CountsWhatIsAdded) {
+TEST(AttemptHistory, CountsAddedAttempts) {
   AttemptHistory history;
   history.add_success(start);
   history.add_pace(start, 1.5);
@@ -21,7 +21,7 @@
   EXPECT_EQ(all.bad, 1);
 }
 
-TEST(AttemptHistory, RecentOnesAreThoseOfTheNewestBuckets) {
+TEST(AttemptHistory, RecentStatisticsCoverTheNewestBuckets) {
   AttemptHistory history;
   history.add_success(start);
   history.add_success(start + 4 * one_second);
@@ -29,7 +29,7 @@
   EXPECT_EQ(history.recent(start + 4 * one_second, 5).succeeded, 2);
 }
 
-TEST(AttemptHistory, LapsesAfterItsSpanAndWhenCleared) {
+TEST(AttemptHistory, IsEmptyAfterItsSpanAndWhenCleared) {
   AttemptHistory history;
   history.add_success(start);
   EXPECT_EQ(history.all(start + history_span - Duration{1}).succeeded, 1);
--- a/tests/routing/believed_copy_test.cpp
+++ b/tests/routing/believed_copy_test.cpp
@@ -8,9 +8,9 @@
 constexpr Timestamp start{100 * one_second};
 constexpr Duration keep_alive = 10 * one_second;
 
-TEST(BelievedCopy, NothingIsBelievedAtFirst) { EXPECT_FALSE(BelievedCopy().believed(start, keep_alive)); }
+TEST(BelievedCopy, IsNotBelievedAtFirst) { EXPECT_FALSE(BelievedCopy().believed(start, keep_alive)); }
 
-TEST(BelievedCopy, IsPredictedWhileAnAttemptIsThere) {
+TEST(BelievedCopy, IsBelievedWhileAnAttemptIsOpen) {
   BelievedCopy copy;
   EXPECT_FALSE(copy.attempt_sent(start, keep_alive));
   EXPECT_TRUE(copy.believed(start + 60 * one_second, keep_alive));
@@ -21,14 +21,14 @@
   EXPECT_EQ(copy.open_attempts(), 0);
 }
 
-TEST(BelievedCopy, ConfirmedOneLapsesWhenIdleForTheKeepAlive) {
+TEST(BelievedCopy, ConfirmationExpiresWhenIdleForTheKeepAliveSpan) {
   BelievedCopy copy;
   copy.confirm(start);
   EXPECT_TRUE(copy.confirmed(start + keep_alive - Duration{1}, keep_alive));
   EXPECT_FALSE(copy.confirmed(start + keep_alive, keep_alive));
   EXPECT_TRUE(copy.attempt_sent(start + one_second, keep_alive));
   EXPECT_FALSE(copy.attempt_sent(start + keep_alive, keep_alive));
-  copy.refute();
+  copy.mark_missing();
   EXPECT_FALSE(copy.confirmed(start, keep_alive));
 }
 
@@ -44,7 +44,7 @@
   EXPECT_TRUE(copy.confirmed(start, keep_alive));
 }
 
-TEST(BelievedCopy, ForgottenOneIsStillPredictedByItsAttempts) {
+TEST(BelievedCopy, LostCopyIsStillBelievedWhileAnAttemptIsOpen) {
   BelievedCopy copy;
   copy.confirm(start);
   copy.prewarm_ordered();
@@ -56,7 +56,7 @@
   EXPECT_TRUE(copy.believed(start, keep_alive));
 }
 
-TEST(BelievedCopy, LooksItsEndpointUpOnceForEachVersion) {
+TEST(BelievedCopy, LooksUpItsEndpointOnceForEachListVersion) {
   BelievedCopy copy;
   int lookups = 0;
   const auto find = [&]() -> EndpointRecord* {
@@ -70,13 +70,13 @@
   EXPECT_EQ(lookups, 2);
 }
 
-TEST(CopyLink, IsValidForItsSelectionAlone) {
+TEST(CopyLink, IsValidForItsSelectionOnly) {
   const BelievedCopy copy;
   CopyLink link;
-  EXPECT_EQ(link.of_selection(1), nullptr);
+  EXPECT_EQ(link.for_selection(1), nullptr);
   link.set(copy, 1);
-  EXPECT_EQ(link.of_selection(1), &copy);
-  EXPECT_EQ(link.of_selection(2), nullptr);
+  EXPECT_EQ(link.for_selection(1), &copy);
+  EXPECT_EQ(link.for_selection(2), nullptr);
 }
 
 }  // namespace
--- a/tests/routing/endpoint_selector_test.cpp
+++ b/tests/routing/endpoint_selector_test.cpp
@@ -19,7 +19,7 @@
     outliers.observe_fleet({.serving = 3});
     tracked.request.function = "f";
     tracked.class_estimate = &class_estimate;
-    tracked.limit = now + 10 * one_second;
+    tracked.answer_deadline = now + 10 * one_second;
   }
   EndpointId select() {
     const EndpointRecord* const endpoint = selector.select(now, tracked, function);
@@ -32,8 +32,8 @@
   void eject(EndpointRecord& record) {
     while (!record.outlier.ejected()) outliers.attempt_judged(now, true, record.outlier, record.history);
   }
-  // The endpoint whose rank is the first.
-  EndpointId home() {
+  // Returns the endpoint that placement ranks first.
+  EndpointId preferred_endpoint() {
     placement.rank(now, "f", function.placement);
     return function.placement.candidates().front().endpoint->endpoint.id;
   }
@@ -69,12 +69,12 @@
   FunctionRecord function;
 };
 
-TEST_F(EndpointSelectorTest, FirstLoadGoesHome) {
-  const EndpointId expected = home();
+TEST_F(EndpointSelectorTest, SelectsThePreferredEndpointForTheFirstLoad) {
+  const EndpointId expected = preferred_endpoint();
   EXPECT_EQ(select(), expected);
 }
 
-TEST_F(EndpointSelectorTest, BelievedCopyBeatsTheHome) {
+TEST_F(EndpointSelectorTest, BelievedCopyBeatsThePreferredEndpoint) {
   for (const char* id : {"a", "b", "c"}) {
     function.copies = {};
     function.copies.at(id).confirm(now);
@@ -82,14 +82,14 @@
   }
 }
 
-TEST_F(EndpointSelectorTest, NoEndpointMeansNone) {
+TEST_F(EndpointSelectorTest, SelectsNoneIfNoEndpointIsOnTheList) {
   for (const char* id : {"a", "b", "c"}) endpoints.remove(now, endpoints.at(id));
   endpoints.new_version();
   EXPECT_EQ(select(), "");
 }
 
-TEST_F(EndpointSelectorTest, EndpointThatFailedTheRequestIsTriedAgainOnlyForWantOfOthers) {
-  const EndpointId first = home();
+TEST_F(EndpointSelectorTest, ReturnsToAnEndpointThatFailedTheRequestOnlyIfThereIsNoOther) {
+  const EndpointId first = preferred_endpoint();
   add_ended(first, AttemptOutcome::error);
   EXPECT_NE(select(), first);
   for (const char* id : {"a", "b", "c"}) {
@@ -99,22 +99,22 @@
   EXPECT_EQ(select(), first);
 }
 
-TEST_F(EndpointSelectorTest, EndpointsThatBackOffAreAvoided) {
-  const EndpointId first = home();
+TEST_F(EndpointSelectorTest, AvoidsEndpointsThatAreBackingOff) {
+  const EndpointId first = preferred_endpoint();
   endpoints.at(first).liveness.connect_timed_out(now);
   EXPECT_NE(select(), first);
 }
 
-TEST_F(EndpointSelectorTest, MissIsForgivenOnceTheCopyIsOrdered) {
-  const EndpointId first = home();
+TEST_F(EndpointSelectorTest, ReturnsToAnEndpointWithoutTheFunctionOnceACopyIsOrdered) {
+  const EndpointId first = preferred_endpoint();
   add_ended(first, AttemptOutcome::function_missing);
   EXPECT_NE(select(), first);
   function.copies.at(first).prewarm_ordered();
   EXPECT_EQ(select(), first);
 }
 
-TEST_F(EndpointSelectorTest, EjectedEndpointGetsItsShareOfFirstAttemptsThatMayBeRepeated) {
-  const EndpointId first = home();
+TEST_F(EndpointSelectorTest, EjectedEndpointGetsItsShareOfRepeatableFirstAttempts) {
+  const EndpointId first = preferred_endpoint();
   EndpointRecord& record = endpoints.at(first);
   eject(record);
   EXPECT_NE(select(), first);
@@ -130,8 +130,8 @@
   for (int i = 0; i < 100; ++i) EXPECT_NE(select(), first);
 }
 
-TEST_F(EndpointSelectorTest, EndpointThatWarmsUpNeedsTokens) {
-  const EndpointId first = home();
+TEST_F(EndpointSelectorTest, WarmingEndpointNeedsTokens) {
+  const EndpointId first = preferred_endpoint();
   EndpointRecord& record = endpoints.at(first);
   record.endpoint.started = now - 2 * one_second;
   EXPECT_NE(select(), first);
@@ -139,8 +139,8 @@
   EXPECT_EQ(select(), first);
 }
 
-TEST_F(EndpointSelectorTest, EndpointThatRejectedIsSparedLoads) {
-  const EndpointId first = home();
+TEST_F(EndpointSelectorTest, SendsNoLoadsToAnEndpointThatRejectedRecently) {
+  const EndpointId first = preferred_endpoint();
   endpoints.at(first).liveness.spare_loads(now, one_second);
   EXPECT_NE(select(), first);
   function.copies.at(first).confirm(now);
--- a/tests/routing/function_table_test.cpp
+++ b/tests/routing/function_table_test.cpp
@@ -8,7 +8,7 @@
 constexpr Timestamp now{100 * one_second};
 constexpr Duration keep_alive = 10 * one_second;
 
-TEST(FunctionTable, LostCopiesAreForgottenForEveryFunction) {
+TEST(FunctionTable, ForgetsAnEndpointsCopiesOfEveryFunction) {
   FunctionTable functions;
   for (const char* function : {"f", "g"}) {
     functions.at(function).copies.at("a").confirm(now);
@@ -21,7 +21,7 @@
   }
 }
 
-TEST(FunctionTable, SweepErasesLapsedCopiesOnceASecond) {
+TEST(FunctionTable, SweepErasesExpiredCopiesOnceASecond) {
   FunctionTable functions;
   functions.at("f").requested_at = now;
   functions.at("f").copies.at("a").confirm(now);
@@ -36,7 +36,7 @@
   EXPECT_EQ(functions.at("f").copies.size(), 0U);
 }
 
-TEST(FunctionTable, SweepErasesFunctionsLongNotRequested) {
+TEST(FunctionTable, SweepErasesFunctionsNotRequestedForALongTime) {
   FunctionTable functions;
   functions.at("f").requested_at = now;
   functions.at("f").lanes = 4;
@@ -54,11 +54,11 @@
   WarmIndex copies;
   copies.at("a").confirm(now);
   copies.at("gone").confirm(now);
-  copies.link(endpoints, 1);
-  EXPECT_EQ(record.copy.of_selection(1), &copies.at("a"));
-  EXPECT_EQ(endpoints.at("b").copy.of_selection(1), nullptr);
-  copies.link(endpoints, 2);
-  EXPECT_EQ(record.copy.of_selection(1), nullptr);
+  copies.link_endpoints(endpoints, 1);
+  EXPECT_EQ(record.copy.for_selection(1), &copies.at("a"));
+  EXPECT_EQ(endpoints.at("b").copy.for_selection(1), nullptr);
+  copies.link_endpoints(endpoints, 2);
+  EXPECT_EQ(record.copy.for_selection(1), nullptr);
 }
 
 }  // namespace
--- a/tests/routing/load_budget_test.cpp
+++ b/tests/routing/load_budget_test.cpp
@@ -12,7 +12,7 @@
   return {.orders_permitted = true, .window = window, .free_orders = 2, .orders_per_request = 0.5};
 }
 
-// Sends and ends as many orders as the budget allows at the moment.
+// Sends and ends as many orders as the budget allows at that time. Returns their number.
 int spend_all(LoadBudget& budget, Timestamp now) {
   int sent = 0;
   while (budget.allows_order(now) && sent < 1'000) {
@@ -29,13 +29,13 @@
   EXPECT_FALSE(LoadBudget(without).allows_order(start));
 }
 
-TEST(LoadBudget, IsTheFreeOrdersAndAPartOfTheRequests) {
+TEST(LoadBudget, AllowsTheFreeOrdersAndMoreForEachRequest) {
   LoadBudget budget(limits());
-  for (int i = 0; i < 6; ++i) budget.request_taken(start);
+  for (int i = 0; i < 6; ++i) budget.count_request(start);
   EXPECT_EQ(spend_all(budget, start), 2 + 3);
 }
 
-TEST(LoadBudget, OrderCountsForNoLessThanTheWindow) {
+TEST(LoadBudget, OrderCountsForAtLeastTheWindow) {
   LoadBudget budget(limits());
   const Timestamp sent_at{5 * one_second + Duration{1}};
   EXPECT_EQ(spend_all(budget, sent_at), 2);
@@ -43,14 +43,14 @@
   EXPECT_EQ(spend_all(budget, sent_at + window + 2 * one_second), 2);
 }
 
-TEST(LoadBudget, RequestCountsForNoMoreThanTheWindow) {
+TEST(LoadBudget, RequestCountsForAtMostTheWindow) {
   LoadBudget budget(limits());
-  const Timestamp taken_at{5 * one_second + Duration{1}};
-  for (int i = 0; i < 4; ++i) budget.request_taken(taken_at);
-  EXPECT_EQ(spend_all(budget, taken_at + window), 2);
+  const Timestamp received_at{5 * one_second + Duration{1}};
+  for (int i = 0; i < 4; ++i) budget.count_request(received_at);
+  EXPECT_EQ(spend_all(budget, received_at + window), 2);
 }
 
-TEST(LoadBudget, PendingOrdersAreCappedWithoutAWindowToo) {
+TEST(LoadBudget, LimitsPendingOrdersEvenWithoutAWindow) {
   LoadBudgetLimits unlimited = limits();
   unlimited.window = Duration::zero();
   LoadBudget budget(unlimited);
@@ -61,18 +61,18 @@
   EXPECT_TRUE(budget.allows_order(start));
 }
 
-TEST(LoadBudget, EndOfAnOrderOfAnEarlierLifeFreesNoPlace) {
+TEST(LoadBudget, EndOfAnOrderFromBeforeTheRestartAllowsNoMoreOrders) {
   LoadBudget budget(limits());
   budget.order_ended();
   EXPECT_EQ(spend_all(budget, start), 2);
 }
 
-TEST(LoadBudget, WaitsForOrdersOfEarlierLivesAndCountsThem) {
+TEST(LoadBudget, WaitsForTheOrdersFromBeforeTheRestartAndCountsThem) {
   LoadBudgetLimits restarted = limits();
-  restarted.earlier_orders_follow = true;
+  restarted.earlier_orders_expected = true;
   LoadBudget budget(restarted);
   EXPECT_FALSE(budget.allows_order(start));
-  budget.earlier_orders_known(start, 1);
+  budget.add_earlier_orders(start, 1);
   EXPECT_EQ(spend_all(budget, start), 1);
 }
 
--- a/tests/routing/periodic_maintenance_test.cpp
+++ b/tests/routing/periodic_maintenance_test.cpp
@@ -13,22 +13,22 @@
   PeriodicMaintenance maintenance{parts, monitor, dispatcher};
 };
 
-TEST_F(PeriodicMaintenanceTest, CountsTheEndpointsThatMayReceive) {
+TEST_F(PeriodicMaintenanceTest, CountsTheEndpointsThatMayReceiveRequests) {
   parts.endpoints.update({.id = "c", .state = EndpointState::draining});
   maintenance.run(start + one_second);
   EXPECT_EQ(parts.outliers.serving_endpoints(), 2);
   EXPECT_EQ(parts.observation.interval(), 2 * one_second);
 }
 
-TEST_F(PeriodicMaintenanceTest, RefillsTheTokensOfWhatWarmsUpForTheTimeThatPassed) {
+TEST_F(PeriodicMaintenanceTest, RefillsTheTokensOfWarmingEndpointsForTheElapsedTime) {
   endpoint("a").endpoint.started = start;
   endpoint("b").tokens = SlowStartTokens(2.5);
   maintenance.run(start + one_second / 10);
   EXPECT_GT(endpoint("a").tokens.level(), 0);
-  EXPECT_EQ(endpoint("b").tokens.level(), 0.5) << "warm: the phase alone is kept";
+  EXPECT_EQ(endpoint("b").tokens.level(), 0.5) << "a warm endpoint keeps only the fraction of its tokens";
 }
 
-TEST_F(PeriodicMaintenanceTest, TakesTheFleetsPaceFromEndpointsThatHaveShownTheirs) {
+TEST_F(PeriodicMaintenanceTest, ComputesTheFleetPaceFromEndpointsWithEnoughAnswers) {
   for (const char* id : {"a", "b"}) {
     for (int i = 0; i < 3; ++i) endpoint(id).history.add_pace(start, 2);
   }
@@ -37,7 +37,7 @@
   EXPECT_EQ(parts.estimates.fleet_pace(), 2);
 }
 
-TEST_F(PeriodicMaintenanceTest, SweepsCopiesEndpointsAndRequests) {
+TEST_F(PeriodicMaintenanceTest, ErasesExpiredCopiesRemovedEndpointsAndFinishedRequests) {
   copy("a").confirm(start);
   parts.endpoints.remove(start, endpoint("c"));
   parts.requests.finish(track(1));
@@ -47,9 +47,9 @@
   EXPECT_EQ(parts.requests.find(1), nullptr);
 }
 
-TEST_F(PeriodicMaintenanceTest, PlacesTheRequestsThatWait) {
+TEST_F(PeriodicMaintenanceTest, DispatchesWaitingRequests) {
   TrackedRequest& tracked = track(1);
-  parts.requests.wait(tracked);
+  parts.requests.add_waiting(tracked);
   maintenance.run(start);
   EXPECT_EQ(host.shots.size(), 1U);
 }
--- a/tests/routing/placement_test.cpp
+++ b/tests/routing/placement_test.cpp
@@ -11,7 +11,7 @@
 
 class PlacementTest : public ::testing::Test {
  protected:
-  void list(int count, EndpointState state = EndpointState::active) {
+  void list_endpoints(int count, EndpointState state = EndpointState::active) {
     endpoints.new_version();
     for (int i = 0; i < count; ++i) endpoints.update({.id = "box-" + std::to_string(i), .state = state});
   }
@@ -21,9 +21,9 @@
     for (const auto& candidate : function.candidates()) ids.push_back(candidate.endpoint->endpoint.id);
     return ids;
   }
-  void take(int requests) {
+  void receive_requests(int requests) {
     for (int i = 0; i < requests; ++i) {
-      function.request_taken(now);
+      function.count_request(now);
       observation.request_taken(now);
     }
   }
@@ -35,18 +35,18 @@
 };
 
 TEST_F(PlacementTest, OrderDependsOnTheFunctionAlone) {
-  list(10);
+  list_endpoints(10);
   const auto first = order("f");
   EXPECT_EQ(first.size(), 10U);
-  FunctionPlacement again;
-  placement.rank(now, "f", again);
-  EXPECT_EQ(again.candidates().front().endpoint->endpoint.id, first.front());
+  FunctionPlacement second;
+  placement.rank(now, "f", second);
+  EXPECT_EQ(second.candidates().front().endpoint->endpoint.id, first.front());
   function = {};
   EXPECT_NE(order("g"), first);
 }
 
-TEST_F(PlacementTest, OnlyEndpointsThatMayReceiveAreCandidates) {
-  list(10);
+TEST_F(PlacementTest, OnlyEndpointsThatMayReceiveRequestsAreCandidates) {
+  list_endpoints(10);
   endpoints.new_version();
   endpoints.update({.id = "box-3", .state = EndpointState::draining});
   const auto ids = order("f");
@@ -55,7 +55,7 @@
 }
 
 TEST_F(PlacementTest, EndpointOfLowerWeightIsFirstForFewerFunctions) {
-  list(10);
+  list_endpoints(10);
   const auto first_of_box_0 = [&] {
     int count = 0;
     for (int i = 0; i < 500; ++i) {
@@ -70,20 +70,20 @@
 }
 
 TEST_F(PlacementTest, FunctionThatIsNotHotHasNoReplicas) {
-  list(10);
-  take(1);
+  list_endpoints(10);
+  receive_requests(1);
   order("f");
   EXPECT_EQ(function.replicas(), 0);
 }
 
-TEST_F(PlacementTest, ReplicasFollowTheFunctionsPartOfTheRequests) {
-  list(10);
-  take(61);  // 60 others of 61 and 20
+TEST_F(PlacementTest, ReplicaCountFollowsTheFunctionsShareOfTheRequests) {
+  list_endpoints(10);
+  receive_requests(61);  // 60 besides the first; 61 and a prior of 20 in all
   order("f");
   EXPECT_EQ(function.replicas(), 1 + static_cast<int>(60.0 / 81 / 0.3 * 10));
 }
 
-TEST(PlacementWeight, BusyEndpointGetsLessAndIdleOneMoreWithinBounds) {
+TEST(PlacementWeight, FallsForABusyEndpointAndRisesForAnIdleOneWithinBounds) {
   PlacementWeight weight;
   EXPECT_EQ(weight.factor(), 1);
   weight.observe(0.5, 0.1);
--- a/tests/routing/rendezvous_hash_test.cpp
+++ b/tests/routing/rendezvous_hash_test.cpp
@@ -9,14 +9,14 @@
 namespace rushhill::routing {
 namespace {
 
-// Routers of different versions place alike only while these stand.
-TEST(RendezvousHash, ValuesAreThoseOfEarlierVersions) {
+// Routers of different versions agree on placement only while these values stay the same.
+TEST(RendezvousHash, ReturnsTheValuesOfEarlierVersions) {
   EXPECT_EQ(rendezvous_hash({.key = "", .endpoint = ""}), 0.92471682717152337);
   EXPECT_EQ(rendezvous_hash({.key = "resize", .endpoint = "box-1"}), 0.09575875462928185);
   EXPECT_EQ(rendezvous_hash({.key = "r\xc3\xa9sum\xc3\xa9", .endpoint = "box-22"}), 0.72125301569008982);
 }
 
-TEST(RendezvousHash, IsThatOfTheTextsInARow) {
+TEST(RendezvousHash, HashesTheConcatenationOfBothStrings) {
   const double hash = rendezvous_hash({.key = "re", .endpoint = "size"});
   EXPECT_EQ(hash, rendezvous_hash({.key = "resi", .endpoint = "ze"}));
   EXPECT_NE(hash, rendezvous_hash({.key = "size", .endpoint = "re"}));
--- a/tests/routing/request_dispatcher_test.cpp
+++ b/tests/routing/request_dispatcher_test.cpp
@@ -53,30 +53,30 @@
   EXPECT_TRUE(late.done);
 }
 
-TEST_F(RequestDispatcherTest, WhatCannotBeAnsweredBeforeItsLimitIsRejected) {
-  tracked.limit = start + Duration{100};
+TEST_F(RequestDispatcherTest, RejectsARequestThatCannotBeAnsweredBeforeItsDeadline) {
+  tracked.answer_deadline = start + Duration{100};
   dispatcher.dispatch(start, tracked);
   EXPECT_EQ(host.sheds, std::vector<RequestId>{1});
   EXPECT_TRUE(host.shots.empty());
 }
 
-TEST_F(RequestDispatcherTest, MissingCopyIsOrderedOnceForAllThatWait) {
+TEST_F(RequestDispatcherTest, OrdersAMissingCopyOnceForAllWaitingRequests) {
   TrackedRequest& other = track(2);
-  EXPECT_TRUE(dispatcher.await_prewarm(start, "a", tracked));
-  EXPECT_TRUE(dispatcher.await_prewarm(start, "a", other));
+  EXPECT_TRUE(dispatcher.wait_for_prewarm(start, "a", tracked));
+  EXPECT_TRUE(dispatcher.wait_for_prewarm(start, "a", other));
   EXPECT_EQ(host.orders.size(), 1U);
   EXPECT_EQ(endpoint("a").tokens.level(), -1);
   EXPECT_TRUE(tracked.waiting && other.waiting);
 }
 
-TEST_F(RequestDispatcherTest, NothingIsOrderedAtAnEndpointThatDrains) {
+TEST_F(RequestDispatcherTest, OrdersNothingAtADrainingEndpoint) {
   parts.endpoints.update({.id = "a", .state = EndpointState::draining});
-  EXPECT_FALSE(dispatcher.await_prewarm(start, "a", tracked));
+  EXPECT_FALSE(dispatcher.wait_for_prewarm(start, "a", tracked));
   EXPECT_TRUE(host.orders.empty());
   EXPECT_FALSE(tracked.waiting);
 }
 
-TEST_F(RequestDispatcherTest, OverdueAttemptIsJudgedAndCancelledForAnother) {
+TEST_F(RequestDispatcherTest, CountsAnOverdueAttemptAsBadAndCancelsIt) {
   dispatcher.dispatch(start, tracked);
   dispatcher.check_overdue(start + one_second, tracked);
   EXPECT_TRUE(host.called_off.empty());
@@ -97,13 +97,13 @@
   EXPECT_EQ(host.called_off[0].second, 1);
 }
 
-TEST_F(RequestDispatcherTest, GivenUpIsRejectedWhereThatIsSafeAndFailedElsewhere) {
-  dispatcher.give_up(tracked, Duration::zero());
+TEST_F(RequestDispatcherTest, RejectsARequestIfThatIsSafeAndOtherwiseFailsIt) {
+  dispatcher.reject_or_fail(tracked, Duration::zero());
   EXPECT_EQ(host.sheds, std::vector<RequestId>{1});
   TrackedRequest& risky = track(2);
   risky.class_estimate = &parts.estimates.of_class("unknown");
   risky.attempts.push_back({.endpoint = "a"});
-  dispatcher.give_up(risky, Duration::zero());
+  dispatcher.reject_or_fail(risky, Duration::zero());
   EXPECT_EQ(host.abandoned, std::vector<RequestId>{2});
   EXPECT_TRUE(risky.done);
 }
--- a/tests/routing/request_tracker_test.cpp
+++ b/tests/routing/request_tracker_test.cpp
@@ -25,20 +25,20 @@
 
 TEST(TrackedRequest, FindsItsAttempts) {
   TrackedRequest tracked;
-  EXPECT_FALSE(tracked.any_open());
+  EXPECT_FALSE(tracked.has_open_attempt());
   tracked.attempts = {{.endpoint = "a", .open = false}, {.endpoint = "b"}, {.endpoint = "a"}};
-  EXPECT_TRUE(tracked.any_open());
-  EXPECT_EQ(tracked.newest_at("a"), &tracked.attempts[2]);
-  EXPECT_EQ(tracked.newest_at("c"), nullptr);
-  EXPECT_EQ(tracked.find_open(1), &tracked.attempts[1]);
-  EXPECT_EQ(tracked.find_open(0), nullptr) << "has ended";
-  EXPECT_EQ(tracked.find_open(3), nullptr);
-  EXPECT_EQ(tracked.find_open(-1), nullptr);
+  EXPECT_TRUE(tracked.has_open_attempt());
+  EXPECT_EQ(tracked.newest_attempt_at("a"), &tracked.attempts[2]);
+  EXPECT_EQ(tracked.newest_attempt_at("c"), nullptr);
+  EXPECT_EQ(tracked.find_open_attempt(1), &tracked.attempts[1]);
+  EXPECT_EQ(tracked.find_open_attempt(0), nullptr) << "the attempt has ended";
+  EXPECT_EQ(tracked.find_open_attempt(3), nullptr);
+  EXPECT_EQ(tracked.find_open_attempt(-1), nullptr);
 }
 
-TEST(RequestTracker, WaitingOnesAreTakenOnceInTheOrderOfTheirIds) {
+TEST(RequestTracker, TakesWaitingRequestsOnceInTheOrderOfTheirIds) {
   RequestTracker requests;
-  for (const RequestId id : {3, 1, 2}) requests.wait(requests.add({.id = id}));
+  for (const RequestId id : {3, 1, 2}) requests.add_waiting(requests.add({.id = id}));
   requests.finish(*requests.find(2));
   EXPECT_EQ(requests.take_waiting(), (std::set<RequestId>{1, 3}));
   EXPECT_TRUE(requests.take_waiting().empty());
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -16,7 +16,7 @@
       endpoints.update({.id = id, .location = *id < 'c' ? "left" : "right", .cell = *id});
     }
     tracked.class_estimate = &class_estimate;
-    tracked.limit = now + 10 * one_second;
+    tracked.answer_deadline = now + 10 * one_second;
   }
   RequestClass& request_class() { return class_estimate.request_class; }
   EstimateKey key() { return {.request_class = class_estimate, .function = function}; }
@@ -45,7 +45,7 @@
   TrackedRequest tracked;
 };
 
-TEST_F(RetryPolicyTest, NoAttemptOfWhatHasItsAnswerOrIsBeyondItsLimit) {
+TEST_F(RetryPolicyTest, AllowsNoAttemptAfterTheAnswerOrTheDeadline) {
   EXPECT_TRUE(may_attempt("a"));
   tracked.done = true;
   EXPECT_FALSE(may_attempt("a"));
@@ -53,11 +53,11 @@
   tracked.streaming_attempt = 0;
   EXPECT_FALSE(may_attempt("a"));
   tracked.streaming_attempt = TrackedRequest::no_attempt;
-  tracked.limit = now;
+  tracked.answer_deadline = now;
   EXPECT_FALSE(may_attempt("a"));
 }
 
-TEST_F(RetryPolicyTest, AttemptsAreLimited) {
+TEST_F(RetryPolicyTest, LimitsTheNumberOfAttempts) {
   for (int i = 0; i < 3; ++i) {
     EXPECT_TRUE(may_attempt("b"));
     add_ended(AttemptOutcome::overloaded);
@@ -72,7 +72,7 @@
   EXPECT_TRUE(may_attempt("b"));
 }
 
-TEST_F(RetryPolicyTest, AtMostOnceIsRetriedOnlyIfItNeverRan) {
+TEST_F(RetryPolicyTest, RetriesAnAtMostOnceRequestOnlyIfItNeverRan) {
   request_class().retry_safety = RetrySafety::at_most_once;
   add_ended(AttemptOutcome::overloaded);
   EXPECT_TRUE(may_attempt("b"));
@@ -82,7 +82,7 @@
   EXPECT_FALSE(RetryPolicy::may_reject(tracked));
 }
 
-TEST_F(RetryPolicyTest, KeyedOneStaysInItsScope) {
+TEST_F(RetryPolicyTest, RetriesAKeyedRequestOnlyWithinItsScope) {
   request_class().retry_safety = RetrySafety::keyed;
   request_class().deduplication_span = 10 * one_second;
   add_ended(AttemptOutcome::connection_lost);
@@ -98,7 +98,7 @@
   EXPECT_FALSE(may_attempt("b"));
 }
 
-TEST_F(RetryPolicyTest, KeyedOneIsRetriedOnlyWhileItsKeyIsRemembered) {
+TEST_F(RetryPolicyTest, RetriesAKeyedRequestOnlyWhileItsKeyIsRemembered) {
   request_class().retry_safety = RetrySafety::keyed;
   request_class().deduplication_span = one_second;
   add_ended(AttemptOutcome::error, now - one_second + Duration{41});
@@ -107,34 +107,34 @@
   EXPECT_FALSE(may_attempt("a"));
 }
 
-TEST_F(RetryPolicyTest, PatienceIsSixResponseTimesAndTheLoadsAndShortAtAnEjectedEndpoint) {
+TEST_F(RetryPolicyTest, OverdueDelayIsSixResponseTimesAndTheLoadsAndShorterAtAnEjectedEndpoint) {
   function.load_time_stated(Duration{1'000});
   const Attempt cold{.endpoint = "a"};
   const Attempt warm{.endpoint = "a", .copy_confirmed = true};
   EndpointRecord& record = endpoints.at("a");
-  EXPECT_EQ(retries.patience(key(), cold, record), Duration{600 + 2 * 1'000 + 2 * 40});
-  EXPECT_EQ(retries.patience(key(), warm, record), Duration{600 + 1'000 + 2 * 40});
+  EXPECT_EQ(retries.overdue_delay(key(), cold, record), Duration{600 + 2 * 1'000 + 2 * 40});
+  EXPECT_EQ(retries.overdue_delay(key(), warm, record), Duration{600 + 1'000 + 2 * 40});
   OutlierDetection outliers(observation);
   outliers.observe_fleet({.serving = 3});
   while (!record.outlier.ejected()) outliers.attempt_judged(now, true, record.outlier, record.history);
-  EXPECT_EQ(retries.patience(key(), warm, record), Duration{300 + 2 * 40});
+  EXPECT_EQ(retries.overdue_delay(key(), warm, record), Duration{300 + 2 * 40});
 }
 
-TEST_F(RetryPolicyTest, AttemptIsOverdueOnceItsPatienceIsOver) {
+TEST_F(RetryPolicyTest, AttemptIsOverdueOnceItsOverdueDelayHasPassed) {
   const EndpointRecord& record = endpoints.at("a");
   const Attempt attempt{.endpoint = "a", .sent = now, .copy_confirmed = true};
-  const Timestamp over = now + retries.patience(key(), attempt, record);
-  EXPECT_FALSE(retries.overdue(over - Duration{1}, key(), attempt, record));
-  EXPECT_TRUE(retries.overdue(over, key(), attempt, record));
+  const Timestamp overdue_at = now + retries.overdue_delay(key(), attempt, record);
+  EXPECT_FALSE(retries.is_overdue(overdue_at - Duration{1}, key(), attempt, record));
+  EXPECT_TRUE(retries.is_overdue(overdue_at, key(), attempt, record));
 }
 
-TEST_F(RetryPolicyTest, AttemptOutlastsAfterHalfAResponseTime) {
+TEST_F(RetryPolicyTest, AttemptIsLongRunningAfterHalfAResponseTime) {
   const Attempt attempt{.endpoint = "a", .sent = now};
-  EXPECT_FALSE(retries.outlasts(now + Duration{50}, key(), attempt));
-  EXPECT_TRUE(retries.outlasts(now + Duration{51}, key(), attempt));
+  EXPECT_FALSE(retries.is_long_running(now + Duration{50}, key(), attempt));
+  EXPECT_TRUE(retries.is_long_running(now + Duration{51}, key(), attempt));
 }
 
-TEST_F(RetryPolicyTest, OverdueOneIsHedgedOrCancelledAsIsPermitted) {
+TEST_F(RetryPolicyTest, HedgesOrCancelsAnOverdueAttemptAsConfigured) {
   tracked.attempts.push_back({.endpoint = "a"});
   EXPECT_EQ(retries.overdue_action(tracked), OverdueAction::cancel);
   configuration.retries.hedging = true;
@@ -143,7 +143,7 @@
   EXPECT_EQ(retries.overdue_action(tracked), OverdueAction::none);
 }
 
-TEST_F(RetryPolicyTest, OverdueOneStaysWhereARepetitionMayHaveAnEffect) {
+TEST_F(RetryPolicyTest, LeavesAnOverdueAttemptIfARetryMayRepeatItsEffect) {
   request_class().retry_safety = RetrySafety::at_most_once;
   EXPECT_EQ(retries.overdue_action(tracked), OverdueAction::none);
   request_class().retry_safety = RetrySafety::keyed;
@@ -152,10 +152,10 @@
   EXPECT_EQ(retries.overdue_action(tracked), OverdueAction::none);
 }
 
-TEST_F(RetryPolicyTest, BudgetOfOverdueOnesIsSpentAndEarnedBySuccesses) {
+TEST_F(RetryPolicyTest, OverdueBudgetIsSpentByOverdueAttemptsAndEarnedBySuccesses) {
   for (int i = 0; i < 5; ++i) {
     EXPECT_EQ(retries.overdue_action(tracked), OverdueAction::cancel);
-    retries.overdue_moved();
+    retries.spend_overdue_budget();
   }
   EXPECT_EQ(retries.overdue_action(tracked), OverdueAction::none);
   for (int i = 0; i < 11; ++i) retries.attempt_succeeded();
--- a/tests/routing/routing_parts_fixture.h
+++ b/tests/routing/routing_parts_fixture.h
@@ -1,4 +1,5 @@
-// The parts of a policy with a host that notes what they ask for, and endpoints "a" to "c" on the list.
+// The parts of a routing policy with a host that records their calls, and with endpoints "a" to "c" on the
+// list.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -48,7 +49,7 @@
     TrackedRequest& tracked = parts.requests.add({.id = id, .request_class = "lookup", .function = function});
     tracked.class_estimate = &parts.estimates.of_class("lookup");
     tracked.objective = start + one_second;
-    tracked.limit = start + 3 * one_second;
+    tracked.answer_deadline = start + 3 * one_second;
     return tracked;
   }
   EndpointRecord& endpoint(const EndpointId& id) { return parts.endpoints.at(id); }
--- a/tests/routing/routing_policy_overload_test.cpp
+++ b/tests/routing/routing_policy_overload_test.cpp
@@ -1,4 +1,6 @@
-// What the policy as a whole rejects in an overload.
+// The whole routing policy sheds requests in an overload, and only then: it must reject early what would be
+// late, and must not mistake single slow or silent endpoints for an overload. A fake host records what the
+// policy does.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,135 +14,138 @@
 namespace rushhill {
 namespace {
 
-TEST(Overload, WhatItsClientWouldNotWaitForIsShedAtOnce) {
-  Story story;
-  story.start(4);
-  for (int i = 0; i < 60; ++i) story.honour("f");  // a tenth of a second each
-  const RequestId hasty = story.event("f", second / 20);
-  EXPECT_EQ(story.shots_of(hasty), 0);
-  EXPECT_EQ(story.host.sheds.size(), 1U);
-  EXPECT_EQ(story.shots_of(story.event("f", second / 2)), 1);
+TEST(RoutingPolicyOverload, ShedsARequestThatCannotBeAnsweredBeforeItsClientLeaves) {
+  Story harness;
+  harness.start(4);
+  for (int i = 0; i < 60; ++i) harness.honour("f");  // a tenth of a second each
+  const RequestId short_lived = harness.event("f", second / 20);
+  EXPECT_EQ(harness.shots_of(short_lived), 0);
+  EXPECT_EQ(harness.host.sheds.size(), 1U);
+  EXPECT_EQ(harness.shots_of(harness.event("f", second / 2)), 1);
 }
 
-TEST(Overload, CrowdedCopiesShedAPartAtOnce) {
-  Story story;
-  story.start(4);
-  for (int i = 0; i < 60; ++i) story.honour("f", "", 6 * second / 10);
-  EXPECT_TRUE(story.host.sheds.empty());
+TEST(RoutingPolicyOverload, ShedsAShareOfTheRequestsWhenLoadedCopiesAreSlow) {
+  Story harness;
+  harness.start(4);
+  for (int i = 0; i < 60; ++i) harness.honour("f", "", 6 * second / 10);
+  EXPECT_TRUE(harness.host.sheds.empty());
   for (int i = 0; i < 30; ++i) {
-    const RequestId id = story.event("f");
-    story.pass(second / 10);
-    if (story.shots_of(id) > 0) story.end(id, AttemptOutcome::succeeded, CopyState::loaded, 8 * second / 10);
+    const RequestId id = harness.event("f");
+    harness.pass(second / 10);
+    if (harness.shots_of(id) > 0)
+      harness.end(id, AttemptOutcome::succeeded, CopyState::loaded, 8 * second / 10);
   }
-  EXPECT_GE(story.host.sheds.size(), 5U);
-  EXPECT_LE(story.host.sheds.size(), 29U);
+  EXPECT_GE(harness.host.sheds.size(), 5U);
+  EXPECT_LE(harness.host.sheds.size(), 29U);
 }
 
-// The servers answer forty requests a second, each in a tenth of one, in their order; from now on twice as
-// many come.
-struct Crowd : Story {
-  void begin() {
+// A fleet that answers 40 requests a second in the order of arrival. At that rate each takes a tenth of a
+// second.
+struct LoadedFleet : Story {
+  void start_at_capacity() {
     start(12);
-    come(200, "quiet", 1);
+    receive_requests(200, "quiet", 1);
   }
-  void come(int requests, const std::string& tenant, int for_each_answer) {
+  // Receives `for_each_answer` requests for each answer: 1 is the fleet's capacity, 2 is twice as many.
+  void receive_requests(int requests, const std::string& tenant, int for_each_answer) {
     for (int i = 0; i < requests; ++i) {
       const RequestId id = event("f" + std::to_string(i % 6), 3 * second, tenant);
-      if (shots_of(id) > 0) queue.push_back({id, now});
+      if (shots_of(id) > 0) open_requests.push_back({id, now});
       pass(second / 40 / for_each_answer);
-      if (i % for_each_answer != 0 || queue.size() < 4) continue;
-      const auto [first, sent] = queue.front();
-      queue.erase(queue.begin());
+      if (i % for_each_answer != 0 || open_requests.size() < 4) continue;
+      const auto [first, sent] = open_requests.front();
+      open_requests.erase(open_requests.begin());
       end(first, AttemptOutcome::succeeded, CopyState::loaded, now - sent);
     }
   }
-  std::vector<std::pair<RequestId, Time>> queue;
+  std::vector<std::pair<RequestId, Time>> open_requests;
 };
 
-TEST(Overload, CrowdIsSeenInWhatIsOutBeforeAnAnswerIsLate) {
-  Crowd story;
-  story.begin();
-  ASSERT_TRUE(story.host.sheds.empty());
-  story.come(240, "quiet", 2);
-  EXPECT_LE(story.queue.size(), 40U);  // answered within a second, which is the due time
-  EXPECT_GE(story.queue.size(), 10U);
+TEST(RoutingPolicyOverload, OpenRequestsShowAnOverloadBeforeAnAnswerIsLate) {
+  LoadedFleet fleet;
+  fleet.start_at_capacity();
+  ASSERT_TRUE(fleet.host.sheds.empty());
+  fleet.receive_requests(240, "quiet", 2);
+  EXPECT_LE(fleet.open_requests.size(), 40U);  // answered within a second, the latency objective
+  EXPECT_GE(fleet.open_requests.size(), 10U);
 }
 
-// What lies beyond a share is worth little, and a queue of it delays the rest.
-TEST(Overload, WhatIsBeyondAShareGivesWayToTheRestInACrowd) {
-  Crowd story;
-  story.deployment.request_classes[0].latency_objective = to_duration(2 * second);
-  story.deployment.routers = 1;
-  story.deployment.over_quota_value = 0.05;
-  story.deployment.tenants.push_back({.name = "loud", .share = 0.5, .quota_per_s = 1});
-  story.deployment.tenants.push_back({.name = "quiet", .share = 0.5, .quota_per_s = 1000});
-  story.begin();
-  story.come(240, "loud", 2);
-  EXPECT_LE(story.queue.size(), 20U);
-  const std::size_t shots = story.host.shots.size();
-  story.event("f1", 3 * second, "quiet");
-  EXPECT_EQ(story.host.shots.size(), shots + 1);
+// Requests beyond a quota are worth little, but a queue of them would delay the requests of other tenants.
+TEST(RoutingPolicyOverload, ShedsRequestsBeyondAQuotaFirst) {
+  LoadedFleet fleet;
+  fleet.deployment.request_classes[0].latency_objective = to_duration(2 * second);
+  fleet.deployment.routers = 1;
+  fleet.deployment.over_quota_value = 0.05;
+  fleet.deployment.tenants.push_back({.name = "loud", .share = 0.5, .quota_per_s = 1});
+  fleet.deployment.tenants.push_back({.name = "quiet", .share = 0.5, .quota_per_s = 1000});
+  fleet.start_at_capacity();
+  fleet.receive_requests(240, "loud", 2);
+  EXPECT_LE(fleet.open_requests.size(), 20U);
+  const std::size_t attempts_before = fleet.host.shots.size();
+  fleet.event("f1", 3 * second, "quiet");
+  EXPECT_EQ(fleet.host.shots.size(), attempts_before + 1);
 }
 
-// What hangs at a server gone silent is no crowd: the others are as free as before.
-TEST(Overload, RequestsOutAtASilentServerShedNothingElsewhere) {
-  Story story;
-  story.start(12);
-  for (int i = 0; i < 60; ++i) story.honour("f" + std::to_string(i % 6));
-  for (int i = 0; i < 8; ++i) story.event("g", 60 * second);  // never answered
-  story.pass(2 * second);
-  const std::size_t before = story.host.sheds.size();
-  for (int i = 0; i < 60; ++i) story.honour("f" + std::to_string(i % 6));
-  EXPECT_EQ(story.host.sheds.size(), before);
+// Requests that are stuck at a silent endpoint are no overload, because the other endpoints are as free as
+// before.
+TEST(RoutingPolicyOverload, RequestsAtASilentEndpointCauseNoShedding) {
+  Story harness;
+  harness.start(12);
+  for (int i = 0; i < 60; ++i) harness.honour("f" + std::to_string(i % 6));
+  for (int i = 0; i < 8; ++i) harness.event("g", 60 * second);  // never answered
+  harness.pass(2 * second);
+  const std::size_t before = harness.host.sheds.size();
+  for (int i = 0; i < 60; ++i) harness.honour("f" + std::to_string(i % 6));
+  EXPECT_EQ(harness.host.sheds.size(), before);
 }
 
-// Seen on sockets where a router has few servers and one is sick: what hung there was taken for a crowd.
-TEST(Overload, WhatHangsAtOneSickServerShedsNothingElsewhere) {
-  Story story;
-  story.deployment.routers = 1;
-  story.deployment.over_quota_value = 0.05;
-  story.deployment.tenants.push_back({.name = "loud", .share = 0.5, .quota_per_s = 0.001});
-  story.start(12);
-  for (int i = 0; i < 60; ++i) story.honour("f" + std::to_string(i % 6));
-  int hung = 0;
-  for (int i = 0; i < 2'000 && hung < 12; ++i) {
-    const RequestId id = story.event("g" + std::to_string(i), 60 * second);
-    if (story.server_of(id) == "a") {
-      ++hung;
-    } else if (story.shots_of(id) > 0) {
-      story.end(id, AttemptOutcome::succeeded);
+// At a router with few endpoints, the requests stuck at one faulty endpoint were taken for an overload.
+TEST(RoutingPolicyOverload, RequestsStuckAtOneFaultyEndpointCauseNoShedding) {
+  Story harness;
+  harness.deployment.routers = 1;
+  harness.deployment.over_quota_value = 0.05;
+  harness.deployment.tenants.push_back({.name = "loud", .share = 0.5, .quota_per_s = 0.001});
+  harness.start(12);
+  for (int i = 0; i < 60; ++i) harness.honour("f" + std::to_string(i % 6));
+  int stuck = 0;
+  for (int i = 0; i < 2'000 && stuck < 12; ++i) {
+    const RequestId id = harness.event("g" + std::to_string(i), 60 * second);
+    if (harness.server_of(id) == "a") {
+      ++stuck;
+    } else if (harness.shots_of(id) > 0) {
+      harness.end(id, AttemptOutcome::succeeded);
     }
   }
-  ASSERT_GE(hung, 8);
-  story.pass(3 * second / 10);  // longer than usual, not yet overdue
-  const std::size_t before = story.host.sheds.size();
-  for (int i = 0; i < 4; ++i) story.event("f" + std::to_string(i), 3 * second, "loud");
-  EXPECT_EQ(story.host.sheds.size(), before);
+  ASSERT_GE(stuck, 8);
+  harness.pass(3 * second / 10);  // longer than usual, not yet overdue
+  const std::size_t before = harness.host.sheds.size();
+  for (int i = 0; i < 4; ++i) harness.event("f" + std::to_string(i), 3 * second, "loud");
+  EXPECT_EQ(harness.host.sheds.size(), before);
 }
 
-TEST(Overload, PartOfAQuotaUnderOneEventIsNotBeyondIt) {
-  Story story;
-  story.deployment.routers = 200;
-  story.deployment.tenants.push_back({.name = "small", .share = 1, .quota_per_s = 100});
-  story.start(0);
+TEST(RoutingPolicyOverload, RequestsWithinAQuotaOfLessThanOneASecondAreNotBeyondIt) {
+  Story harness;
+  harness.deployment.routers = 200;
+  harness.deployment.tenants.push_back({.name = "small", .share = 1, .quota_per_s = 100});
+  harness.start(0);
   for (int i = 0; i < 4; ++i) {
-    const std::size_t before = story.host.sheds.size();
-    story.event("f", 3 * second, "small");  // nobody may take it: within its share it waits
-    EXPECT_EQ(story.host.sheds.size(), before);
-    story.pass(2 * second);
+    const std::size_t before = harness.host.sheds.size();
+    harness.event("f", 3 * second, "small");  // no endpoint exists, so a request within its quota waits
+    EXPECT_EQ(harness.host.sheds.size(), before);
+    harness.pass(2 * second);
   }
 }
 
-TEST(Overload, OverdueShotsAreNotAllDoubled) {
-  Story story;
-  story.deployment.retries.hedging = true;
-  story.start(8);
-  story.others(100);
-  const std::size_t before = story.host.shots.size();
-  for (int i = 0; i < 60; ++i) story.event("f" + std::to_string(i), 20 * second);
-  story.pass(10 * second);
-  EXPECT_GT(story.host.shots.size(), before + 60);
-  EXPECT_LE(story.host.shots.size(), before + 60 + 20);
+TEST(RoutingPolicyOverload, HedgesOnlyAFewOverdueAttempts) {
+  Story harness;
+  harness.deployment.retries.hedging = true;
+  harness.start(8);
+  harness.others(100);
+  const std::size_t before = harness.host.shots.size();
+  for (int i = 0; i < 60; ++i) harness.event("f" + std::to_string(i), 20 * second);
+  harness.pass(10 * second);
+  EXPECT_GT(harness.host.shots.size(), before + 60);
+  EXPECT_LE(harness.host.shots.size(), before + 60 + 20);
 }
 
 }  // namespace
--- a/tests/routing/routing_policy_rules_test.cpp
+++ b/tests/routing/routing_policy_rules_test.cpp
@@ -1,4 +1,5 @@
-// The five rules, kept by the policy as a whole.
+// The whole routing policy keeps its five rules (docs/design.md, "Five rules"). A fake host records what it
+// does.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,215 +13,220 @@
 namespace rushhill {
 namespace {
 
-TEST(Rule1, UnansweredEventIsFinishedOnceBeforeItsClientLeaves) {
-  Story story;
-  story.start(1);
-  const RequestId id = story.event("f", second);
-  story.pass(second - to_ticks(story.deployment.tick));
-  EXPECT_EQ(story.finals(), 1U);
-  story.end(id, AttemptOutcome::unanswered);
-  story.pass(5 * second);
-  EXPECT_EQ(story.finals(), 1U);
-  EXPECT_EQ(story.shots_of(id), 1);
+TEST(Rule1FinalAnswer, EndsAnUnansweredRequestOnceBeforeItsClientLeaves) {
+  Story harness;
+  harness.start(1);
+  const RequestId id = harness.event("f", second);
+  harness.pass(second - to_ticks(harness.deployment.tick));
+  EXPECT_EQ(harness.finals(), 1U);
+  harness.end(id, AttemptOutcome::unanswered);
+  harness.pass(5 * second);
+  EXPECT_EQ(harness.finals(), 1U);
+  EXPECT_EQ(harness.shots_of(id), 1);
 }
 
-TEST(Rule1, NoServerStillGivesAFinalAnswer) {
-  Story story;
-  story.start(0);
-  story.event("f", second);
-  story.pass(second);
-  EXPECT_EQ(story.finals(), 1U);
+TEST(Rule1FinalAnswer, EndsARequestEvenIfThereIsNoEndpoint) {
+  Story harness;
+  harness.start(0);
+  harness.event("f", second);
+  harness.pass(second);
+  EXPECT_EQ(harness.finals(), 1U);
 }
 
-TEST(Rule2, AtMostOnceGoesAgainOnlyWhenItNeverRan) {
-  Story story;
-  story.deployment.request_classes[0].retry_safety = RetrySafety::at_most_once;
-  story.start(4);
-  const RequestId refused = story.event("f");
-  story.end(refused, AttemptOutcome::overloaded);
-  EXPECT_EQ(story.shots_of(refused), 2);
-  story.end(refused, AttemptOutcome::error);
-  EXPECT_EQ(story.shots_of(refused), 2);
-  EXPECT_TRUE(story.host.sheds.empty());
-  EXPECT_EQ(story.host.abandoned.size(), 1U);
+TEST(Rule2RetrySafety, RetriesAnAtMostOnceRequestOnlyIfItNeverRan) {
+  Story harness;
+  harness.deployment.request_classes[0].retry_safety = RetrySafety::at_most_once;
+  harness.start(4);
+  const RequestId request = harness.event("f");
+  harness.end(request, AttemptOutcome::overloaded);
+  EXPECT_EQ(harness.shots_of(request), 2);
+  harness.end(request, AttemptOutcome::error);
+  EXPECT_EQ(harness.shots_of(request), 2);
+  EXPECT_TRUE(harness.host.sheds.empty());
+  EXPECT_EQ(harness.host.abandoned.size(), 1U);
 }
 
-TEST(Rule2, NumberedStaysInItsGroupAndSpan) {
-  Story story;
-  RequestClass& type = story.deployment.request_classes[0];
-  type.retry_safety = RetrySafety::keyed;
-  type.deduplication_scope = DeduplicationScope::location;
-  type.deduplication_span = to_duration(second / 2);
-  story.start(0);
+TEST(Rule2RetrySafety, RetriesAKeyedRequestOnlyWithinItsScopeAndSpan) {
+  Story harness;
+  RequestClass& request_class = harness.deployment.request_classes[0];
+  request_class.retry_safety = RetrySafety::keyed;
+  request_class.deduplication_scope = DeduplicationScope::location;
+  request_class.deduplication_span = to_duration(second / 2);
+  harness.start(0);
   for (const char* id : {"a", "b", "c", "d"})
-    story.change({.id = id, .location = id[0] < 'c' ? "left" : "right"});
-  const RequestId id = story.event("f");
-  const bool left = story.server_of(id) < "c";
-  story.end(id, AttemptOutcome::connection_lost);
-  ASSERT_EQ(story.shots_of(id), 2);
-  EXPECT_EQ(story.server_of(id) < "c", left);
-  story.pass(second);
-  story.end(id, AttemptOutcome::connection_lost);
-  EXPECT_EQ(story.shots_of(id), 2);
-  EXPECT_EQ(story.host.abandoned.size(), 1U);
+    harness.change({.id = id, .location = id[0] < 'c' ? "left" : "right"});
+  const RequestId id = harness.event("f");
+  const bool sent_left = harness.server_of(id) < "c";
+  harness.end(id, AttemptOutcome::connection_lost);
+  ASSERT_EQ(harness.shots_of(id), 2);
+  EXPECT_EQ(harness.server_of(id) < "c", sent_left);
+  harness.pass(second);
+  harness.end(id, AttemptOutcome::connection_lost);
+  EXPECT_EQ(harness.shots_of(id), 2);
+  EXPECT_EQ(harness.host.abandoned.size(), 1U);
 }
 
-TEST(Rule2, NoSecondCopyWhereNotPermitted) {
-  Story story;
-  story.start(4);
-  const RequestId id = story.event("f", 6 * second);
-  story.pass(4 * second);
-  EXPECT_EQ(story.shots_of(id), 1);
-  EXPECT_FALSE(story.host.called_off.empty());
-  story.end(id, AttemptOutcome::cancelled);
-  EXPECT_EQ(story.shots_of(id), 2);
+TEST(Rule2RetrySafety, SendsNoHedgedRequestIfHedgingIsOff) {
+  Story harness;
+  harness.start(4);
+  const RequestId id = harness.event("f", 6 * second);
+  harness.pass(4 * second);
+  EXPECT_EQ(harness.shots_of(id), 1);
+  EXPECT_FALSE(harness.host.called_off.empty());
+  harness.end(id, AttemptOutcome::cancelled);
+  EXPECT_EQ(harness.shots_of(id), 2);
 }
 
-TEST(Rule3, DrainingServerGetsNothing) {
-  Story story;
-  story.start(3);
-  const EndpointId home = story.honour("f");
-  const int before = story.shots_at(home);
-  story.change({.id = home, .state = EndpointState::draining});
-  for (int i = 0; i < 10; ++i) story.honour("f");
-  EXPECT_EQ(story.shots_at(home), before);
+TEST(Rule3Draining, SendsNothingToADrainingEndpoint) {
+  Story harness;
+  harness.start(3);
+  const EndpointId preferred_endpoint = harness.honour("f");
+  const int before = harness.shots_at(preferred_endpoint);
+  harness.change({.id = preferred_endpoint, .state = EndpointState::draining});
+  for (int i = 0; i < 10; ++i) harness.honour("f");
+  EXPECT_EQ(harness.shots_at(preferred_endpoint), before);
 }
 
-TEST(Rule4, ColdServerStaysWithinThisRoutersPart) {
-  Story story;
-  story.start(1);
-  for (int i = 0; i < 50; ++i) story.honour("f");  // ten events a second, a tenth of a second each
-  story.change({.id = "b", .started = to_timestamp(story.now)});
-  story.change({.id = "a", .state = EndpointState::draining});
-  for (int i = 0; i < 40; ++i) story.event("g", second);
-  // Twice a fifth of what a warm server bore, over one second: four events, less the margin.
-  EXPECT_GE(story.shots_at("b"), 3);
-  EXPECT_LE(story.shots_at("b"), 4);
+TEST(Rule4SlowStart, LimitsAColdEndpointToThisRoutersShareOfTheBudget) {
+  Story harness;
+  harness.start(1);
+  for (int i = 0; i < 50; ++i) harness.honour("f");  // ten requests a second, a tenth of a second each
+  harness.change({.id = "b", .started = to_timestamp(harness.now)});
+  harness.change({.id = "a", .state = EndpointState::draining});
+  for (int i = 0; i < 40; ++i) harness.event("g", second);
+  // The budget is twice a fifth of a warm endpoint's ten requests a second: four requests, less the margin.
+  EXPECT_GE(harness.shots_at("b"), 3);
+  EXPECT_LE(harness.shots_at("b"), 4);
 }
 
-// Seen on three hundred routers: new servers' cores stood four fifths idle while the old ones were full.
-TEST(Rule4, PartOfAColdServerIsLargerWhereServersReportIdleCores) {
-  Story story;
-  story.deployment.reports.probes = story.deployment.reports.gossip = true;
-  story.start(1);
-  for (int i = 0; i < 50; ++i) story.honour("f");
-  for (int i = 0; i < 50; ++i) story.router->gossip_received(to_timestamp(story.now), 1, "a u25");
-  story.change({.id = "b", .started = to_timestamp(story.now)});
-  story.change({.id = "a", .state = EndpointState::draining});
-  for (int i = 0; i < 40; ++i) story.event("g", second);
-  EXPECT_GE(story.shots_at("b"), 6) << "twice as many: a quarter busy, half of the fleet is kept as a margin";
-  EXPECT_LE(story.shots_at("b"), 8);
+// With 300 routers, the cores of new endpoints were four fifths idle while the old endpoints were full.
+TEST(Rule4SlowStart, BudgetOfAColdEndpointIsLargerIfEndpointsReportIdleCores) {
+  Story harness;
+  harness.deployment.reports.probes = harness.deployment.reports.gossip = true;
+  harness.start(1);
+  for (int i = 0; i < 50; ++i) harness.honour("f");
+  for (int i = 0; i < 50; ++i) harness.router->gossip_received(to_timestamp(harness.now), 1, "a u25");
+  harness.change({.id = "b", .started = to_timestamp(harness.now)});
+  harness.change({.id = "a", .state = EndpointState::draining});
+  for (int i = 0; i < 40; ++i) harness.event("g", second);
+  EXPECT_GE(harness.shots_at("b"), 6) << "the budget doubles: the warm endpoint reports a quarter of its "
+                                         "cores busy, and the factor is limited to 2";
+  EXPECT_LE(harness.shots_at("b"), 8);
 }
 
-// One event is more than one router's part: each must take its turn, and together they must not take more.
-TEST(Rule4, PartsUnderOneEventAddUpOverTheRouters) {
-  int shots = 0;
-  for (int me = 0; me < 100; ++me) {
-    Story story;
-    story.deployment.routers = 100;
-    story.deployment.router_number = me;
-    story.seed = static_cast<std::uint64_t>(me);
-    story.last = 1000 * me;
-    story.start(4);
-    for (int i = 0; i < 100; ++i) story.honour("f" + std::to_string(i), "", 2 * second / 10);
-    story.change({.id = "x", .started = to_timestamp(story.now)});
-    for (int i = 0; i < 5; ++i) story.honour("g" + std::to_string(i), "", 2 * second / 10);
-    shots += story.shots_at("x");
+// One request is more than a router's share of the budget. The routers must use it in turn, and together they
+// must not exceed it.
+TEST(Rule4SlowStart, SharesBelowOneRequestAddUpOverTheRouters) {
+  int attempts = 0;
+  for (int router_number = 0; router_number < 100; ++router_number) {
+    Story harness;
+    harness.deployment.routers = 100;
+    harness.deployment.router_number = router_number;
+    harness.seed = static_cast<std::uint64_t>(router_number);
+    harness.last = 1000 * router_number;
+    harness.start(4);
+    for (int i = 0; i < 100; ++i) harness.honour("f" + std::to_string(i), "", 2 * second / 10);
+    harness.change({.id = "x", .started = to_timestamp(harness.now)});
+    for (int i = 0; i < 5; ++i) harness.honour("g" + std::to_string(i), "", 2 * second / 10);
+    attempts += harness.shots_at("x");
   }
-  // An even share of the routers' events is 125 in that second; twice a fifth of it is 50.
-  EXPECT_GE(shots, 10);
-  EXPECT_LE(shots, 50);
+  // The endpoint's even share of all requests is 125 in that second. The budget is twice a fifth of that, 50.
+  EXPECT_GE(attempts, 10);
+  EXPECT_LE(attempts, 50);
 }
 
-TEST(Rule4, ServerThatDiedIsColdBeforeTheRosterSaysSo) {
-  Story story;
-  story.deployment.reports.gossip = true;
-  story.start(2);
-  for (int i = 0; i < 50; ++i) story.honour("f");
-  story.router->gossip_received(to_timestamp(story.now), 1, "a");
-  const int before = story.shots_at("a");
-  for (int i = 0; i < 20; ++i) story.event("f");
-  EXPECT_LE(story.shots_at("a") - before, 4);
-  // Of one that has answered just now, only all of its connections in a row tell.
-  const RequestId first = story.event("f"), next = story.event("f"), last = story.event("f");
-  ASSERT_EQ(story.server_of(last), "b");
-  story.end(first, AttemptOutcome::connection_lost);
-  story.end(next, AttemptOutcome::connection_lost);
-  story.end(last, AttemptOutcome::connection_lost);
-  EXPECT_EQ(story.host.told, (std::vector<std::string>{"b c", "b c", "b"}));
+TEST(Rule4SlowStart, EndpointThatDiedIsColdBeforeTheEndpointListSaysSo) {
+  Story harness;
+  harness.deployment.reports.gossip = true;
+  harness.start(2);
+  for (int i = 0; i < 50; ++i) harness.honour("f");
+  harness.router->gossip_received(to_timestamp(harness.now), 1, "a");
+  const int before = harness.shots_at("a");
+  for (int i = 0; i < 20; ++i) harness.event("f");
+  EXPECT_LE(harness.shots_at("a") - before, 4);
+  // An endpoint that has just answered counts as dead only after several lost connections in a row.
+  const RequestId first = harness.event("f"), next = harness.event("f"), last = harness.event("f");
+  ASSERT_EQ(harness.server_of(last), "b");
+  harness.end(first, AttemptOutcome::connection_lost);
+  harness.end(next, AttemptOutcome::connection_lost);
+  harness.end(last, AttemptOutcome::connection_lost);
+  EXPECT_EQ(harness.host.told, (std::vector<std::string>{"b c", "b c", "b"}));
 }
 
-TEST(Rule4, ServerLongUnheardThatRefusesConnectionsHasDied) {
-  Story story;
-  story.deployment.reports.gossip = true;
-  story.start(1);
-  story.honour("f");
-  story.pass(2 * second);
-  story.end(story.event("f"), AttemptOutcome::connect_failed, CopyState::unknown, 1);
-  EXPECT_EQ(story.host.told, std::vector<std::string>{"a"});
+TEST(Rule4SlowStart, LongSilentEndpointThatRefusesAConnectionHasDied) {
+  Story harness;
+  harness.deployment.reports.gossip = true;
+  harness.start(1);
+  harness.honour("f");
+  harness.pass(2 * second);
+  harness.end(harness.event("f"), AttemptOutcome::connect_failed, CopyState::unknown, 1);
+  EXPECT_EQ(harness.host.told, std::vector<std::string>{"a"});
 }
 
-TEST(Rule4, ServerLongUnheardThatLosesAConnectionHasDiedWhereNoPeerCanTell) {
-  Story story;
-  story.start(1);
-  for (int i = 0; i < 50; ++i) story.honour("f");
-  story.pass(2 * second);
-  const int before = story.shots_at("a");
-  story.end(story.event("f"), AttemptOutcome::connection_lost);
-  for (int i = 0; i < 20; ++i) story.event("f");
-  EXPECT_LE(story.shots_at("a") - before, 1 + 4);
+TEST(Rule4SlowStart, LongSilentEndpointThatLosesAConnectionHasDiedIfThereIsNoGossip) {
+  Story harness;
+  harness.start(1);
+  for (int i = 0; i < 50; ++i) harness.honour("f");
+  harness.pass(2 * second);
+  const int before = harness.shots_at("a");
+  harness.end(harness.event("f"), AttemptOutcome::connection_lost);
+  for (int i = 0; i < 20; ++i) harness.event("f");
+  EXPECT_LE(harness.shots_at("a") - before, 1 + 4);
 }
 
-// Seen on three hundred routers: none had heard of a server in the last second, so that each took one cut
-// connection for its death and told all: within ten seconds nearly every server was held for cold.
-TEST(Rule4, OneConnectionLostAtEachOfThreeRoutersWithinASecondIsAServersDeath) {
-  Story story;
-  story.deployment.reports.gossip = true;
-  story.start(1);
-  for (int i = 0; i < 50; ++i) story.honour("f");
-  story.pass(2 * second);
-  const auto admitted = [&] {
-    const int before = story.shots_at("a");
-    for (int i = 0; i < 20; ++i) story.event("f");
-    return story.shots_at("a") - before;
+// With 300 routers, no router had an answer from a given endpoint within the last second, so each took one
+// lost connection for the endpoint's death and reported it to all. Within ten seconds nearly every endpoint
+// counted as cold. Here the router and its peers lose one connection each, first far apart and then within a
+// second.
+TEST(Rule4SlowStart, OneConnectionLostAtEachOfThreeRoutersWithinASecondIsADeath) {
+  Story harness;
+  harness.deployment.reports.gossip = true;
+  harness.start(1);
+  for (int i = 0; i < 50; ++i) harness.honour("f");
+  harness.pass(2 * second);
+  const auto count_admitted = [&] {
+    const int before = harness.shots_at("a");
+    for (int i = 0; i < 20; ++i) harness.event("f");
+    return harness.shots_at("a") - before;
   };
-  story.router->gossip_received(to_timestamp(story.now), 1, "a c");
-  story.pass(2 * second);
-  story.router->gossip_received(to_timestamp(story.now), 1, "a c");
-  story.end(story.event("f"), AttemptOutcome::connection_lost);
-  EXPECT_EQ(story.host.told, std::vector<std::string>{"a c"});
-  EXPECT_GE(admitted(), 15) << "two within a second, one long before";
-  story.router->gossip_received(to_timestamp(story.now), 1, "a c");
-  EXPECT_LE(admitted(), 4);
+  harness.router->gossip_received(to_timestamp(harness.now), 1, "a c");
+  harness.pass(2 * second);
+  harness.router->gossip_received(to_timestamp(harness.now), 1, "a c");
+  harness.end(harness.event("f"), AttemptOutcome::connection_lost);
+  EXPECT_EQ(harness.host.told, std::vector<std::string>{"a c"});
+  EXPECT_GE(count_admitted(), 15) << "only two connections were lost within a second, and one long before";
+  harness.router->gossip_received(to_timestamp(harness.now), 1, "a c");
+  EXPECT_LE(count_admitted(), 4);
 }
 
-TEST(Rule5, NothingIsOrderedBeforeTheRationOfEarlierLivesIsKnownAndItCounts) {
-  Story story;
-  story.deployment.copies.missing_is_answered = story.deployment.load_budget.restored_after_restart = true;
-  story.deployment.load_budget.window = to_duration(5 * second);
-  story.deployment.load_budget.free_loads = 3;
-  story.start(6);
-  const auto misses = [&] {
+TEST(Rule5LoadBudget, OrdersNothingBeforeTheEarlierOrdersAreKnownAndCountsThem) {
+  Story harness;
+  harness.deployment.copies.missing_is_answered = harness.deployment.load_budget.restored_after_restart =
+      true;
+  harness.deployment.load_budget.window = to_duration(5 * second);
+  harness.deployment.load_budget.free_loads = 3;
+  harness.start(6);
+  const auto receive_missing_functions = [&] {
     for (const char* function : {"f", "g", "h", "i"})
-      story.end(story.event(function), AttemptOutcome::function_missing, CopyState::unknown);
+      harness.end(harness.event(function), AttemptOutcome::function_missing, CopyState::unknown);
   };
-  misses();
-  EXPECT_TRUE(story.host.orders.empty());
-  story.router->load_budget_restored(to_timestamp(story.now), 2);
-  misses();
-  EXPECT_EQ(story.host.orders.size(), 1U);
+  receive_missing_functions();
+  EXPECT_TRUE(harness.host.orders.empty());
+  harness.router->load_budget_restored(to_timestamp(harness.now), 2);
+  receive_missing_functions();
+  EXPECT_EQ(harness.host.orders.size(), 1U);
 }
 
-TEST(Rule5, OrdersStayWithinTheRation) {
-  Story story;
-  story.deployment.copies.missing_is_answered = true;
-  story.deployment.load_budget.window = to_duration(5 * second);
-  story.deployment.load_budget.free_loads = 2;
-  story.start(6);
+TEST(Rule5LoadBudget, OrdersStayWithinTheLoadBudget) {
+  Story harness;
+  harness.deployment.copies.missing_is_answered = true;
+  harness.deployment.load_budget.window = to_duration(5 * second);
+  harness.deployment.load_budget.free_loads = 2;
+  harness.start(6);
   for (const char* function : {"f", "g", "h", "i"}) {
-    story.end(story.event(function), AttemptOutcome::function_missing, CopyState::unknown);
+    harness.end(harness.event(function), AttemptOutcome::function_missing, CopyState::unknown);
   }
-  EXPECT_EQ(story.host.orders.size(), 2U);
+  EXPECT_EQ(harness.host.orders.size(), 2U);
 }
 
 }  // namespace
--- a/tests/routing/scorer_test.cpp
+++ b/tests/routing/scorer_test.cpp
@@ -7,7 +7,7 @@
 
 constexpr Timestamp now{100 * one_second};
 
-// A request of a function that takes 100 ticks and loads in 1,000.
+// Scores a request of a function with a response time of 100 ticks and a load time of 1,000.
 class ScorerTest : public ::testing::Test {
  protected:
   ScorerTest() {
@@ -37,43 +37,45 @@
   FunctionRecord function;
   EndpointRecord endpoint;
   BelievedCopy copy;
-  static constexpr double crossing = 0.2;  // over the load's price and half a priority weight
-  static constexpr double wait = 0.1;
+  // The configured cost of 0.2, divided by a load's cost of 0.5 + 0.5.
+  static constexpr double cross_location_cost = 0.2;
+  static constexpr double response_time_term = 0.1;
 };
 
-TEST_F(ScorerTest, LoadedCopyHereScoresOneAndTheCrossingLessItsWait) {
-  EXPECT_DOUBLE_EQ(score(believed()), 1 + crossing - wait);
+TEST_F(ScorerTest, LoadedCopyInTheSameLocationGainsTheCrossLocationCostLessItsResponseTime) {
+  EXPECT_DOUBLE_EQ(score(believed()), 1 + cross_location_cost - response_time_term);
 }
 
-TEST_F(ScorerTest, AnotherLocationCostsTheCrossing) {
+TEST_F(ScorerTest, EndpointInAnotherLocationDoesNotGainTheCrossLocationCost) {
   endpoint.endpoint.location = "there";
-  EXPECT_DOUBLE_EQ(score(believed()), 1 - wait);
+  EXPECT_DOUBLE_EQ(score(believed()), 1 - response_time_term);
 }
 
-TEST_F(ScorerTest, WithoutACopyAHomeScoresLessAndHalvesWithEachRank) {
-  EXPECT_DOUBLE_EQ(score({.endpoint = endpoint, .rank = 0}), 0.8 + crossing - wait);
-  EXPECT_DOUBLE_EQ(score({.endpoint = endpoint, .rank = 2}), 0.2 + crossing - wait);
+TEST_F(ScorerTest, WithoutACopyTheScoreHalvesWithEachRank) {
+  EXPECT_DOUBLE_EQ(score({.endpoint = endpoint, .rank = 0}), 0.8 + cross_location_cost - response_time_term);
+  EXPECT_DOUBLE_EQ(score({.endpoint = endpoint, .rank = 2}), 0.2 + cross_location_cost - response_time_term);
 }
 
-TEST_F(ScorerTest, AttemptsBeyondTheLanesCostALoadForEachFilledCopy) {
+TEST_F(ScorerTest, AttemptsBeyondTheLanesLowerTheScore) {
   for (int i = 0; i < 2; ++i) copy.attempt_sent(now, one_second);
-  EXPECT_DOUBLE_EQ(score(believed()), 1 + crossing - 0.5 - wait);
+  EXPECT_DOUBLE_EQ(score(believed()), 1 + cross_location_cost - 0.5 - response_time_term);
 }
 
-TEST_F(ScorerTest, EndpointThatFailsScoresLess) {
+TEST_F(ScorerTest, FailedAttemptsLowerTheScore) {
   endpoint.history.add_verdict(now, true);
-  EXPECT_DOUBLE_EQ(score(believed()), 1 + crossing - wait - 2 * (1 / 4.0));
+  EXPECT_DOUBLE_EQ(score(believed()), 1 + cross_location_cost - response_time_term - 2 * (1 / 4.0));
 }
 
-TEST_F(ScorerTest, WaitGrowsWithOpenAttemptsPaceAndSilence) {
-  EXPECT_DOUBLE_EQ(scorer.expected_wait(now, FractionalDuration{100}, endpoint).count(), 100);
+TEST_F(ScorerTest, ExpectedResponseTimeGrowsWithOpenAttemptsPaceAndSilence) {
+  EXPECT_DOUBLE_EQ(scorer.expected_response_time(now, FractionalDuration{100}, endpoint).count(), 100);
   endpoint.in_flight.sent();
-  EXPECT_DOUBLE_EQ(scorer.expected_wait(now, FractionalDuration{100}, endpoint).count(), 130);
+  EXPECT_DOUBLE_EQ(scorer.expected_response_time(now, FractionalDuration{100}, endpoint).count(), 130);
   for (int i = 0; i < 3; ++i) endpoint.history.add_pace(now, 3);
-  EXPECT_DOUBLE_EQ(scorer.expected_wait(now, FractionalDuration{100}, endpoint).count(), 260);
+  EXPECT_DOUBLE_EQ(scorer.expected_response_time(now, FractionalDuration{100}, endpoint).count(), 260);
   endpoint.liveness.attempt_sent(now - Duration{300});
-  EXPECT_DOUBLE_EQ(scorer.expected_wait(now, FractionalDuration{100}, endpoint).count(), 260);
-  EXPECT_DOUBLE_EQ(scorer.expected_wait(now + Duration{50}, FractionalDuration{100}, endpoint).count(), 310);
+  EXPECT_DOUBLE_EQ(scorer.expected_response_time(now, FractionalDuration{100}, endpoint).count(), 260);
+  EXPECT_DOUBLE_EQ(
+      scorer.expected_response_time(now + Duration{50}, FractionalDuration{100}, endpoint).count(), 310);
 }
 
 TEST_F(ScorerTest, TieBreakIsSmallAndFavoursLargerEndpoints) {
