--- a/src/node/configuration.cpp
+++ b/src/node/configuration.cpp
@@ -9,14 +9,15 @@
 namespace rushhill::node {
 namespace {
 
-constexpr std::size_t fewest_sockets = 32;  // descriptors; below that nothing can be served
+constexpr std::size_t min_sockets =
+    32;  // file descriptors; fewer leave too few connections to serve requests
 
-std::string address(const settings::Fields& fields, const char* name) {
+std::string address_field(const settings::Fields& fields, const char* name) {
   std::string text = fields.text(name);
   try {
     transport::numeric_address(text);
-  } catch (const std::invalid_argument& wrong) {
-    throw settings::BadField(std::string("field '") + name + "': " + wrong.what());
+  } catch (const std::invalid_argument& error) {
+    throw settings::BadField(std::string("field '") + name + "': " + error.what());
   }
   return text;
 }
@@ -29,13 +30,14 @@
   return seed;
 }
 
-// All that a reload does not change, as text. The list may have megabytes and is not copied.
-std::string fixed_part(const settings::Json& json) {
-  settings::Json fixed;
+// The configuration without the fields that a reload may change, as text. The endpoint list is left out, also
+// because it may take megabytes.
+std::string fixed_settings_of(const settings::Json& json) {
+  settings::Json remaining;
   for (const auto& [name, value] : json.items()) {
-    if (name != "board" && name != "known") fixed[name] = value;
+    if (name != "board" && name != "known") remaining[name] = value;
   }
-  return fixed.dump(-1, ' ', false, settings::Json::error_handler_t::replace);
+  return remaining.dump(-1, ' ', false, settings::Json::error_handler_t::replace);
 }
 
 }  // namespace
@@ -44,27 +46,27 @@
   const settings::Json json = settings::Json::parse(text, nullptr, false);
   if (json.is_discarded()) throw settings::BadField("not JSON");
   const settings::Fields fields(json);
-  Configuration read;
-  read.name = fields.text("name", "");
-  read.listen = address(fields, "listen");
-  read.seed = seed_of(fields.text("seed"));
+  Configuration configuration;
+  configuration.name = fields.text("name", "");
+  configuration.listen = address_field(fields, "listen");
+  configuration.seed = seed_of(fields.text("seed"));
   const settings::Fields limits = fields.object("limits");
   const std::int64_t sockets = limits.whole("sockets");
-  if (sockets < static_cast<std::int64_t>(fewest_sockets))
-    throw settings::BadField("field 'limits.sockets' is below " + std::to_string(fewest_sockets));
-  read.sockets = static_cast<std::size_t>(sockets);
+  if (sockets < static_cast<std::int64_t>(min_sockets))
+    throw settings::BadField("field 'limits.sockets' is below " + std::to_string(min_sockets));
+  configuration.sockets = static_cast<std::size_t>(sockets);
   const std::int64_t memory = limits.whole("memory_mb", 0);
-  read.memory_mb = memory > 0 ? static_cast<std::size_t>(memory) : 0;
-  read.module = settings::read_deployment(fields.object("settings"));
-  if (read.module.reports.gossip) {
-    read.peer_listen = address(fields, "peer_listen");
-    read.peers = fields.texts("peers");
-    read.peers_all = fields.text("peers_all", "");
+  configuration.memory_mb = memory > 0 ? static_cast<std::size_t>(memory) : 0;
+  configuration.routing = settings::read_deployment(fields.object("settings"));
+  if (configuration.routing.reports.gossip) {
+    configuration.peer_listen = address_field(fields, "peer_listen");
+    configuration.peers = fields.texts("peers");
+    configuration.broadcast_address = fields.text("peers_all", "");
   }
-  read.board = address(fields, "board");
-  read.known = fields.need("known");
-  read.fixed = fixed_part(json);
-  return read;
+  configuration.discovery = address_field(fields, "board");
+  configuration.initial_endpoint_list = fields.need("known");
+  configuration.fixed_settings = fixed_settings_of(json);
+  return configuration;
 }
 
 }  // namespace rushhill::node
--- a/src/node/configuration.h
+++ b/src/node/configuration.h
@@ -1,5 +1,5 @@
-// What a router on the platform is told at its start, as JSON: its addresses, the machine's limits, the list
-// of model servers so far and the settings of its module.
+// The JSON configuration of a router on the platform: its addresses, resource limits, the initial endpoint
+// list and the settings of its routing policy.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +13,22 @@
 
 struct Configuration {
   std::string name{};
-  std::string listen{};  // addresses in digits, with ports
+  std::string listen{};  // like all addresses here: a numeric IP address with a port
   std::uint64_t seed = 0;
-  std::size_t sockets = 0;    // descriptors, all in all
-  std::size_t memory_mb = 0;  // 0: not told
+  std::size_t sockets = 0;    // file descriptors of the process
+  std::size_t memory_mb = 0;  // 0 if not configured
   std::string peer_listen{};
-  std::vector<std::string> peers{};  // by router number, our own among them
-  std::string peers_all{};
-  std::string board{};
-  RoutingConfiguration module{};
-  settings::Json known{};  // read when the clock's offset is known
-  std::string fixed{};     // all but discovery's address and the list, as text, to see what a reload changes
+  std::vector<std::string> peers{};  // by router number, including this router's own address
+  std::string broadcast_address{};   // reaches every router; may be empty
+  std::string discovery{};
+  RoutingConfiguration routing{};
+  settings::Json initial_endpoint_list{};  // parsed by Node, which translates its start times
+  // Everything except the discovery address and the endpoint list, as text. A reload compares it with the
+  // text in use to detect changed settings that need a restart.
+  std::string fixed_settings{};
 };
 
-// Throws settings::BadField naming what is missing or wrong.
+// Throws settings::BadField that names the missing or invalid field.
 Configuration read_configuration(const std::string& text);
 
 }  // namespace rushhill::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -11,23 +11,28 @@
 namespace rushhill::node {
 namespace {
 
-constexpr Time look_every = 100;  // tenths of a millisecond between looks whether all is wound up
-constexpr Time still_coming =
-    8'000;  // requests may come for 0.6 s after the word to end, and count until 0.7 s
-// A router that is told to end is killed this long after the longest deadline, of which 3 s count at most. It
-// may learn of the word a turn of an idle loop after it came, and has everything answered before.
-constexpr Time killed_after = 7'000;
-constexpr Time longest_counted = 30'000;
-constexpr Time learned_after = 1'000;
-constexpr Time answered_before = 1'000;
-constexpr Time last_answers = 1'000;  // for answers to leave to clients that are slow to read, then no more
-constexpr Time leave_taking = 1'000;  // for clients to see that we have ended, and to end too
+// Times are in tenths of a millisecond.
+constexpr Time shutdown_check_interval = 100;
+// Clients may send requests for 0.6 s after the shutdown signal, and requests that arrive within 0.7 s have
+// to be answered.
+constexpr Time acceptance_span = 8'000;
+// The platform kills a router 0.7 s plus the longest deadline after the shutdown signal, where the deadline
+// counts as 3 s at most. The router may notice the signal one iteration of an idle loop late, and has to
+// answer every request before it is killed.
+constexpr Time shutdown_kill_delay = 7'000;
+constexpr Time max_counted_deadline = 30'000;
+constexpr Time max_signal_delay = 1'000;
+constexpr Time kill_margin = 1'000;
+constexpr Time answer_delivery_timeout = 1'000;  // after the drain deadline, for clients that read slowly
+constexpr Time client_close_timeout = 1'000;     // for clients to see the end of the connection and close it
 
-// Descriptors that no client and no server gets: the listener's, discovery's two, the peers', the file that
-// is read on SIGHUP, and a connection's that is taken to be refused. The log's is open before any is counted.
-constexpr std::size_t reserve = 6;
+// File descriptors kept out of the connection shares: one for the listener, two for service discovery, and
+// one each for the peers' socket, the file that is read on SIGHUP, and a connection that is accepted only to
+// be refused. The log's descriptor is already open when descriptors are counted.
+constexpr std::size_t reserved_descriptors = 6;
 
-constexpr double idle_part = 0.66;  // of the time after which servers close: ours close before
+// Fraction of the servers' idle timeout after which the router closes a connection, so that it closes first.
+constexpr double idle_timeout_fraction = 0.66;
 
 class NoPeers final : public core::PeerMessenger {
  public:
@@ -36,105 +41,115 @@
 
 }  // namespace
 
-Node::Node(transport::Reactor& reactor, const Configuration& told, core::EventLog& diary)
-    : reactor_(reactor), diary_(diary), shares_(transport::share_descriptors(told.sockets, reserve)),
-      pool_(
-          reactor,
-          {.requests_per_connection = std::max(told.module.requests_per_connection, 1),
-           .connections = shares_.servers,
-           .connect_limit =
-               told.module.connect_timeout > Duration::zero() ? to_ticks(told.module.connect_timeout) : 2'500,
-           .idle = static_cast<Time>(static_cast<double>(to_ticks(told.module.connection_idle_timeout)) *
-                                     idle_part),
-           .reports = told.module.reports.load_reports != "" && told.module.reports.load_reports != "none"},
-          diary),
-      peers_(!told.module.reports.gossip ? nullptr
-                                         : std::make_unique<transport::BarePeers>(
-                                               reactor, transport::numeric_address(told.peer_listen),
-                                               told.module.router_number, told.peers, told.peers_all,
-                                               [this](int router, const std::string& bytes) {
-                                                 gateway_.gossip_received(router, bytes);
-                                               })),
-      board_(std::make_unique<membership::BoardClient>(
-          reactor, transport::numeric_address(told.board), settings::Fields(told.known, "known").whole("rev"),
-          told.seed, diary,
+Node::Node(transport::Reactor& reactor, const Configuration& configuration, core::EventLog& event_log)
+    : reactor_(reactor), event_log_(event_log),
+      descriptor_shares_(transport::share_descriptors(configuration.sockets, reserved_descriptors)),
+      pool_(reactor,
+            {.requests_per_connection = std::max(configuration.routing.requests_per_connection, 1),
+             .connections = descriptor_shares_.servers,
+             .connect_limit = configuration.routing.connect_timeout > Duration::zero()
+                                  ? to_ticks(configuration.routing.connect_timeout)
+                                  : 2'500,
+             .idle = static_cast<Time>(
+                 static_cast<double>(to_ticks(configuration.routing.connection_idle_timeout)) *
+                 idle_timeout_fraction),
+             .reports = configuration.routing.reports.load_reports != "" &&
+                        configuration.routing.reports.load_reports != "none"},
+            event_log),
+      peers_(!configuration.routing.reports.gossip
+                 ? nullptr
+                 : std::make_unique<transport::BarePeers>(
+                       reactor, transport::numeric_address(configuration.peer_listen),
+                       configuration.routing.router_number, configuration.peers,
+                       configuration.broadcast_address,
+                       [this](int router, const std::string& bytes) {
+                         gateway_.gossip_received(router, bytes);
+                       })),
+      discovery_(std::make_unique<membership::BoardClient>(
+          reactor, transport::numeric_address(configuration.discovery),
+          settings::Fields(configuration.initial_endpoint_list, "known").whole("rev"), configuration.seed,
+          event_log,
           [this](EndpointListForm form, const std::vector<core::EndpointListEntry>& entries) {
             gateway_.endpoints_updated(form, entries);
           })),
-      gateway_(told.module, told.seed,
+      gateway_(configuration.routing, configuration.seed,
                {.clock = reactor,
                 .upstream = pool_,
                 .peers = peers_ ? static_cast<core::PeerMessenger&>(*peers_) : no_peers,
-                .endpoint_lists = *board_,
-                .log = diary}),
-      front_(reactor, gateway_, diary, {.connections = shares_.clients}) {
+                .endpoint_lists = *discovery_,
+                .log = event_log}),
+      frontend_(reactor, gateway_, event_log, {.connections = descriptor_shares_.clients}) {
   pool_.report_to(gateway_);
-  const membership::Known known =
-      board_->translated(membership::read_known(settings::Fields(told.known, "known"), membership::as_told));
-  // A start brings the list as it was last held, whole, though it may be empty.
+  const membership::Known initial = discovery_->translated(membership::read_known(
+      settings::Fields(configuration.initial_endpoint_list, "known"), membership::as_told));
+  // The gateway first receives one cached list, which may be empty, and then the later updates.
   bool first = true;
-  for (const membership::Notice& notice : known.notices) {
-    const bool whole = std::exchange(first, false) || notice.whole;
-    gateway_.endpoints_updated(whole ? EndpointListForm::cached : EndpointListForm::delta, notice.entries);
+  for (const membership::Notice& update : initial.notices) {
+    const bool complete = std::exchange(first, false) || update.whole;
+    gateway_.endpoints_updated(complete ? EndpointListForm::cached : EndpointListForm::delta, update.entries);
   }
   if (first) gateway_.endpoints_updated(EndpointListForm::cached, {});
-  if (!told.module.endpoints_on_request) board_->watch(true);
-  for (const RequestClass& type : told.module.request_classes)
-    longest_limit_ = std::max(longest_limit_, to_ticks(type.deadline_span));
-  fixed_ = told.fixed;
-  front_.ready(true);
-  address_ = front_.listen(transport::numeric_address(told.listen));
-  diary.write(core::Level::info, "serving", {{"address", address_.toString()}, {"name", told.name}});
+  if (!configuration.routing.endpoints_on_request) discovery_->watch(true);
+  for (const RequestClass& request_class : configuration.routing.request_classes)
+    longest_deadline_span_ = std::max(longest_deadline_span_, to_ticks(request_class.deadline_span));
+  fixed_settings_ = configuration.fixed_settings;
+  frontend_.ready(true);
+  address_ = frontend_.listen(transport::numeric_address(configuration.listen));
+  event_log.write(core::Level::info, "serving",
+                  {{"address", address_.toString()}, {"name", configuration.name}});
 }
 Node::~Node() = default;
 
-void Node::reconfigure(const Configuration& changed) {
-  // All of it is read before any of it takes effect.
-  const membership::Known known =
-      membership::read_known(settings::Fields(changed.known, "known"), membership::as_told);
-  diary_.write(core::Level::info, "configuration read again", {{"board", changed.board}});
-  if (changed.fixed != fixed_)
-    diary_.write(core::Level::warning, "changed settings, limits and addresses take effect at a restart", {});
-  board_->catch_up(known);
-  board_->move_to(transport::numeric_address(changed.board));
+void Node::reconfigure(const Configuration& configuration) {
+  // The whole list is parsed before anything takes effect, so that an invalid one changes nothing.
+  const membership::Known endpoint_list = membership::read_known(
+      settings::Fields(configuration.initial_endpoint_list, "known"), membership::as_told);
+  event_log_.write(core::Level::info, "configuration read again", {{"board", configuration.discovery}});
+  if (configuration.fixed_settings != fixed_settings_)
+    event_log_.write(core::Level::warning, "changed settings, limits and addresses take effect at a restart",
+                     {});
+  discovery_->catch_up(endpoint_list);
+  discovery_->move_to(transport::numeric_address(configuration.discovery));
 }
 
-void Node::start_draining(std::function<void()> ended) {
-  if (end_by_ != 0) return;
+void Node::start_draining(std::function<void()> on_drained) {
+  if (drain_deadline_ != 0) return;
   const Time now = reactor_.now();
-  const Time killed_by = now + std::min(longest_limit_, longest_counted) + killed_after;
-  end_by_ = killed_by - learned_after - answered_before;
-  requests_until_ = std::min(now + still_coming, end_by_);
-  front_.answer_by(end_by_);
-  diary_.write(core::Level::info, "winding up", {{"open", std::to_string(gateway_.open_requests())}});
-  wait_for_end(ended);
+  const Time kill_time = now + std::min(longest_deadline_span_, max_counted_deadline) + shutdown_kill_delay;
+  drain_deadline_ = kill_time - max_signal_delay - kill_margin;
+  accept_until_ = std::min(now + acceptance_span, drain_deadline_);
+  frontend_.answer_by(drain_deadline_);
+  event_log_.write(core::Level::info, "winding up", {{"open", std::to_string(gateway_.open_requests())}});
+  finish_when_drained(on_drained);
 }
 
-// Ended: all that has come is read, all that was read is answered, and the answers have left. What would be
-// open as the router may be killed is answered before, as abandoned.
-void Node::wait_for_end(const std::function<void()>& ended) {
+// The router is drained once every request received is read and answered and the answers are sent. Requests
+// that are still open at the drain deadline are answered as expired, since the router may be killed soon
+// after it.
+void Node::finish_when_drained(const std::function<void()>& on_drained) {
   const Time now = reactor_.now();
-  if (now >= requests_until_) front_.stop_listening();
-  if (now >= end_by_) gateway_.expire_all();
-  const bool over = now >= requests_until_ && gateway_.open_requests() == 0 && !gateway_.any_client_waits();
-  if (over && (front_.all_sent() || now >= end_by_ + last_answers)) {
-    front_.finish();
-    return take_leave(ended, now + leave_taking);
+  if (now >= accept_until_) frontend_.stop_listening();
+  if (now >= drain_deadline_) gateway_.expire_all();
+  const bool drained = now >= accept_until_ && gateway_.open_requests() == 0 && !gateway_.any_client_waits();
+  if (drained && (frontend_.all_sent() || now >= drain_deadline_ + answer_delivery_timeout)) {
+    frontend_.finish();
+    return wait_for_clients_to_close(on_drained, now + client_close_timeout);
   }
-  look_again([this, ended] { wait_for_end(ended); });
+  schedule_check([this, on_drained] { finish_when_drained(on_drained); });
 }
 
-// A connection closed while something unread lies in it is reset, and an answer on its way may go with it:
-// the clients close first, for as long as it takes them to see that we have ended.
-void Node::take_leave(const std::function<void()>& ended, Time until) {
-  if (front_.connections() == 0 || reactor_.now() >= until) return ended();
-  look_again([this, ended, until] { take_leave(ended, until); });
+// Closing a connection that holds unread data resets it, which can lose an answer in transit. Clients
+// therefore get some time to close their connections first.
+void Node::wait_for_clients_to_close(const std::function<void()>& on_drained, Time until) {
+  if (frontend_.connections() == 0 || reactor_.now() >= until) return on_drained();
+  schedule_check([this, on_drained, until] { wait_for_clients_to_close(on_drained, until); });
 }
 
-void Node::look_again(std::function<void()> look) {
-  reactor_.at(reactor_.now() + look_every, [look = std::move(look), alive = std::weak_ptr(life_)] {
-    if (!alive.expired()) look();
-  });
+void Node::schedule_check(std::function<void()> check) {
+  reactor_.at(reactor_.now() + shutdown_check_interval,
+              [check = std::move(check), alive = std::weak_ptr(alive_)] {
+                if (!alive.expired()) check();
+              });
 }
 
 }  // namespace rushhill::node
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,5 +1,5 @@
-// One router on the platform put together: FastCGI front, core, line pool, notice board and peers on one
-// reactor. What `rushhill node` runs, and the end-to-end tests.
+// A router on the platform: the FastCGI frontend, the gateway, the connection pool of the line protocol,
+// service discovery and the peer links on one reactor. `rushhill node` and the end-to-end tests run it.
 #pragma once
 
 #include <functional>
@@ -19,8 +19,9 @@
 
 class Node {
  public:
-  // Listens at once; throws where an address cannot be had. `told.sockets`: descriptors that are free for it.
-  Node(transport::Reactor& reactor, const Configuration& told, core::EventLog& diary);
+  // Starts to listen; throws if an address cannot be bound. `configuration.sockets` is the number of file
+  // descriptors that the router may still open.
+  Node(transport::Reactor& reactor, const Configuration& configuration, core::EventLog& event_log);
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
@@ -28,32 +29,34 @@
   transport::Address address() const { return address_; }
   core::Gateway& gateway() { return gateway_; }
   upstream::LinePool& pool() { return pool_; }
-  const frontends::FastCgiFront& front() const { return front_; }
+  const frontends::FastCgiFront& front() const { return frontend_; }
 
-  // The configuration has been replaced: follows discovery to its address and takes from its server list what
-  // discovery has not told yet. All else stays as it was at the start, and the log says so where it differs.
-  void reconfigure(const Configuration& changed);
-  // Goes on through the span in which requests still come, then ends once all is answered.
-  void start_draining(std::function<void()> ended);
+  // Applies a reloaded configuration: switches to its discovery address and applies the updates of its
+  // endpoint list that discovery has not sent yet. Other settings take effect after a restart only; the log
+  // warns if one has changed.
+  void reconfigure(const Configuration& configuration);
+  // Accepts requests for a short span, since clients learn of the shutdown later, and calls `on_drained` once
+  // all requests are answered or the time that the platform allows is over.
+  void start_draining(std::function<void()> on_drained);
 
  private:
-  void wait_for_end(const std::function<void()>& ended);
-  void take_leave(const std::function<void()>& ended, Time until);
-  void look_again(std::function<void()> look);
+  void finish_when_drained(const std::function<void()>& on_drained);
+  void wait_for_clients_to_close(const std::function<void()>& on_drained, Time until);
+  void schedule_check(std::function<void()> check);
 
   transport::Reactor& reactor_;
-  core::EventLog& diary_;
-  transport::DescriptorShares shares_;
+  core::EventLog& event_log_;
+  transport::DescriptorShares descriptor_shares_;
   upstream::LinePool pool_;
   std::unique_ptr<transport::BarePeers> peers_;
-  std::unique_ptr<membership::BoardClient> board_;
+  std::unique_ptr<membership::BoardClient> discovery_;
   core::Gateway gateway_;
-  frontends::FastCgiFront front_;
+  frontends::FastCgiFront frontend_;
   transport::Address address_;
-  Time requests_until_ = 0, end_by_ = 0;
-  Time longest_limit_ = 0;
-  std::string fixed_;  // what of the configuration a reload does not change
-  std::shared_ptr<int> life_ = std::make_shared<int>(0);
+  Time accept_until_ = 0, drain_deadline_ = 0;
+  Time longest_deadline_span_ = 0;
+  std::string fixed_settings_;  // those that a reload does not change, as text
+  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
 }  // namespace rushhill::node
--- a/src/node/reloader.cpp
+++ b/src/node/reloader.cpp
@@ -9,8 +9,9 @@
 namespace rushhill::node {
 namespace {
 
-constexpr Time retry_after = 500;  // tenths of a millisecond; a file of some megabytes is written by then
-constexpr int most_attempts = 20;  // a second all in all: what cannot be read then is wrong, not unfinished
+constexpr Time retry_interval =
+    500;                          // tenths of a millisecond; enough time to write a file of some megabytes
+constexpr int max_attempts = 20;  // over one second; a file that still fails is invalid, not half written
 
 }  // namespace
 
@@ -20,32 +21,33 @@
   const std::string text{std::istreambuf_iterator<char>(in), {}};
   try {
     return read_configuration(text);
-  } catch (const settings::BadField& wrong) {
-    throw std::invalid_argument(path + ": " + wrong.what());
+  } catch (const settings::BadField& error) {
+    throw std::invalid_argument(path + ": " + error.what());
   }
 }
 
-Reloader::Reloader(core::TimerService& clock, std::string path, core::EventLog& diary, Apply apply)
-    : clock_(clock), path_(std::move(path)), diary_(diary), apply_(std::move(apply)) {}
+Reloader::Reloader(core::TimerService& clock, std::string path, core::EventLog& event_log, Apply apply)
+    : clock_(clock), path_(std::move(path)), event_log_(event_log), apply_(std::move(apply)) {}
 
 Reloader::~Reloader() { clock_.cancel(retry_); }
 
 void Reloader::reload() {
   clock_.cancel(retry_);
   attempts_ = 0;
-  attempt();
+  try_reload();
 }
 
-void Reloader::attempt() {
+void Reloader::try_reload() {
   ++attempts_;
   try {
     apply_(read_configuration_file(path_));
-  } catch (const std::exception& wrong) {
-    if (attempts_ < most_attempts) {
-      retry_ = clock_.at(clock_.now() + retry_after, [this] { attempt(); });
+  } catch (const std::exception& error) {
+    if (attempts_ < max_attempts) {
+      retry_ = clock_.at(clock_.now() + retry_interval, [this] { try_reload(); });
       return;
     }
-    diary_.write(core::Level::error, "configuration not read: the old one stays", {{"reason", wrong.what()}});
+    event_log_.write(core::Level::error, "configuration not read: the old one stays",
+                     {{"reason", error.what()}});
   }
 }
 
--- a/src/node/reloader.h
+++ b/src/node/reloader.h
@@ -1,5 +1,5 @@
-// Reads the configuration file again when asked (SIGHUP), and once more a little later where it cannot be
-// read: whoever writes it may be at work still. Nothing of a file that cannot be read whole takes effect.
+// Reloads the configuration file on request (SIGHUP) and retries for a second if it cannot be read, since it
+// may still be being written. An invalid file has no effect at all.
 #pragma once
 
 #include <functional>
@@ -11,26 +11,26 @@
 
 namespace rushhill::node {
 
-// The configuration in a file; throws std::invalid_argument naming the file and what is wrong in it.
+// Reads a configuration file. Throws std::invalid_argument that names the file and the fault.
 Configuration read_configuration_file(const std::string& path);
 
 class Reloader {
  public:
   using Apply = std::function<void(const Configuration&)>;
 
-  Reloader(core::TimerService& clock, std::string path, core::EventLog& diary, Apply apply);
+  Reloader(core::TimerService& clock, std::string path, core::EventLog& event_log, Apply apply);
   ~Reloader();
   Reloader(const Reloader&) = delete;
   Reloader& operator=(const Reloader&) = delete;
 
-  void reload();  // what was still being tried is over
+  void reload();  // cancels the retries of an earlier reload
 
  private:
-  void attempt();
+  void try_reload();
 
   core::TimerService& clock_;
   std::string path_;
-  core::EventLog& diary_;
+  core::EventLog& event_log_;
   Apply apply_;
   core::Timer retry_;
   int attempts_ = 0;
