--- a/src/router/remembered_endpoint_list.h
+++ b/src/router/remembered_endpoint_list.h
@@ -1,6 +1,6 @@
-// Keeps the endpoint list in a file, so that a router that starts while service discovery is away serves from
-// the last one. Written soon after each change, on a thread of its own; a failure is retried with backoff and
-// never delays a request.
+// Saves the endpoint list in a file, so that a router that starts while service discovery is unavailable can
+// use the last list. The file is written soon after each change, on a separate thread; a failed write is
+// retried with backoff and never delays a request.
 #pragma once
 
 #include <cstdint>
@@ -20,13 +20,13 @@
 
 namespace rushhill::router {
 
-// How storage is reached; tests put their own here.
+// The file system and the executor of its blocking calls; tests replace them.
 struct StorageAccess {
   std::shared_ptr<storage::FileSystem> files = storage::system_files();
   storage::Execute execute = storage::run_on_thread;
 };
 
-// The list as it stands, and what makes its times Unix times (`membership::write_word`).
+// The current list, and the offset that turns its start times into Unix times (see `membership::write_word`).
 struct EndpointListSnapshot {
   membership::RosterWord list{};
   Time wall_offset = 0;
@@ -35,55 +35,56 @@
 struct EndpointListWrites {
   std::uint64_t attempts = 0;
   std::map<storage::Operation, std::uint64_t> failures{};  // by the operation that failed
-  bool failing = false;                                    // the last attempt failed
+  bool failing = false;                                    // whether the last attempt failed
 };
-// As metrics in the Prometheus text exposition format, version 0.0.4.
+// Returns the metrics in the Prometheus text exposition format, version 0.0.4.
 std::string to_prometheus(const EndpointListWrites& writes);
 
-class RememberedEndpointList {
+class SavedEndpointList {
  public:
   using Source = std::function<EndpointListSnapshot()>;
 
-  // Reads nothing and writes nothing before the first change. `source` is asked on the loop, until the end.
-  RememberedEndpointList(core::TimerService& clock, core::EventLog& diary, const StorageAccess& access,
-                         const std::string& path, std::uint64_t seed, Source source);
-  // Makes a last attempt for what is not written, and waits for it for a bounded time.
-  ~RememberedEndpointList();
-  RememberedEndpointList(const RememberedEndpointList&) = delete;
-  RememberedEndpointList& operator=(const RememberedEndpointList&) = delete;
+  // Does not access the file before the first change. `source` returns the list to save; it is called on the
+  // event loop's thread, by the destructor too.
+  SavedEndpointList(core::TimerService& clock, core::EventLog& event_log, const StorageAccess& access,
+                    const std::string& path, std::uint64_t seed, Source source);
+  // Tries once more to save an unsaved change, and waits a bounded time for the result.
+  ~SavedEndpointList();
+  SavedEndpointList(const SavedEndpointList&) = delete;
+  SavedEndpointList& operator=(const SavedEndpointList&) = delete;
 
-  // The list has changed: it is written at once, or a while after the last time.
-  void changed();
-  // Writes what is not written now, without waiting for it; for a shutdown that begins.
+  // Saves the changed list: now, or as soon as the write interval or the backoff permits.
+  void schedule_save();
+  // Starts to save an unsaved change without waiting for the result, for the start of a shutdown.
   void flush();
   const EndpointListWrites& writes() const { return writes_; }
 
  private:
-  void schedule(Time when);
+  void schedule_write(Time when);
   void begin_write();
-  void await_result();
+  void poll_result();
   void finish_write(const storage::Failure& failure);
-  void note_failure(const storage::StorageError& error);
-  void note_success();
+  void record_failure(const storage::StorageError& error);
+  void record_success();
   Time backoff();
 
   core::TimerService& clock_;
-  core::EventLog& diary_;
+  core::EventLog& event_log_;
   storage::Execute execute_;
-  std::shared_ptr<storage::AtomicFileWriter> writer_;  // shared with a write that outlives this
+  std::shared_ptr<storage::AtomicFileWriter> writer_;  // shared with a write that outlives this object
   Source source_;
   std::ranlux24_base random_;
   EndpointListWrites writes_;
-  std::future<storage::Failure> running_;  // valid: a write is under way
-  core::Timer timer_;                      // of the next write, or of the next look at the one under way
-  Time not_before_ = 0;
+  std::future<storage::Failure> running_write_;  // valid while a write is running
+  core::Timer timer_;  // for the next write, or for the next check of the running one
+  Time next_write_at_ = 0;
   int consecutive_failures_ = 0;
   bool unsaved_ = false;
 };
 
-// The list as a file holds it. An unreadable, cut, empty or foreign file is logged with its reason, left as
-// it is, and counts as an empty list; so does a missing one, which is not logged.
-membership::RosterWord read_remembered_list(storage::FileSystem& files, const std::string& path,
-                                            Time wall_offset, core::EventLog& diary);
+// Returns the list saved in a file, or an empty one if the file is missing or invalid. An unreadable,
+// truncated, empty or foreign file is logged with the reason and left unchanged; a missing one is not logged.
+membership::RosterWord read_saved_list(storage::FileSystem& files, const std::string& path, Time wall_offset,
+                                       core::EventLog& event_log);
 
 }  // namespace rushhill::router
--- a/src/router/router_process.h
+++ b/src/router/router_process.h
@@ -1,5 +1,5 @@
-// One router put together: pool, peers, roster, core and front on one reactor. What `rushhill serve` runs,
-// and the end-to-end tests.
+// A router: the connection pool, peer links, service discovery, the gateway and the frontends on one reactor.
+// `rushhill serve` and the end-to-end tests run it.
 #pragma once
 
 #include <cstdint>
@@ -23,9 +23,9 @@
 
 class RouterProcess {
  public:
-  // Listens at once; throws where an address cannot be had.
+  // Starts to listen; throws if an address cannot be bound.
   RouterProcess(transport::Reactor& reactor, const deployment::DeploymentConfiguration& configuration,
-                std::uint64_t seed, core::EventLog& diary, const StorageAccess& storage = {});
+                std::uint64_t seed, core::EventLog& event_log, const StorageAccess& storage = {});
   ~RouterProcess();
   RouterProcess(const RouterProcess&) = delete;
   RouterProcess& operator=(const RouterProcess&) = delete;
@@ -33,34 +33,35 @@
   transport::Address address() const { return address_; }
   core::Gateway& gateway() { return gateway_; }
   transport::ServerPool& pool() { return pool_; }
-  frontends::MqttFront* mqtt() { return mqtt_.get(); }  // none: no broker
+  frontends::MqttFront* mqtt() { return mqtt_.get(); }  // nullptr without a broker
 
-  // Takes nothing more and calls `ended` once nothing is open, or when the told time is up.
-  void start_draining(std::function<void()> ended);
-  bool draining() const { return end_by_ != 0; }
-  // The counts as one line of JSON.
+  // Accepts no further connections and messages, and calls `on_drained` once no request and no connection is
+  // open or the configured drain timeout is over.
+  void start_draining(std::function<void()> on_drained);
+  bool draining() const { return drain_deadline_ != 0; }
+  // Returns the counters as one line of JSON.
   std::string tally() const;
 
  private:
-  void wait_for_end(const std::function<void()>& ended);
+  void finish_when_drained(const std::function<void()>& on_drained);
 
   transport::Reactor& reactor_;
   const deployment::DeploymentConfiguration
-      configuration_;                     // with no more connections than there are descriptors for
-  const std::size_t server_connections_;  // 0: no bound
-  core::EventLog& diary_;
+      configuration_;                         // its client connections limited to the available descriptors
+  const std::size_t max_server_connections_;  // 0: unlimited
+  core::EventLog& event_log_;
   transport::ServerPool pool_;
   std::unique_ptr<transport::PeerLinks> peers_;
-  std::unique_ptr<SharedState> shared_;  // none: nothing is held together
-  std::unique_ptr<membership::RosterClient> roster_;
-  std::unique_ptr<RememberedEndpointList> remembered_list_;  // none: no file is named for it
+  std::unique_ptr<SharedState> replicated_state_;  // nullptr if nothing is replicated
+  std::unique_ptr<membership::RosterClient> discovery_;
+  std::unique_ptr<SavedEndpointList> saved_list_;  // nullptr if no file is configured
   core::Gateway gateway_;
-  core::RequestReader intake_;
-  frontends::HttpFront front_;
+  core::RequestReader request_reader_;
+  frontends::HttpFront frontend_;
   std::unique_ptr<frontends::MqttFront> mqtt_;
   transport::Address address_;
-  Time end_by_ = 0;
-  std::shared_ptr<int> life_ = std::make_shared<int>(0);
+  Time drain_deadline_ = 0;
+  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
 }  // namespace rushhill::router
--- a/src/router/shared_state.h
+++ b/src/router/shared_state.h
@@ -1,7 +1,8 @@
-// What this router holds together with the others, on its way to them: the orders it gives and the marks of
-// the events it takes are told before they leave. After a start it hears what its earlier lives ordered
-// before it orders anything, and is settled, so that no mark that it may have forgotten can be missed, before
-// it takes a marked event or counts as a holder.
+// The state that this router replicates to the others: it sends a record of each prewarm order and of each
+// deduplicated request to them before it acts on it. After a start it first recovers the records of its
+// earlier incarnations. Until it knows of their prewarm orders, the load budget permits none. Until it has
+// recovered all records, it rejects requests whose records must be replicated, and does not count as a holder
+// of other routers' records, since it may have forgotten some.
 #pragma once
 
 #include <functional>
@@ -16,54 +17,56 @@
 
 namespace rushhill::router {
 
-// Links to and from other routers, at most.
-std::size_t most_links_of(const deployment::DeploymentConfiguration& configuration);
+// Returns the limit on links to and from other routers, in both directions together.
+std::size_t max_replica_links(const deployment::DeploymentConfiguration& configuration);
 
 class SharedState final : public core::DeduplicationLog, replica::Findings, replica::Taker {
  public:
-  using RationKnown = std::function<void(double orders)>;
-  using Marked = std::function<void(RequestId event, core::AdmissionVerdict how)>;
-  // Listens at once; throws where the address cannot be had. `known` is called once, where orders are
-  // rationed; `marked` for each event that waits for its mark.
+  using LoadBudgetRestored = std::function<void(double orders)>;
+  using AdmissionDecided = std::function<void(RequestId request, core::AdmissionVerdict verdict)>;
+  // Starts to listen; throws if the address cannot be bound. `on_load_budget_restored` is called once, if
+  // prewarm orders have a budget; `on_admission_decided` is called for each request for which `admit`
+  // returned `pending`.
   SharedState(transport::Reactor& reactor, const deployment::DeploymentConfiguration& configuration,
-              std::uint64_t seed, core::EventLog& diary, RationKnown known, Marked marked);
+              std::uint64_t seed, core::EventLog& event_log, LoadBudgetRestored on_load_budget_restored,
+              AdmissionDecided on_admission_decided);
   ~SharedState() override;
 
   bool prepare_prewarm() override;
-  core::AdmissionVerdict admit(RequestId event, const std::string& traffic_type,
-                               const events::CloudEvent& message, Duration left) override;
-  void request_ended(const events::CloudEvent& message, core::ExecutionCertainty fate) override;
+  core::AdmissionVerdict admit(RequestId request, const std::string& request_class,
+                               const events::CloudEvent& message, Duration time_left) override;
+  void request_ended(const events::CloudEvent& message, core::ExecutionCertainty certainty) override;
 
-  // How far this copy is, for people.
-  std::string standing() const;
+  // Describes the state of the replication for operators.
+  std::string status_text() const;
 
  private:
-  void look();
-  bool learnt(Time now) const;
-  void set_alarm();
-  void may_go(std::int64_t event) override;
-  void taken_elsewhere(std::int64_t event) override;
-  void not_held(std::int64_t event) override;
-  void honoured_twice(const std::string& event, const replica::Writer& one,
-                      const replica::Writer& other) override;
+  void check_recovery();
+  bool has_complete_state(Time now) const;
+  void schedule_admission_timeout();
+  void may_go(std::int64_t request) override;
+  void taken_elsewhere(std::int64_t request) override;
+  void not_held(std::int64_t request) override;
+  void honoured_twice(const std::string& event, const replica::Writer& first_writer,
+                      const replica::Writer& second_writer) override;
   void full(replica::Kind kind) override;
-  void copies_differed(const replica::StreamId& stream, const replica::Word& stands,
-                       const replica::Word& gone) override;
+  void copies_differed(const replica::StreamId& stream, const replica::Word& kept,
+                       const replica::Word& dropped) override;
   void second_of_us(const replica::Writer& writer) override;
 
   transport::Reactor& reactor_;
-  core::EventLog& diary_;
-  const deployment::ReplicationConfiguration told_;
-  const int routers_, others_;  // in all; that must hold a mark
-  const Time window_, born_;
-  RationKnown known_;
-  Marked marked_;
-  replica::Replica copy_;
-  replica::Marks marks_;
+  core::EventLog& event_log_;
+  const deployment::ReplicationConfiguration configuration_;
+  const int routers_, required_holders_;  // all routers; others that must hold a replicated record
+  const Time budget_window_, started_;
+  LoadBudgetRestored on_load_budget_restored_;
+  AdmissionDecided on_admission_decided_;
+  replica::Replica replica_;
+  replica::Marks deduplication_records_;
   replicating::ReplicaLinks links_;
-  core::Timer alarm_, by_;
-  bool settled_ = false, ration_known_ = false;
-  std::uint64_t bucket_orders_ = 0;
+  core::Timer recovery_timer_, admission_timer_;
+  bool recovered_ = false, load_budget_restored_ = false;
+  std::uint64_t orders_in_bucket_ = 0;
   Time bucket_ = 0;
 };
 
--- a/tests/router/descriptors_test.cpp
+++ b/tests/router/descriptors_test.cpp
@@ -1,6 +1,8 @@
-// `rushhill serve` with few descriptors: clients and strangers at the routers' own door take all that they
-// can while roster, broker and the other router cannot be reached. All three are followed again when they
-// return, servers are reached, a client that asks is answered, and the list is remembered at the end.
+// Guards against a router that cannot work any more once its file descriptors are used up. Runs `rushhill
+// serve` with a low descriptor limit while idle and slow clients occupy every connection, on the HTTP port
+// and on the port for other routers, and service discovery, the broker and the other router cannot be
+// reached. The router has to reconnect to all three when they return, to serve new clients throughout, and to
+// save the endpoint list at the end.
 #include <algorithm>
 #include <array>
 #include <cstdio>
@@ -14,25 +16,27 @@
 namespace rushhill::router {
 namespace {
 
-constexpr Time again_within =
-    20'000;  // tenths of a millisecond; the roster is followed again, from its return
-constexpr Time others_within = 90'000;  // the broker, and the other router: its longest pause is 8 s
-constexpr Time served_within = 10'000;  // a request of a new client, from its connecting
-constexpr Time crowding = 8'000;        // for the crowd to take its places
-constexpr Time standing = 5'000;        // nobody comes or goes, to see what the router does of itself
-constexpr double busy = 0.25;           // of a core: what spins uses all of it
-constexpr double ended_within = 2.5;    // seconds from SIGTERM: a wind-up of 1 s; the rest for sanitizers
-constexpr std::size_t large_body =
-    100 * 1024;                           // bytes; the system takes them, and the server has time for more
-constexpr std::size_t servers_there = 4;  // with one alone the module sheds while that is slow
-
-std::string ask(const std::string& id) {
+constexpr Time discovery_reconnect_timeout = 20'000;  // tenths of a millisecond, from the return of discovery
+constexpr Time peer_reconnect_timeout =
+    90'000;  // for the broker, and for the other router, whose longest backoff is 8 s
+constexpr Time service_timeout = 10'000;  // from the connection of a new client to its answer
+constexpr Time occupation_span = 8'000;   // for the clients to occupy all connections
+constexpr Time idle_span =
+    5'000;  // without clients that connect or leave, to measure the router's own processor use
+constexpr double max_idle_core_share = 0.25;  // a busy loop uses a whole core
+constexpr double shutdown_timeout = 2.5;  // seconds from SIGTERM; 1 s of it to drain, the rest for sanitizers
+constexpr std::size_t large_body = 100 * 1024;  // bytes; small enough for the system's socket buffers and for
+                                                // the servers to answer other requests too
+constexpr std::size_t server_count = 4;  // with one server the router would reject requests while it is slow
+
+std::string request(const std::string& id) {
   return "POST / HTTP/1.1\r\nhost: x\r\nce-specversion: 1.0\r\nce-source: /c\r\nce-type: org.lookup\r\n"
          "ce-function: f\r\nce-id: " +
          id + "\r\ncontent-length: 0\r\n\r\n";
 }
-const std::string live = "GET /health/live HTTP/1.1\r\nhost: x\r\n\r\n";
-constexpr char large = 'b', held = 'c';  // first letter of an id: a large answer; none yet
+const std::string liveness_check = "GET /health/live HTTP/1.1\r\nhost: x\r\n\r\n";
+// First letter of a request id: the server sends a large answer, or delays its answer.
+constexpr char large = 'b', delayed = 'c';
 
 std::string reply(const std::string& id) {
   const std::string body(id[0] == large ? large_body : 2, 'x');
@@ -41,129 +45,131 @@
          std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-class Greetings {
+class FirstBytes {
  public:
   std::string operator()(Habit habit) {
     switch (habit) {
       case Habit::silent:
         return "";
       case Habit::idle:
-        return live;
+        return liveness_check;
       case Habit::half_request:
-        return ask("a").substr(0, 60);
+        return request("a").substr(0, 60);
       case Habit::slow_reader:
-        return ask(large + std::to_string(++asked_));
+        return request(large + std::to_string(++last_id_));
     }
     return "";
   }
 
  private:
-  int asked_ = 0;
+  int last_id_ = 0;
 };
 
-struct Given {
+struct LimitCase {
   std::string name{};
-  std::size_t limit = 0;  // descriptors, the system's
-  int inherited = 0;
+  std::size_t limit = 0;  // file descriptors that the system allows the process
+  int inherited = 0;      // descriptors open at its start beyond the three standard ones
   std::vector<Habit> habits{Habit::idle, Habit::half_request, Habit::slow_reader};
 };
-std::ostream& operator<<(std::ostream& out, const Given& given) { return out << given.name; }
+std::ostream& operator<<(std::ostream& out, const LimitCase& limit_case) { return out << limit_case.name; }
 
-class ServeDescriptorStory : public testing::TestWithParam<Given> {
+class DescriptorExhaustionTest : public testing::TestWithParam<LimitCase> {
  protected:
-  ServeDescriptorStory() {
+  DescriptorExhaustionTest() {
     raise_descriptors();
-    for (std::size_t i = 0; i < servers_there; ++i) {
+    for (std::size_t i = 0; i < server_count; ++i) {
       servers.push_back(std::make_unique<RawServer>(reactor));
       servers.back()->on_bytes = [this](RawPeer& peer) { answer(peer); };
     }
-    roster = std::make_unique<RawServer>(reactor, at(0));
-    broker = std::make_unique<RawServer>(reactor, at(1));
-    other = std::make_unique<RawServer>(reactor, at(2));
-    const std::string ours = at(3);
-    replica_address = transport::Address(ours);
+    discovery = std::make_unique<RawServer>(reactor, address_of(0));
+    broker = std::make_unique<RawServer>(reactor, address_of(1));
+    peer_router = std::make_unique<RawServer>(reactor, address_of(2));
+    const std::string own_address = address_of(3);
+    replica_address = transport::Address(own_address);
     std::ofstream(path) << "[router]\nnumber = 0\nrouters = 2\ntick = 50ms\n"
                            "[http]\nlisten = 127.0.0.1:0\nwind-up = 1s\n[roster]\naddress = "
-                        << roster->address() << "\nremembered = " << list_path
+                        << discovery->address() << "\nremembered = " << list_path
                         << "\n[mqtt]\naddress = " << broker->address()
-                        << "\nretry = 50ms\n[replica]\nlisten = " << ours << "\nrouter-0 = " << ours
-                        << "\nrouter-1 = " << other->address()
+                        << "\nretry = 50ms\n[replica]\nlisten = " << own_address
+                        << "\nrouter-0 = " << own_address << "\nrouter-1 = " << peer_router->address()
                         << "\n[mqtt-topic calls]\nfilter = calls/+\nevent-type = org.lookup\nfunction = {1}\n"
                            "[traffic lookup]\nevent-type = org.lookup\ndue = 1s\nhard-limit = 1s\n"
                            "effect = reissuable\n";
   }
-  ~ServeDescriptorStory() override {
+  ~DescriptorExhaustionTest() override {
     std::remove(path.c_str());
     std::remove(list_path.c_str());
   }
-  std::string at(std::size_t place) const { return places[place]->address().toString(); }
+  std::string address_of(std::size_t index) const { return reserved[index]->address().toString(); }
   void start() {
     program = std::make_unique<Process>(Launch{
         .arguments = {"serve", path}, .descriptors = GetParam().limit, .inherited = GetParam().inherited});
     address = program->address_after("ready");
-    ASSERT_TRUE(pump.until([&] { return heard(*roster) && heard(*broker) && heard(*other); }));
+    ASSERT_TRUE(pump.until(
+        [&] { return received_any(*discovery) && received_any(*broker) && received_any(*peer_router); }));
     std::string list;
-    for (std::size_t i = 0; i < servers_there; ++i) {
+    for (std::size_t i = 0; i < server_count; ++i) {
       list += (i == 0 ? R"({"id":"s)" : R"(,{"id":"s)") + std::to_string(i + 1) + R"(","address":")" +
               servers[i]->address() + R"(","rating":16})";
     }
-    roster->peers[0]->stream->write(R"({"form":"complete","revision":1,"servers":[)" + list + "]}\n");
+    discovery->peers[0]->stream->write(R"({"form":"complete","revision":1,"servers":[)" + list + "]}\n");
     ASSERT_TRUE(pump.until([&] {
-      Caller caller(address);
-      caller.send(ask("d0"));
+      Caller client(address);
+      client.send(request("d0"));
       pump.pass(300);
-      return caller.seen().find(" 200 ") != std::string::npos;
+      return client.seen().find(" 200 ") != std::string::npos;
     }));
   }
-  // As many requests at once as there are descriptors: each has a client's and a server's connection.
-  void fill_servers() {
-    std::vector<std::unique_ptr<Caller>> callers;
+  // Sends as many requests at once as there are descriptors; each would need a connection to the client and
+  // one to a server. Then sends the delayed answers.
+  void use_up_descriptors() {
+    std::vector<std::unique_ptr<Caller>> clients;
     for (std::size_t i = 0; i < GetParam().limit; ++i) {
-      callers.push_back(std::make_unique<Caller>(address));
-      callers.back()->send(ask(held + std::to_string(i)));
+      clients.push_back(std::make_unique<Caller>(address));
+      clients.back()->send(request(delayed + std::to_string(i)));
     }
     pump.pass(5'000);
-    for (const auto& [peer, id] : std::exchange(waiting, {})) peer->stream->write(reply(id));
+    for (const auto& [peer, id] : std::exchange(delayed_answers, {})) peer->stream->write(reply(id));
     pump.pass(1'000);
   }
   void answer(RawPeer& peer) {
-    for (std::size_t at = 0; (at = peer.seen.find("\r\n\r\n")) != std::string::npos;
-         peer.seen.erase(0, at + 4)) {
-      const std::size_t from = peer.seen.find("ce-id: ") + 7;
-      const std::string id = peer.seen.substr(from, peer.seen.find("\r\n", from) - from);
-      if (id[0] == held) {
-        waiting.emplace_back(&peer, id);
+    for (std::size_t end = 0; (end = peer.seen.find("\r\n\r\n")) != std::string::npos;
+         peer.seen.erase(0, end + 4)) {
+      const std::size_t start = peer.seen.find("ce-id: ") + 7;
+      const std::string id = peer.seen.substr(start, peer.seen.find("\r\n", start) - start);
+      if (id[0] == delayed) {
+        delayed_answers.emplace_back(&peer, id);
       } else {
         peer.stream->write(reply(id));
       }
     }
   }
-  std::unique_ptr<transport::BoundSocket> hold() {
+  std::unique_ptr<transport::BoundSocket> reserve_port() {
     return reactor.reserve(transport::numeric_address("127.0.0.1:0"));
   }
-  static bool heard(const RawServer& one) {
-    return std::ranges::any_of(one.peers, [](const auto& p) { return !p->seen.empty(); });
+  static bool received_any(const RawServer& server) {
+    return std::ranges::any_of(server.peers, [](const auto& peer) { return !peer->seen.empty(); });
   }
-  bool while_crowded(const std::function<bool()>& holds, Time most) {
+  bool run_while_occupied(const std::function<bool()>& condition, Time timeout) {
     return pump.until(
         [&] {
-          crowd->step();
-          strangers->step();
-          return holds();
+          clients_on_http->step();
+          clients_on_replica_port->step();
+          return condition();
         },
-        most);
+        timeout);
   }
   testing::AssertionResult served() {
-    Caller caller(address);
-    caller.send(ask("d" + std::to_string(++served_)));
-    const Time asked = reactor.now();
-    if (while_crowded([&] { return caller.seen().find(" 200 ") != std::string::npos; }, served_within))
+    Caller client(address);
+    client.send(request("d" + std::to_string(++requests_sent_)));
+    const Time sent_at = reactor.now();
+    if (run_while_occupied([&] { return client.seen().find(" 200 ") != std::string::npos; }, service_timeout))
       return testing::AssertionSuccess();
     return testing::AssertionFailure()
-           << (caller.closed() ? "closed" : "waits") << " after " << (reactor.now() - asked) / 10
-           << " ms, saw '" << caller.seen() << "'";
+           << (client.closed() ? "closed" : "waits") << " after " << (reactor.now() - sent_at) / 10
+           << " ms, saw '" << client.seen() << "'";
   }
-  void expect_room_for_work(const char* when) {
+  void expect_service(const char* when) {
     for (int i = 0; i < 5; ++i) EXPECT_TRUE(served()) << when << ", " << i;
     EXPECT_LE(program->open_descriptors(), GetParam().limit) << when;
     ASSERT_FALSE(program->ended()) << when;
@@ -172,58 +178,63 @@
   transport::Loop reactor;
   Pump pump{reactor};
   std::vector<std::unique_ptr<RawServer>> servers;
-  // Held, so that nobody else is given an address while its own is away: roster, broker, other router, ours.
-  const std::array<std::unique_ptr<transport::BoundSocket>, 4> places{hold(), hold(), hold(), hold()};
-  std::unique_ptr<RawServer> roster, broker, other;
+  // Reserved addresses, so that no other process gets one while nothing listens there: of discovery, the
+  // broker, the other router, and the tested router's port for other routers.
+  const std::array<std::unique_ptr<transport::BoundSocket>, 4> reserved{reserve_port(), reserve_port(),
+                                                                        reserve_port(), reserve_port()};
+  std::unique_ptr<RawServer> discovery, broker, peer_router;
   std::string path = testing::TempDir() + "serve-" + std::to_string(getpid()) + ".ini",
               list_path = testing::TempDir() + "serve-" + std::to_string(getpid()) + ".list";
-  std::vector<std::pair<RawPeer*, std::string>> waiting;
+  std::vector<std::pair<RawPeer*, std::string>> delayed_answers;
   std::unique_ptr<Process> program;
   transport::Address address, replica_address;
-  std::unique_ptr<Crowd> crowd, strangers;
-  int served_ = 0;
+  std::unique_ptr<Crowd> clients_on_http, clients_on_replica_port;
+  int requests_sent_ = 0;
 };
 
-TEST_P(ServeDescriptorStory, WithAllTakenRosterBrokerAndOtherRouterReturnAndTheListIsRemembered) {
+TEST_P(DescriptorExhaustionTest, ReconnectsToDiscoveryBrokerAndPeerAndSavesTheEndpointList) {
   start();
-  fill_servers();
-  for (auto* one : {&roster, &broker, &other}) one->reset();
-  crowd = std::make_unique<Crowd>(address, GetParam().limit, GetParam().habits, Greetings());
-  strangers =
-      std::make_unique<Crowd>(replica_address, GetParam().limit, std::vector{Habit::silent}, Greetings());
-  while_crowded([] { return false; }, crowding);
-  expect_room_for_work("they are away");
-
-  const double before = program->used();
-  pump.pass(standing);
-  EXPECT_LT(program->used() - before, busy * static_cast<double>(standing) / 10'000);
-
-  roster = std::make_unique<RawServer>(reactor, at(0));
-  EXPECT_TRUE(while_crowded([&] { return heard(*roster); }, again_within)) << "the roster";
-  broker = std::make_unique<RawServer>(reactor, at(1));
-  other = std::make_unique<RawServer>(reactor, at(2));
-  EXPECT_TRUE(while_crowded([&] { return heard(*broker); }, others_within)) << "the broker";
-  EXPECT_TRUE(while_crowded([&] { return heard(*other); }, others_within)) << "the other router";
-  expect_room_for_work("they are back");
-
-  const Time told_to_end = reactor.now();
+  use_up_descriptors();
+  for (auto* server : {&discovery, &broker, &peer_router}) server->reset();
+  clients_on_http = std::make_unique<Crowd>(address, GetParam().limit, GetParam().habits, FirstBytes());
+  clients_on_replica_port =
+      std::make_unique<Crowd>(replica_address, GetParam().limit, std::vector{Habit::silent}, FirstBytes());
+  run_while_occupied([] { return false; }, occupation_span);
+  expect_service("discovery, broker and other router unreachable");
+
+  const double used_before = program->used();
+  pump.pass(idle_span);
+  EXPECT_LT(program->used() - used_before, max_idle_core_share * static_cast<double>(idle_span) / 10'000);
+
+  discovery = std::make_unique<RawServer>(reactor, address_of(0));
+  EXPECT_TRUE(run_while_occupied([&] { return received_any(*discovery); }, discovery_reconnect_timeout))
+      << "service discovery";
+  broker = std::make_unique<RawServer>(reactor, address_of(1));
+  peer_router = std::make_unique<RawServer>(reactor, address_of(2));
+  EXPECT_TRUE(run_while_occupied([&] { return received_any(*broker); }, peer_reconnect_timeout))
+      << "the broker";
+  EXPECT_TRUE(run_while_occupied([&] { return received_any(*peer_router); }, peer_reconnect_timeout))
+      << "the other router";
+  expect_service("discovery, broker and other router reachable again");
+
+  const Time sigterm_sent = reactor.now();
   program->signal(SIGTERM);
-  ASSERT_TRUE(while_crowded([&] { return program->ended(); }, 100'000));
-  EXPECT_LT(static_cast<double>(reactor.now() - told_to_end) / 10'000, ended_within);
+  ASSERT_TRUE(run_while_occupied([&] { return program->ended(); }, 100'000));
+  EXPECT_LT(static_cast<double>(reactor.now() - sigterm_sent) / 10'000, shutdown_timeout);
   EXPECT_EQ(program->wait(), 0) << program->said();
   std::ifstream list(list_path);
-  const std::string remembered{std::istreambuf_iterator<char>(list), {}};
-  EXPECT_NE(remembered.find("\"s1\""), std::string::npos);
+  const std::string saved{std::istreambuf_iterator<char>(list), {}};
+  EXPECT_NE(saved.find("\"s1\""), std::string::npos);
 }
 
-INSTANTIATE_TEST_SUITE_P(Limits, ServeDescriptorStory,
-                         testing::Values(Given{"Of64", 64}, Given{"Of256", 256}, Given{"Of1024", 1024},
-                                         Given{"Of64With8Inherited", 64, 8},
-                                         Given{"SilentOnes", 64, 0, {Habit::silent}},
-                                         Given{"IdleOnes", 64, 0, {Habit::idle}},
-                                         Given{"HalfRequests", 64, 0, {Habit::half_request}},
-                                         Given{"SlowReaders", 64, 0, {Habit::slow_reader}}),
-                         [](const auto& given) { return given.param.name; });
+INSTANTIATE_TEST_SUITE_P(Limits, DescriptorExhaustionTest,
+                         testing::Values(LimitCase{"Of64", 64}, LimitCase{"Of256", 256},
+                                         LimitCase{"Of1024", 1024}, LimitCase{"Of64With8Inherited", 64, 8},
+                                         LimitCase{"SilentOnes", 64, 0, {Habit::silent}},
+                                         LimitCase{"IdleOnes", 64, 0, {Habit::idle}},
+                                         LimitCase{"HalfRequests", 64, 0, {Habit::half_request}},
+                                         LimitCase{"SlowReaders", 64, 0, {Habit::slow_reader}}),
+                         [](const auto& limit_case) { return limit_case.param.name; });
 
 }  // namespace
 }  // namespace rushhill::router
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -1,5 +1,6 @@
-// A whole router before stand-in servers on the emulated network, one fault at a time, judged by the checker
-// from what the connections showed. The bad day plays the same on sockets.
+// Guards against a router that breaks its rules during a fault of servers or service discovery. Runs a router
+// with simulated servers, clients and discovery on the emulated network, one fault at a time, and lets the
+// checker judge what was recorded on the connections. `rushhill badday` runs the same faults on sockets.
 #include <cstdio>
 #include <fstream>
 #include <set>
@@ -35,210 +36,217 @@
   return day;
 }
 
-// Moves virtual time as loopback.h's Pump moves a loop.
-struct VirtualPump {
+// Advances virtual time; its interface is that of the driver of a real event loop in loopback.h.
+struct VirtualTimeDriver {
   emulator::Network& network;
-  bool until(const std::function<bool()>& holds, Time most = 300'000) {
-    const Time end = network.now() + most;
-    while (!holds() && network.now() < end) network.run_until(network.now() + 10);
-    return holds();
+  bool run_until(const std::function<bool()>& condition, Time timeout = 300'000) {
+    const Time end = network.now() + timeout;
+    while (!condition() && network.now() < end) network.run_until(network.now() + 10);
+    return condition();
   }
-  void pass(Time span) { network.run_until(network.now() + span); }
+  void run_for(Time span) { network.run_until(network.now() + span); }
 };
 
-// Router, servers, roster and clients on one network.
-class Scene {
+// Runs a router, servers, service discovery and clients on one network.
+class RouterScenario {
  public:
-  explicit Scene(const Day& of) : day(of) {
+  explicit RouterScenario(const Day& simulated_day) : day(simulated_day) {
     file = testing::TempDir() + "rushhill-" + std::to_string(reinterpret_cast<std::uintptr_t>(this)) + "-" +
            std::to_string(transport::monotonic_ns());
     record = std::make_unique<simulation::Record>(file);
-    board = std::make_unique<simulation::DiscoveryServer>(reactor, transport::numeric_address("127.0.0.1:0"),
-                                                          day, *record);
-    fleet = std::make_unique<simulation::SimulatedServers>(reactor, day, *record);
-    fleet->announce_to(board->address());
-    pump.pass(100);
+    discovery = std::make_unique<simulation::DiscoveryServer>(
+        reactor, transport::numeric_address("127.0.0.1:0"), day, *record);
+    servers = std::make_unique<simulation::SimulatedServers>(reactor, day, *record);
+    servers->announce_to(discovery->address());
+    driver.run_for(100);
     const std::string text = simulation::deployment_of(
-        day, 0, {.listen = "127.0.0.1:0", .discovery = board->address().toString()});
+        day, 0, {.listen = "127.0.0.1:0", .discovery = discovery->address().toString()});
     router = std::make_unique<router::RouterProcess>(reactor, deployment::read_text("f", text), 3, silent);
     for (const auto& server : day.servers)
-      EXPECT_TRUE(reached_at(server.id, fleet->address(server.id).toString()));
-    pump.pass(300);
+      EXPECT_TRUE(router_uses_address(server.id, servers->address(server.id).toString()));
+    driver.run_for(300);
   }
-  ~Scene() { std::remove(file.c_str()); }
+  ~RouterScenario() { std::remove(file.c_str()); }
 
-  bool reached_at(const std::string& server, const std::string& address) {
-    return pump.until([&] { return router->pool().address(server) == address; });
+  bool router_uses_address(const std::string& server, const std::string& address) {
+    return driver.run_until([&] { return router->pool().address(server) == address; });
   }
 
   void play() {
-    bool over = false;
-    simulation::Clients clients(reactor, day, {router->address()}, *record, [&] { over = true; });
+    bool finished = false;
+    simulation::Clients clients(reactor, day, {router->address()}, *record, [&] { finished = true; });
     const Time start = reactor.now();
-    fleet->play(start);
-    board->play(start);
+    servers->play(start);
+    discovery->play(start);
     clients.play(start);
-    ASSERT_TRUE(pump.until([&] { return over; }, day.span() + 900'000));
-    fleet->close();
+    ASSERT_TRUE(driver.run_until([&] { return finished; }, day.span() + 900'000));
+    servers->close();
     record->flush();
     std::ifstream in(file);
-    seen = checker::read_records(in, "records");
-    verdict = checker::judge(nlohmann::json::parse(simulation::to_json(day)), seen);
+    records = checker::read_records(in, "records");
+    verdict = checker::judge(nlohmann::json::parse(simulation::to_json(day)), records);
   }
-  // How often a shot at a server ended so, or with such a fault.
-  int count(const std::string& word) const {
-    int found = 0;
-    for (const auto& line : seen)
-      found += line.value("what", "") == "shot" &&
-               (line.value("how", "") == word || line.value("fault", "") == word);
-    return found;
+  // Counts the attempts at servers that ended with this outcome or this fault.
+  int attempts_with(const std::string& outcome_or_fault) const {
+    int matching = 0;
+    for (const auto& line : records)
+      matching += line.value("what", "") == "shot" &&
+                  (line.value("how", "") == outcome_or_fault || line.value("fault", "") == outcome_or_fault);
+    return matching;
   }
 
   Day day;
   std::string file;
   emulator::Network reactor{1};
-  VirtualPump pump{reactor};
+  VirtualTimeDriver driver{reactor};
   Silent silent;
   std::unique_ptr<simulation::Record> record;
-  std::unique_ptr<simulation::DiscoveryServer> board;
-  std::unique_ptr<simulation::SimulatedServers> fleet;
+  std::unique_ptr<simulation::DiscoveryServer> discovery;
+  std::unique_ptr<simulation::SimulatedServers> servers;
   std::unique_ptr<router::RouterProcess> router;
-  std::vector<nlohmann::json> seen;
+  std::vector<nlohmann::json> records;
   checker::Verdict verdict;
 };
 
-struct Fault {
+struct FaultCase {
   FaultKind kind;
-  const char* shows;  // what the servers' records must show of it
+  const char* outcome_or_fault;  // that the servers' records must contain; empty: any
 };
-class Faults : public testing::TestWithParam<Fault> {};
+class RouterFaultTest : public testing::TestWithParam<FaultCase> {};
 
-// Reissuable, numbered and at-most-once events go through each fault at two of four servers.
-TEST_P(Faults, KeepAllRules) {
+// Two of four servers fail while clients send requests of all three kinds of retry safety: idempotent, keyed
+// and at most once.
+TEST_P(RouterFaultTest, KeepsAllRules) {
   Day day = small_day();
   day.faults.push_back({GetParam().kind, 3'000, 15'000, 3, {day.servers[0].id, day.servers[1].id}});
-  Scene scene(day);
-  scene.play();
-  EXPECT_TRUE(scene.verdict.good()) << checker::as_text(scene.verdict);
-  EXPECT_GT(scene.verdict.outcomes["honoured"], 30) << checker::as_text(scene.verdict);
-  if (*GetParam().shows != 0) {
-    EXPECT_GT(scene.count(GetParam().shows), 0) << GetParam().shows;
+  RouterScenario scenario(day);
+  scenario.play();
+  EXPECT_TRUE(scenario.verdict.good()) << checker::as_text(scenario.verdict);
+  EXPECT_GT(scenario.verdict.outcomes["honoured"], 30) << checker::as_text(scenario.verdict);
+  if (*GetParam().outcome_or_fault != 0) {
+    EXPECT_GT(scenario.attempts_with(GetParam().outcome_or_fault), 0) << GetParam().outcome_or_fault;
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Kinds, Faults,
-    testing::Values(Fault{FaultKind::silence, "silent"}, Fault{FaultKind::mute_head, "mute-head"},
-                    Fault{FaultKind::mute_half, "mute-half"}, Fault{FaultKind::reset, "reset"},
-                    Fault{FaultKind::refuse, ""}, Fault{FaultKind::slow, ""},
-                    Fault{FaultKind::fail_fast, "error"}, Fault{FaultKind::crash, ""},
-                    Fault{FaultKind::lose_answers, "lost-answer"},
-                    Fault{FaultKind::byte_at_a_time, "answered"}, Fault{FaultKind::garbage, "garbage"},
-                    Fault{FaultKind::close_on_use, "closed-on-use"}, Fault{FaultKind::drain, ""},
-                    Fault{FaultKind::discovery_contradiction, ""}));
-
-TEST(Router, FromTheWordOnADrainingServerGetsNoEventAndNoOrder) {
-  Scene scene(small_day());
-  const std::string away = scene.day.servers[0].id;
-  nlohmann::json entry = nlohmann::json::parse(scene.fleet->entry(away));
+    Kinds, RouterFaultTest,
+    testing::Values(FaultCase{FaultKind::silence, "silent"}, FaultCase{FaultKind::mute_head, "mute-head"},
+                    FaultCase{FaultKind::mute_half, "mute-half"}, FaultCase{FaultKind::reset, "reset"},
+                    FaultCase{FaultKind::refuse, ""}, FaultCase{FaultKind::slow, ""},
+                    FaultCase{FaultKind::fail_fast, "error"}, FaultCase{FaultKind::crash, ""},
+                    FaultCase{FaultKind::lose_answers, "lost-answer"},
+                    FaultCase{FaultKind::byte_at_a_time, "answered"},
+                    FaultCase{FaultKind::garbage, "garbage"},
+                    FaultCase{FaultKind::close_on_use, "closed-on-use"}, FaultCase{FaultKind::drain, ""},
+                    FaultCase{FaultKind::discovery_contradiction, ""}));
+
+TEST(RouterTest, SendsNeitherRequestsNorPrewarmOrdersToADrainingServer) {
+  RouterScenario scenario(small_day());
+  const std::string draining = scenario.day.servers[0].id;
+  nlohmann::json entry = nlohmann::json::parse(scenario.servers->entry(draining));
   entry["condition"] = "draining";
-  scene.board->announce(entry);
-  scene.pump.pass(1'000);
-  const std::int64_t told = scene.reactor.clock_ns();
-  scene.play();
-  EXPECT_TRUE(scene.verdict.good()) << checker::as_text(scene.verdict);
-  for (const auto& line : scene.seen) {
+  scenario.discovery->announce(entry);
+  scenario.driver.run_for(1'000);
+  const std::int64_t announced = scenario.reactor.clock_ns();
+  scenario.play();
+  EXPECT_TRUE(scenario.verdict.good()) << checker::as_text(scenario.verdict);
+  for (const auto& line : scenario.records) {
     const std::string what = line.value("what", "");
     if (what != "shot" && what != "order") continue;
-    EXPECT_FALSE(line.value("server", "") == away && line.value("at", std::int64_t{0}) > told) << line.dump();
+    EXPECT_FALSE(line.value("server", "") == draining && line.value("at", std::int64_t{0}) > announced)
+        << line.dump();
   }
 }
 
-TEST(Router, AnAddressThatBelongsToAnotherServerRunsNothingThere) {
-  Scene scene(small_day());
-  nlohmann::json entry = nlohmann::json::parse(scene.fleet->entry(scene.day.servers[0].id));
-  entry["address"] = scene.fleet->address(scene.day.servers[1].id).toString();
-  scene.board->send_now({{"form", "changes"}, {"revision", 9}, {"servers", nlohmann::json::array({entry})}});
-  ASSERT_TRUE(
-      scene.reached_at(scene.day.servers[0].id, scene.fleet->address(scene.day.servers[1].id).toString()));
-  scene.play();
-  EXPECT_TRUE(scene.verdict.good()) << checker::as_text(scene.verdict);
+TEST(RouterTest, RunsNothingAtAnAddressThatBelongsToAnotherServer) {
+  RouterScenario scenario(small_day());
+  nlohmann::json entry = nlohmann::json::parse(scenario.servers->entry(scenario.day.servers[0].id));
+  entry["address"] = scenario.servers->address(scenario.day.servers[1].id).toString();
+  scenario.discovery->send_now(
+      {{"form", "changes"}, {"revision", 9}, {"servers", nlohmann::json::array({entry})}});
+  ASSERT_TRUE(scenario.router_uses_address(scenario.day.servers[0].id,
+                                           scenario.servers->address(scenario.day.servers[1].id).toString()));
+  scenario.play();
+  EXPECT_TRUE(scenario.verdict.good()) << checker::as_text(scenario.verdict);
   int misdirected = 0;
-  for (const auto& line : scene.seen) misdirected += line.value("refusal", "") == "misdirected";
+  for (const auto& line : scenario.records) misdirected += line.value("refusal", "") == "misdirected";
   EXPECT_GT(misdirected, 0);
-  for (const auto& line : scene.seen) {
+  for (const auto& line : scenario.records) {
     if (line.value("what", "") == "ran") {
-      EXPECT_NE(line.value("server", ""), scene.day.servers[0].id);
+      EXPECT_NE(line.value("server", ""), scenario.day.servers[0].id);
     }
   }
-  EXPECT_GT(scene.verdict.outcomes["honoured"], 60) << checker::as_text(scene.verdict);
+  EXPECT_GT(scenario.verdict.outcomes["honoured"], 60) << checker::as_text(scenario.verdict);
 }
 
-TEST(Router, AfterARosterThatComesAndGoesTheListStandsAsItWas) {
+TEST(RouterTest, KeepsTheEndpointListThroughADiscoveryOutage) {
   Day day = small_day();
   day.faults.push_back({FaultKind::discovery_outage, 2'000, 8'000, 1, {}});
-  Scene scene(day);
-  scene.play();
-  EXPECT_TRUE(scene.verdict.good()) << checker::as_text(scene.verdict);
-  EXPECT_GT(scene.verdict.outcomes["honoured"], 60) << checker::as_text(scene.verdict);
-  int complete = 0;
-  for (const auto& line : scene.seen)
-    complete += line.value("what", "") == "told" && line.value("complete", false);
-  EXPECT_GE(complete, 2);  // asked again after the break
+  RouterScenario scenario(day);
+  scenario.play();
+  EXPECT_TRUE(scenario.verdict.good()) << checker::as_text(scenario.verdict);
+  EXPECT_GT(scenario.verdict.outcomes["honoured"], 60) << checker::as_text(scenario.verdict);
+  int complete_lists = 0;
+  for (const auto& line : scenario.records)
+    complete_lists += line.value("what", "") == "told" && line.value("complete", false);
+  EXPECT_GE(complete_lists, 2);  // the router asks for the list again after the outage
 }
 
-// Discovery is away for nine minutes. Meanwhile one server dies, which only connections tell, and another is
-// told to drain, which nobody can tell.
-TEST(Router, WithoutDiscoveryForLongTheLastListStandsDeadServersAreLeftAloneAndItsReturnIsObeyedAtOnce) {
-  constexpr Time second = 10'000, away_at = 10 * second, away_for = 540 * second;
+// Discovery is unavailable for nine minutes. Meanwhile one server dies, which shows only as failed
+// connections, and another starts to drain, which the router cannot learn before discovery returns.
+TEST(RouterTest, KeepsTheListDuringALongDiscoveryOutageAndFollowsTheNewOneAtOnce) {
+  constexpr Time second = 10'000, outage_start = 10 * second, outage_span = 540 * second;
   Day day = small_day();
   day.events = 1'200;
   day.rate = 2;
-  const std::string dead = day.servers[0].id, drained = day.servers[1].id;
-  day.faults = {{FaultKind::discovery_outage, away_at, away_for, 1, {}},
+  const std::string dead = day.servers[0].id, draining = day.servers[1].id;
+  day.faults = {{FaultKind::discovery_outage, outage_start, outage_span, 1, {}},
                 {FaultKind::crash, 60 * second, 800 * second, 1, {dead}},
-                {FaultKind::drain, 200 * second, 800 * second, 1, {drained}}};
-  Scene scene(day);
-  const std::int64_t start = scene.reactor.clock_ns();
-  scene.play();
-  EXPECT_TRUE(scene.verdict.good()) << checker::as_text(scene.verdict);
-  EXPECT_GT(scene.verdict.outcomes["honoured"], 1'180) << checker::as_text(scene.verdict);
-  const std::int64_t back = start + (away_at + away_for) * 100'000, at_once = 10'000'000;  // nanoseconds
-  std::int64_t told = 0;
-  for (const auto& line : scene.seen) {
-    if (line.value("what", "") == "told" && line.value("at", std::int64_t{0}) >= back && told == 0)
-      told = line.value("at", std::int64_t{0});
+                {FaultKind::drain, 200 * second, 800 * second, 1, {draining}}};
+  RouterScenario scenario(day);
+  const std::int64_t start = scenario.reactor.clock_ns();
+  scenario.play();
+  EXPECT_TRUE(scenario.verdict.good()) << checker::as_text(scenario.verdict);
+  EXPECT_GT(scenario.verdict.outcomes["honoured"], 1'180) << checker::as_text(scenario.verdict);
+  const std::int64_t back = start + (outage_start + outage_span) * 100'000,
+                     at_once = 10'000'000;  // nanoseconds
+  std::int64_t list_received = 0;
+  for (const auto& line : scenario.records) {
+    if (line.value("what", "") == "told" && line.value("at", std::int64_t{0}) >= back && list_received == 0)
+      list_received = line.value("at", std::int64_t{0});
   }
-  ASSERT_GT(told, 0);
-  EXPECT_LT(told - back, std::int64_t{3'100'000'000}) << "asked for again soon after the return";
-  int before = 0;
-  for (const auto& line : scene.seen) {
-    if (line.value("what", "") != "shot" || line.value("server", "") != drained) continue;
+  ASSERT_GT(list_received, 0);
+  EXPECT_LT(list_received - back, std::int64_t{3'100'000'000})
+      << "the router asks for the list again soon after the return";
+  int attempts_before = 0;
+  for (const auto& line : scenario.records) {
+    if (line.value("what", "") != "shot" || line.value("server", "") != draining) continue;
     const std::int64_t at = line.value("at", std::int64_t{0});
-    before += at < told ? 1 : 0;
-    EXPECT_LT(at, told + at_once) << line.dump();
+    attempts_before += at < list_received ? 1 : 0;
+    EXPECT_LT(at, list_received + at_once) << line.dump();
   }
-  EXPECT_GT(before, 100) << "believed as last told while nobody can tell otherwise";
-  const auto refused =
-      scene.router->gateway().tally().outcomes[static_cast<std::size_t>(AttemptOutcome::connect_failed)];
-  EXPECT_GT(refused, 0U);
-  EXPECT_LT(refused, 60U) << "of some 270 that would have gone there in nine minutes";
+  EXPECT_GT(attempts_before, 100) << "the draining server is still used while discovery is unavailable";
+  const auto failed_connections =
+      scenario.router->gateway().tally().outcomes[static_cast<std::size_t>(AttemptOutcome::connect_failed)];
+  EXPECT_GT(failed_connections, 0U);
+  EXPECT_LT(failed_connections, 60U)
+      << "of about 270 attempts that would have gone to the dead server in nine minutes";
 }
 
-TEST(Router, ARememberedListServesWhileTheRosterIsAway) {
+TEST(RouterTest, ServesFromTheSavedListWhileDiscoveryIsUnavailable) {
   const std::string file =
       testing::TempDir() + "rushhill-remembered-" + std::to_string(transport::monotonic_ns());
-  Scene scene(small_day());
+  RouterScenario scenario(small_day());
   std::ofstream(file) << R"({"form":"complete","revision":1,"servers":[)"
-                      << scene.fleet->entry(scene.day.servers[2].id) << "]}\n";
+                      << scenario.servers->entry(scenario.day.servers[2].id) << "]}\n";
   std::string text =
-      simulation::deployment_of(scene.day, 0, {.listen = "127.0.0.1:0", .discovery = "127.0.0.1:1"});
+      simulation::deployment_of(scenario.day, 0, {.listen = "127.0.0.1:0", .discovery = "127.0.0.1:1"});
   text.insert(text.find("[roster]\n") + 9, "remembered = " + file + "\n");
-  scene.router = std::make_unique<router::RouterProcess>(scene.reactor, deployment::read_text("f", text), 3,
-                                                         scene.silent);
-  scene.play();
-  EXPECT_GT(scene.verdict.outcomes["honoured"], 60) << checker::as_text(scene.verdict);
-  EXPECT_EQ(scene.verdict.rules["1 one final answer"].breaks, 0);
+  scenario.router = std::make_unique<router::RouterProcess>(
+      scenario.reactor, deployment::read_text("f", text), 3, scenario.silent);
+  scenario.play();
+  EXPECT_GT(scenario.verdict.outcomes["honoured"], 60) << checker::as_text(scenario.verdict);
+  EXPECT_EQ(scenario.verdict.rules["1 one final answer"].breaks, 0);
   std::remove(file.c_str());
 }
 
--- a/tests/router/storage_faults_test.cpp
+++ b/tests/router/storage_faults_test.cpp
@@ -1,5 +1,5 @@
-// A router whose files fail, over real sockets: requests are served meanwhile, /metrics shows the failures,
-// and the endpoint list outlives SIGKILL.
+// Guards against storage failures that stop a router from serving requests or lose the saved endpoint list.
+// Runs the router on real sockets with failing or hanging file operations, and kills it with SIGKILL.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -19,8 +19,8 @@
 using simulation::StorageFault;
 using storage::Operation;
 
-constexpr Time within = 100'000;  // tenths of a millisecond; far longer than anything here should take
-const std::string traffic =
+constexpr Time timeout = 100'000;  // tenths of a millisecond; far longer than any step should take
+const std::string request_classes =
     "[traffic lookup]\nevent-type = org.lookup\ndue = 1s\nhard-limit = 2s\neffect = reissuable\n";
 
 std::string request(const std::string& id) {
@@ -32,44 +32,45 @@
     "HTTP/1.1 200 OK\r\nce-specversion: 1.0\r\nce-id: r\r\nce-source: /s\r\nce-type: t\r\n"
     "content-type: text/plain\r\ncontent-length: 2\r\n\r\nok";
 
-class StorageFaults : public testing::Test {
+class StorageFaultsTest : public testing::Test {
  protected:
-  StorageFaults() {
+  StorageFaultsTest() {
     server.on_bytes = [](RawPeer& peer) {
       for (std::size_t end = 0; (end = peer.seen.find("\r\n\r\n")) != std::string::npos;
            peer.seen.erase(0, end + 4))
         peer.stream->write(reply);
     };
     discovery.on_bytes = [this](RawPeer& peer) {
-      if (peer.seen.find("follow") != std::string::npos) follower = &peer;
+      if (peer.seen.find("follow") != std::string::npos) watcher = &peer;
       peer.seen.clear();
     };
   }
   std::string deployment(const std::string& discovery_address) const {
     return "[router]\ntick = 50ms\n[http]\nlisten = 127.0.0.1:0\nwind-up = 1s\n[roster]\naddress = " +
-           discovery_address + "\nremembered = " + list_path + "\n" + traffic;
+           discovery_address + "\nremembered = " + list_path + "\n" + request_classes;
   }
   bool update_list() {
-    if (!pump.until([&] { return follower != nullptr; }, within)) return false;
+    if (!pump.until([&] { return watcher != nullptr; }, timeout)) return false;
     ++revision;
-    follower->stream->write(R"({"form":"complete","revision":)" + std::to_string(revision) +
-                            R"(,"servers":[{"id":"s","address":")" + server.address() + "\"}]}\n");
+    watcher->stream->write(R"({"form":"complete","revision":)" + std::to_string(revision) +
+                           R"(,"servers":[{"id":"s","address":")" + server.address() + "\"}]}\n");
     return true;
   }
   std::string revision_text() const { return "\"revision\":" + std::to_string(revision) + ","; }
   bool saved() const { return content_of(list_path).find(revision_text()) != std::string::npos; }
-  std::string ask(const transport::Address& router, const std::string& bytes) {
+  std::string send_and_receive(const transport::Address& router, const std::string& bytes) {
     RawPeer client(reactor, router);
     client.stream->write(bytes);
-    pump.until([&] { return client.seen.find("\r\n\r\n") != std::string::npos; }, within);
+    pump.until([&] { return client.seen.find("\r\n\r\n") != std::string::npos; }, timeout);
     pump.pass(20);
     return client.seen;
   }
   bool served(const transport::Address& router) {
-    return ask(router, request("e" + std::to_string(++asked))).find(" 200 ") != std::string::npos;
+    return send_and_receive(router, request("e" + std::to_string(++last_id))).find(" 200 ") !=
+           std::string::npos;
   }
   bool shows(const transport::Address& router, const std::string& metric) {
-    return ask(router, "GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").find("\n" + metric + "\n") !=
+    return send_and_receive(router, "GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").find("\n" + metric + "\n") !=
            std::string::npos;
   }
 
@@ -79,13 +80,14 @@
   Pump pump{reactor};
   Silent silent;
   RawServer server{reactor}, discovery{reactor};
-  RawPeer* follower = nullptr;
-  int revision = 0, asked = 0;
+  RawPeer* watcher = nullptr;
+  int revision = 0, last_id = 0;
 };
 
-class ServingWhileStorageFails : public StorageFaults, public testing::WithParamInterface<Operation> {};
+class ServingDuringStorageFaultsTest : public StorageFaultsTest,
+                                       public testing::WithParamInterface<Operation> {};
 
-TEST_P(ServingWhileStorageFails, ShowsItAndTheListIsSavedWhenItRecovers) {
+TEST_P(ServingDuringStorageFaultsTest, ServesRequestsReportsFailuresAndSavesTheListAfterRecovery) {
   std::atomic<bool> failing = false;
   auto files = std::make_shared<simulation::FaultyFileSystem>(
       storage::system_files(), [&failing](Operation operation) {
@@ -95,27 +97,27 @@
                        {.files = files});
   const transport::Address address = router.address();
   ASSERT_TRUE(update_list());
-  ASSERT_TRUE(pump.until([&] { return saved(); }, within));
+  ASSERT_TRUE(pump.until([&] { return saved(); }, timeout));
   EXPECT_TRUE(shows(address, "rushhill_remembered_list_failing 0"));
   failing = true;
   ASSERT_TRUE(update_list());
-  ASSERT_TRUE(pump.until([&] { return shows(address, "rushhill_remembered_list_failing 1"); }, within));
-  const std::string counted = "rushhill_remembered_list_write_failures_total{operation=\"" +
-                              std::string(storage::name_of(GetParam())) + "\"} ";
-  EXPECT_TRUE(pump.until([&] { return shows(address, counted + "2"); }, within)) << "retried";
+  ASSERT_TRUE(pump.until([&] { return shows(address, "rushhill_remembered_list_failing 1"); }, timeout));
+  const std::string failures = "rushhill_remembered_list_write_failures_total{operation=\"" +
+                               std::string(storage::name_of(GetParam())) + "\"} ";
+  EXPECT_TRUE(pump.until([&] { return shows(address, failures + "2"); }, timeout)) << "retried";
   for (int i = 0; i < 5; ++i) EXPECT_TRUE(served(address));
   EXPECT_NE(content_of(list_path).find("\"revision\":"), std::string::npos);
   failing = false;
-  EXPECT_TRUE(pump.until([&] { return shows(address, "rushhill_remembered_list_failing 0"); }, within));
+  EXPECT_TRUE(pump.until([&] { return shows(address, "rushhill_remembered_list_failing 0"); }, timeout));
   EXPECT_TRUE(saved());
 }
 
-// Every operation with every error: remembered_endpoint_list_test.cpp.
-INSTANTIATE_TEST_SUITE_P(Operations, ServingWhileStorageFails,
+// saved_endpoint_list_test.cpp covers every operation with every documented error.
+INSTANTIATE_TEST_SUITE_P(Operations, ServingDuringStorageFaultsTest,
                          testing::Values(Operation::write, Operation::sync_directory),
                          [](const auto& given) { return std::string(storage::name_of(given.param)); });
 
-TEST_F(StorageFaults, ASyncThatHangsHoldsUpNoRequest) {
+TEST_F(StorageFaultsTest, ServesRequestsWhileASyncHangs) {
   std::atomic<bool> hangs = true, syncing = false;
   auto files =
       std::make_shared<simulation::FaultyFileSystem>(storage::system_files(), [&](Operation operation) {
@@ -129,45 +131,45 @@
     RouterProcess router(reactor, deployment::read_text("f", deployment(discovery.address())), 3, silent,
                          {.files = files});
     ASSERT_TRUE(update_list());
-    ASSERT_TRUE(pump.until([&] { return syncing.load(); }, within));
+    ASSERT_TRUE(pump.until([&] { return syncing.load(); }, timeout));
     for (int i = 0; i < 5; ++i) EXPECT_TRUE(served(router.address()));
     EXPECT_FALSE(saved());
     hangs = false;
-    EXPECT_TRUE(pump.until([&] { return saved(); }, within));
+    EXPECT_TRUE(pump.until([&] { return saved(); }, timeout));
   }
 }
 
-TEST_F(StorageFaults, TheListOutlivesSigkillAndServesWithoutDiscovery) {
+TEST_F(StorageFaultsTest, ServesFromTheSavedListWithoutDiscoveryAfterSigkill) {
   std::ofstream(deployment_path) << deployment(discovery.address());
   {
     Process program(Launch{.arguments = {"serve", deployment_path}});
     program.address_after("ready");
     ASSERT_TRUE(update_list());
-    ASSERT_TRUE(pump.until([&] { return saved(); }, within));
+    ASSERT_TRUE(pump.until([&] { return saved(); }, timeout));
     program.signal(SIGKILL);
     program.wait();
   }
-  const auto nobody = reactor.reserve(transport::numeric_address("127.0.0.1:0"));
-  std::ofstream(deployment_path) << deployment(nobody->address().toString());
+  const auto unused_address = reactor.reserve(transport::numeric_address("127.0.0.1:0"));
+  std::ofstream(deployment_path) << deployment(unused_address->address().toString());
   Process program(Launch{.arguments = {"serve", deployment_path}});
   EXPECT_TRUE(served(program.address_after("ready")));
 }
 
-TEST_F(StorageFaults, ACutListIsToldWithFileAndReasonAndDiscoveryServes) {
+TEST_F(StorageFaultsTest, LogsATruncatedListAndServesWithTheListFromDiscovery) {
   std::ofstream(list_path) << R"({"form":"complete","revi)";
   std::ofstream(deployment_path) << deployment(discovery.address());
   Process program(Launch{.arguments = {"serve", deployment_path}});
   const transport::Address address = program.address_after("ready");
-  EXPECT_NE(program.said().find("remembered endpoint list cannot be read  file=" + list_path +
+  EXPECT_NE(program.said().find("saved endpoint list cannot be read  file=" + list_path +
                                 "  reason=not a JSON object"),
             std::string::npos)
       << program.said();
   ASSERT_TRUE(update_list());
-  ASSERT_TRUE(pump.until([&] { return saved(); }, within));
+  ASSERT_TRUE(pump.until([&] { return saved(); }, timeout));
   EXPECT_TRUE(served(address));
 }
 
-TEST_F(StorageFaults, CountsThatCannotBeWrittenAreToldWithFileAndReason) {
+TEST_F(StorageFaultsTest, LogsFileAndReasonIfTheCountsCannotBeWritten) {
   std::ofstream(deployment_path) << deployment(discovery.address());
   Process program(Launch{.arguments = {"serve", deployment_path, "--tally", directory / "none/tally"}});
   program.address_after("ready");
@@ -178,13 +180,13 @@
   EXPECT_EQ(program.wait(), 0);
 }
 
-TEST_F(StorageFaults, InjectedFromASeedTheyEndAndTheListIsSaved) {
+TEST_F(StorageFaultsTest, SavesTheListDespiteIntermittentSeededFaults) {
   std::ofstream(deployment_path) << deployment(discovery.address());
   Process program(
       Launch{.arguments = {"serve", deployment_path}, .environment = {{"RUSHHILL_STORAGE_FAULTS", "1"}}});
   const transport::Address address = program.address_after("ready");
   ASSERT_TRUE(update_list());
-  EXPECT_TRUE(pump.until([&] { return saved(); }, within));
+  EXPECT_TRUE(pump.until([&] { return saved(); }, timeout));
   EXPECT_TRUE(served(address));
 }
 
