--- a/src/router/shared_state.cpp
+++ b/src/router/shared_state.cpp
@@ -101,13 +101,13 @@
 
 // Returns whether this replica holds again whatever earlier incarnations of this router held: it has received
 // the state of all other routers, or of so many recovered ones that one of them shares each record. With too
-// many routers for a full mesh, or too few holders for two admissions to have a router in common, the linked
-// routers suffice.
+// many routers for a full mesh, or too few holders for two admissions to have a router in common, it suffices
+// to have caught up with the linked routers.
 bool SharedState::has_complete_state(Time now) const {
-  const replicating::ReplicaLinks::Learnt learnt = links_.learnt();
+  const replicating::ReplicaLinks::Learnt peers = links_.learnt();
   if (!replica::every_two_meet(routers_, required_holders_) || routers_ > replica::most_meeting)
     return links_.caught_up();
-  return now > started_ && replica::settled(routers_, required_holders_, learnt.all, learnt.vouching);
+  return now > started_ && replica::settled(routers_, required_holders_, peers.all, peers.vouching);
 }
 
 // If other routers cannot be reached, recovery is complete once all records of earlier incarnations have
@@ -220,7 +220,7 @@
 void SharedState::copies_differed(const replica::StreamId& stream, const replica::Word& kept,
                                   const replica::Word& dropped) {
   event_log_.write(
-      Level::error, "replicas diverged: two records have one number, and the greater one is kept",
+      Level::error, "replicas diverged: their records of one number differ, and the greater one is kept",
       {{"kind", std::to_string(static_cast<int>(stream.kind))},
        {"router", std::to_string(stream.writer.router)},
        {"stands", kept.key + " " + std::to_string(kept.rank) + " " + std::to_string(kept.count)},
