--- a/src/admission/deliveries.cpp
+++ b/src/admission/deliveries.cpp
@@ -2,30 +2,30 @@
 
 namespace rushhill::admission {
 
-void Deliveries::lapse(Time now) {
-  while (!order_.empty() && (order_.front().first + span_ <= now || order_.size() > most_)) {
-    const auto& [when, mark] = order_.front();
-    const auto it = ended_.find(mark);
-    if (it != ended_.end() && it->second.second == when) ended_.erase(it);
+void Deliveries::forget_oldest(Time now) {
+  while (!order_.empty() && (order_.front().first + retention_ <= now || order_.size() > max_ended_)) {
+    const auto& [ended_at, message_key] = order_.front();
+    const auto it = ended_.find(message_key);
+    if (it != ended_.end() && it->second.second == ended_at) ended_.erase(it);
     order_.pop_front();
   }
 }
 
-Deliveries::Meeting Deliveries::meet(Time now, const std::string& mark) {
-  lapse(now);
-  if (ended_.contains(mark)) return Meeting::answered;
-  return ++working_[mark] > 1 ? Meeting::joins : Meeting::fresh;
+Deliveries::Meeting Deliveries::meet(Time now, const std::string& message_key) {
+  forget_oldest(now);
+  if (ended_.contains(message_key)) return Meeting::answered;
+  return ++in_progress_[message_key] > 1 ? Meeting::joins : Meeting::fresh;
 }
 
-void Deliveries::ended(Time now, const std::string& mark, Outcome outcome) {
-  working_.erase(mark);
-  ended_[mark] = {outcome, now};
-  order_.emplace_back(now, mark);
-  lapse(now);
+void Deliveries::ended(Time now, const std::string& message_key, Outcome outcome) {
+  in_progress_.erase(message_key);
+  ended_[message_key] = {outcome, now};
+  order_.emplace_back(now, message_key);
+  forget_oldest(now);
 }
 
-std::optional<Outcome> Deliveries::outcome(const std::string& mark) const {
-  const auto it = ended_.find(mark);
+std::optional<Outcome> Deliveries::outcome(const std::string& message_key) const {
+  const auto it = ended_.find(message_key);
   if (it == ended_.end()) return std::nullopt;
   return it->second.first;
 }
--- a/src/admission/deliveries.h
+++ b/src/admission/deliveries.h
@@ -1,5 +1,5 @@
-// What a front remembers of messages that may come again: which are being worked on, how those that ended
-// ended, and how often one came without an end. Free of I/O; the clock is handed in.
+// Recognises messages that are delivered more than once: it knows which are in progress and how those that
+// ended recently ended. Free of I/O; the caller passes the time.
 #pragma once
 
 #include <cstdint>
@@ -16,32 +16,37 @@
 
 class Deliveries {
  public:
-  // Ended messages are known for `span`, at most `most` of them; the oldest go first.
-  Deliveries(Time span, std::size_t most) : span_(span), most_(most) {}
+  // Ended messages are remembered for `retention` (tenths of a millisecond), and at most `max_ended` of them;
+  // the oldest are forgotten first.
+  Deliveries(Time retention, std::size_t max_ended) : retention_(retention), max_ended_(max_ended) {}
 
   enum class Meeting {
-    fresh,    // to be taken
-    joins,    // the same message is being worked on: no further shot
-    answered  // it has ended: the same answer again
+    fresh,    // The message is unknown and has to be processed.
+    joins,    // The message is in progress and must not be processed a second time.
+    answered  // The message has ended; its answer is to be sent again.
   };
-  // A message comes, or comes again. Joined or answered, `outcome` tells how where it is known.
-  Meeting meet(Time now, const std::string& mark);
-  bool knows(const std::string& mark) const { return working_.contains(mark) || ended_.contains(mark); }
-  void ended(Time now, const std::string& mark, Outcome outcome);
-  // Its client went or it was never taken: it is as if it had not come.
-  void forget(const std::string& mark) { working_.erase(mark); }
-  std::optional<Outcome> outcome(const std::string& mark) const;
-  std::size_t known() const { return ended_.size(); }
-  std::size_t working() const { return working_.size(); }
+  // Records a delivery and returns whether the message is known. `message_key` identifies the message.
+  Meeting meet(Time now, const std::string& message_key);
+  bool knows(const std::string& message_key) const {
+    return in_progress_.contains(message_key) || ended_.contains(message_key);
+  }
+  void ended(Time now, const std::string& message_key, Outcome outcome);
+  // Drops a message in progress that will not be processed, for instance because the connection was lost
+  // before it was submitted. Its next delivery counts as the first.
+  void forget(const std::string& message_key) { in_progress_.erase(message_key); }
+  // Returns how the message ended; nothing if it has not ended or has been forgotten.
+  std::optional<Outcome> outcome(const std::string& message_key) const;
+  std::size_t ended_count() const { return ended_.size(); }
+  std::size_t in_progress_count() const { return in_progress_.size(); }
 
  private:
-  void lapse(Time now);
+  void forget_oldest(Time now);
 
-  Time span_;
-  std::size_t most_;
-  std::map<std::string, int> working_;  // and how often it came
+  Time retention_;
+  std::size_t max_ended_;
+  std::map<std::string, int> in_progress_;  // number of deliveries by message key
   std::map<std::string, std::pair<Outcome, Time>> ended_;
-  std::deque<std::pair<Time, std::string>> order_;
+  std::deque<std::pair<Time, std::string>> order_;  // ended messages, the oldest first
 };
 
 }  // namespace rushhill::admission
--- a/src/admission/shares.h
+++ b/src/admission/shares.h
@@ -1,5 +1,5 @@
-// Weighted taking between sources of events: how many each may have open, so that one's flood starves no
-// other. Free of I/O, clock and chance.
+// Weighted quotas of open requests: how many requests each source may have open, so that a flood from one
+// source does not starve the others. Free of I/O, clock and randomness.
 #pragma once
 
 #include <cstddef>
@@ -7,15 +7,16 @@
 
 namespace rushhill::admission {
 
-// Each source has a part of the whole by its weight that is always its own to take. What others leave of
-// theirs may be borrowed but for a reserve, which is kept free for each that is below its part.
+// Each source has a quota, in proportion to its weight. It may also use what the others leave of theirs,
+// except for a reserve that stays free for each source that is below its quota.
 class Shares {
  public:
   using Source = std::size_t;
-  // `whole`: events open at once, over all sources.
-  explicit Shares(std::size_t whole) : whole_(whole) {}
+  // `max_open`: requests open at once, over all sources.
+  explicit Shares(std::size_t max_open) : max_open_(max_open) {}
 
   Source add(double weight);
+  // Returns whether one more request of the source may be admitted.
   bool may_take(Source source) const;
   void took(Source source) {
     ++sources_[source].open;
@@ -26,33 +27,34 @@
     --open_;
   }
 
-  std::size_t part(Source source) const;
+  std::size_t quota(Source source) const;
   std::size_t open(Source source) const { return sources_[source].open; }
   std::size_t open() const { return open_; }
-  // Of those that wait and may take, the one whose open events are the smallest share of its part.
-  template <typename Waits>
-  bool next(Waits waits, Source& chosen) const {
+  // Chooses the source that is furthest below its quota, among those that have requests waiting and may admit
+  // one. Returns false if there is none.
+  template <typename HasWaiting>
+  bool next_source(HasWaiting has_waiting, Source& chosen) const {
     bool found = false;
     for (Source source = 0; source < sources_.size(); ++source) {
-      if (!waits(source) || !may_take(source)) continue;
-      if (!found || fill(source) < fill(chosen)) chosen = source;
+      if (!has_waiting(source) || !may_take(source)) continue;
+      if (!found || open_per_weight(source) < open_per_weight(chosen)) chosen = source;
       found = true;
     }
     return found;
   }
 
  private:
-  struct Row {
+  struct SourceState {
     double weight = 1;
     std::size_t open = 0;
   };
-  double fill(Source source) const {
+  double open_per_weight(Source source) const {
     return static_cast<double>(sources_[source].open) / sources_[source].weight;
   }
 
-  std::size_t whole_;
-  std::vector<Row> sources_;
-  double weights_ = 0;
+  std::size_t max_open_;
+  std::vector<SourceState> sources_;
+  double total_weight_ = 0;
   std::size_t open_ = 0;
 };
 
--- a/src/admission/tries.cpp
+++ b/src/admission/tries.cpp
@@ -5,42 +5,43 @@
 namespace rushhill::admission {
 namespace {
 
-constexpr Time first_rest = 1'000;  // tenths of a millisecond, where the core advises nothing
-constexpr int most_doublings = 6;   // of that rest
-constexpr Time least_left = 100;    // tenths of a millisecond; a try with less before it cannot end well
-
-// Numbered events may be resent in their group only, which a new event would not keep. An at-most-once event
-// that was abandoned may have run; one that was shed has not.
-bool may_repeat(Outcome outcome, RetrySafety effect) {
-  if (effect == RetrySafety::idempotent) return true;
-  return effect == RetrySafety::at_most_once && outcome == Outcome::rejected;
+constexpr Time initial_backoff = 1'000;  // tenths of a millisecond; used if the core gives no retry delay
+constexpr int max_doublings = 6;         // doublings of the initial backoff
+constexpr Time min_time_left = 100;  // tenths of a millisecond; a retry with less time left cannot succeed
+
+// A keyed request is never retried here: its key is known only within its deduplication scope, and a new
+// request for the message might be routed outside that scope. An at-most-once request that failed may have
+// run; one that was rejected has not.
+bool may_retry(Outcome outcome, RetrySafety retry_safety) {
+  if (retry_safety == RetrySafety::idempotent) return true;
+  return retry_safety == RetrySafety::at_most_once && outcome == Outcome::rejected;
 }
 
 }  // namespace
 
-std::optional<Time> Tries::again(Time now, const std::string& mark, Outcome outcome, RetrySafety effect,
-                                 Time limit, Time advised) {
-  const auto [it, fresh] = made_.try_emplace(mark, 0);
-  if (fresh) order_.push_back(mark);
-  const int made = ++it->second;
-  if (order_.size() > known_) {
-    made_.erase(order_.front());
+std::optional<Time> Tries::again(Time now, const std::string& message_key, Outcome outcome,
+                                 RetrySafety retry_safety, Time deadline, Time retry_after) {
+  const auto [it, is_new] = failures_.try_emplace(message_key, 0);
+  if (is_new) order_.push_back(message_key);
+  const int failures = ++it->second;
+  if (order_.size() > max_messages_) {
+    failures_.erase(order_.front());
     order_.pop_front();
   }
-  if (made >= most_ || !may_repeat(outcome, effect)) return std::nullopt;
-  const Time rest = advised > 0 ? advised : first_rest << std::min(made - 1, most_doublings);
-  if (now + rest + least_left >= limit) return std::nullopt;
-  return now + rest;
+  if (failures >= max_submissions_ || !may_retry(outcome, retry_safety)) return std::nullopt;
+  const Time delay = retry_after > 0 ? retry_after : initial_backoff << std::min(failures - 1, max_doublings);
+  if (now + delay + min_time_left >= deadline) return std::nullopt;
+  return now + delay;
 }
 
-int Tries::made(const std::string& mark) const {
-  const auto it = made_.find(mark);
-  return it == made_.end() ? 0 : it->second;
+int Tries::made(const std::string& message_key) const {
+  const auto it = failures_.find(message_key);
+  return it == failures_.end() ? 0 : it->second;
 }
 
-void Tries::forget(const std::string& mark) {
-  // Its place in the order goes with its turn; few messages are ever tried again.
-  if (made_.erase(mark) > 0) std::erase(order_, mark);
+void Tries::forget(const std::string& message_key) {
+  // The search in the order is linear, but few messages are ever retried.
+  if (failures_.erase(message_key) > 0) std::erase(order_, message_key);
 }
 
 }  // namespace rushhill::admission
--- a/src/admission/tries.h
+++ b/src/admission/tries.h
@@ -1,5 +1,6 @@
-// How often a message that nobody waits for is taken: one that is given up rests and is taken again, so often
-// as was told and never past its time; then it is for the dead letters. Free of I/O; the clock is handed in.
+// Retries of messages whose sender does not wait for an answer: a message that did not succeed is submitted
+// again after a backoff, up to a configured number of times and not past its deadline. After that the caller
+// sends it to the dead-letter topic. Free of I/O; the caller passes the time.
 #pragma once
 
 #include <cstddef>
@@ -15,21 +16,24 @@
 
 class Tries {
  public:
-  // `most` tries a message, counted for `known` messages at most; the oldest are forgotten first.
-  Tries(int most, std::size_t known) : most_(most), known_(known) {}
+  // Allows `max_submissions` of each message. Submissions are counted for at most `max_messages` messages;
+  // the oldest are forgotten first.
+  Tries(int max_submissions, std::size_t max_messages)
+      : max_submissions_(max_submissions), max_messages_(max_messages) {}
 
-  // A try ended without being honoured: when the message is to be taken again; nothing: it is given up.
-  // `limit`: when its time is up; `advised`: the core's time to come back, 0: none.
-  std::optional<Time> again(Time now, const std::string& mark, Outcome outcome, RetrySafety effect,
-                            Time limit, Time advised);
-  int made(const std::string& mark) const;
-  void forget(const std::string& mark);
+  // Counts a submission that did not succeed and returns when to submit the message again; nothing if it must
+  // not be retried. `retry_after`: the delay asked for by the core; 0 selects the exponential backoff.
+  std::optional<Time> again(Time now, const std::string& message_key, Outcome outcome,
+                            RetrySafety retry_safety, Time deadline, Time retry_after);
+  // Returns the number of submissions counted for the message.
+  int made(const std::string& message_key) const;
+  void forget(const std::string& message_key);
 
  private:
-  int most_;
-  std::size_t known_;
-  std::map<std::string, int> made_;
-  std::deque<std::string> order_;
+  int max_submissions_;
+  std::size_t max_messages_;
+  std::map<std::string, int> failures_;  // submissions that did not succeed, by message key
+  std::deque<std::string> order_;        // message keys in the order of their first failure
 };
 
 }  // namespace rushhill::admission
--- a/src/admission/yielding.cpp
+++ b/src/admission/yielding.cpp
@@ -6,16 +6,26 @@
 namespace rushhill::admission {
 namespace {
 
-constexpr Time beat_length = 1'000;    // tenths of a millisecond; short beside due times, long beside answers
-constexpr double strain = 0.02;        // share given up of all that ends, from which the core is overloaded
-constexpr double least_ended = 10;     // events ended in the kept beats; of fewer nothing is concluded
-constexpr double cut = 0.8;            // of an allowance, at strain
-constexpr int rest_after_cut = 2;      // beats
-constexpr double growth = 0.06;        // of an allowance, a beat without strain in which it was met
-constexpr double near = 0.9;           // of what was in use at the last strain; from there on it
-constexpr double slow_growth = 0.005;  // grows slower, since there the strain is expected
-constexpr double least_allowed = 2;    // events
-constexpr int forgotten = 20;  // beats in a row in which an allowance was not met; then it binds no more
+// Tenths of a millisecond; short compared with latency objectives, long compared with answer times.
+constexpr Time interval_length = 1'000;
+// Share of failures among the ended requests above which the router counts as overloaded.
+constexpr double overload_ratio = 0.02;
+// Fewer ended requests in the kept intervals do not show whether there is an overload.
+constexpr double min_ended_requests = 10;
+
+// An allowance is cut to this part of the open requests at which the overload occurred.
+constexpr double cut_factor = 0.8;
+constexpr int intervals_after_cut = 2;  // intervals without a further cut
+constexpr double min_allowance = 2;     // requests
+
+// Growth of an allowance per interval in which it refused a request. Near the load of the last cut, where an
+// overload is likely again, it grows more slowly.
+constexpr double growth_rate = 0.06;
+constexpr double slow_growth_rate = 0.005;
+constexpr double slow_growth_start = 0.9;  // part of the load at the last cut
+
+// An allowance that has refused no request for this many intervals is lifted.
+constexpr int intervals_until_release = 20;
 
 }  // namespace
 
@@ -25,88 +35,92 @@
                                   : std::numeric_limits<std::size_t>::max();
 }
 
-void Yielding::add(double weight, bool waits) {
-  sources_.push_back({.weight = std::max(weight, 1e-6), .waits = waits});
+void Yielding::add(double weight, bool can_wait) {
+  sources_.push_back({.weight = std::max(weight, 1e-6), .can_wait = can_wait});
 }
 
 void Yielding::took(Time now, std::size_t source) {
-  turn(now);
-  Row& row = sources_[source];
-  row.most_open = std::max(row.most_open, ++row.open);
+  advance_intervals(now);
+  SourceState& state = sources_[source];
+  state.peak_open = std::max(state.peak_open, ++state.open);
 }
 
 void Yielding::ended(Time now, std::size_t source, End end) {
-  turn(now);
-  Row& row = sources_[source];
-  --row.open;
-  if (end == End::succeeded) ++row.beats[beat_].honoured;
-  if (end == End::failed) ++row.beats[beat_].given_up;
+  advance_intervals(now);
+  SourceState& state = sources_[source];
+  --state.open;
+  if (end == End::succeeded) ++state.intervals[current_interval_].succeeded;
+  if (end == End::failed) ++state.intervals[current_interval_].failed;
 }
 
 bool Yielding::may_take(Time now, std::size_t source) {
-  turn(now);
-  Row& row = sources_[source];
-  if (row.open < allowance(source)) return true;
-  row.held = true;
+  advance_intervals(now);
+  SourceState& state = sources_[source];
+  if (state.open < allowance(source)) return true;
+  state.refused = true;
   return false;
 }
 
-void Yielding::turn(Time now) {
-  if (now < beat_ends_) return;
-  // After a long silence the kept beats are all empty.
-  const Time missed = (now - beat_ends_) / beat_length;
-  for (Time i = 0; i <= std::min<Time>(missed, beats_kept); ++i) {
-    judge();
-    beat_ = (beat_ + 1) % beats_kept;
-    for (Row& row : sources_) {
-      row.beats[beat_] = {};
-      row.most_open = row.open;
-      row.held = false;
+void Yielding::advance_intervals(Time now) {
+  if (now < interval_ends_at_) return;
+  // After `kept_intervals` intervals without a call all kept intervals are empty.
+  const Time elapsed = (now - interval_ends_at_) / interval_length;
+  for (Time i = 0; i <= std::min<Time>(elapsed, kept_intervals); ++i) {
+    adjust_allowances();
+    current_interval_ = (current_interval_ + 1) % kept_intervals;
+    for (SourceState& state : sources_) {
+      state.intervals[current_interval_] = {};
+      state.peak_open = state.open;
+      state.refused = false;
     }
   }
-  beat_ends_ = now - now % beat_length + beat_length;
+  interval_ends_at_ = now - now % interval_length + interval_length;
 }
 
-void Yielding::judge() {
-  double honoured = 0, given_up = 0, weights = 0;
-  std::vector<double> of_source(sources_.size());
+void Yielding::adjust_allowances() {
+  double succeeded = 0, failed = 0, active_weight = 0;
+  std::vector<double> succeeded_by_source(sources_.size());
   for (std::size_t i = 0; i < sources_.size(); ++i) {
-    const Row& row = sources_[i];
+    const SourceState& state = sources_[i];
     double ended = 0;
-    for (const Beat& beat : row.beats) {
-      of_source[i] += beat.honoured;
-      given_up += beat.given_up;
-      ended += beat.honoured + beat.given_up;
+    for (const Interval& interval : state.intervals) {
+      succeeded_by_source[i] += interval.succeeded;
+      failed += interval.failed;
+      ended += interval.succeeded + interval.failed;
     }
-    honoured += of_source[i];
-    if (ended > 0 || row.open > 0) weights += row.weight;
+    succeeded += succeeded_by_source[i];
+    if (ended > 0 || state.open > 0) active_weight += state.weight;
   }
-  const bool resting = rest_ > 0;
-  rest_ = std::max(rest_ - 1, 0);
-  const bool strained = honoured + given_up >= least_ended && given_up > strain * (honoured + given_up);
+  const bool in_cooldown = cooldown_ > 0;
+  cooldown_ = std::max(cooldown_ - 1, 0);
+  const bool overloaded =
+      succeeded + failed >= min_ended_requests && failed > overload_ratio * (succeeded + failed);
   for (std::size_t i = 0; i < sources_.size(); ++i) {
-    Row& row = sources_[i];
-    if (!row.waits) continue;
-    const bool above_part = of_source[i] * weights > honoured * row.weight;
-    if (strained && above_part) {
-      if (resting) continue;
-      row.unmet = 0;
-      row.strained_at = std::min(row.allowance, static_cast<double>(row.most_open));
-      row.allowance = std::max(row.strained_at * cut, least_allowed);
-    } else if (std::isfinite(row.allowance) && (!strained || !above_part)) {
-      if (row.held) {
-        row.allowance *= 1 + (row.allowance < near * row.strained_at ? growth : slow_growth);
-        row.unmet = 0;
-      } else if (++row.unmet >= forgotten) {
-        row.allowance = std::numeric_limits<double>::infinity();
+    SourceState& state = sources_[i];
+    if (!state.can_wait) continue;
+    const bool above_share = succeeded_by_source[i] * active_weight > succeeded * state.weight;
+    if (overloaded && above_share) {
+      if (in_cooldown) continue;
+      state.intervals_without_refusal = 0;
+      state.load_at_last_cut = std::min(state.allowance, static_cast<double>(state.peak_open));
+      state.allowance = std::max(state.load_at_last_cut * cut_factor, min_allowance);
+    } else if (std::isfinite(state.allowance) && (!overloaded || !above_share)) {
+      if (state.refused) {
+        state.allowance *=
+            1 +
+            (state.allowance < slow_growth_start * state.load_at_last_cut ? growth_rate : slow_growth_rate);
+        state.intervals_without_refusal = 0;
+      } else if (++state.intervals_without_refusal >= intervals_until_release) {
+        state.allowance = std::numeric_limits<double>::infinity();
       }
     }
   }
-  if (strained && !resting) rest_ = rest_after_cut;
-  if (!strained && !resting) return;
-  // What was given up counts once, and not at all where it was taken before the last cut.
-  for (Row& row : sources_) {
-    for (Beat& beat : row.beats) beat.given_up = 0;
+  if (overloaded && !in_cooldown) cooldown_ = intervals_after_cut;
+  if (!overloaded && !in_cooldown) return;
+  // A failure leads to one cut only, and one during the cooldown to none, since its request was admitted
+  // before the last cut.
+  for (SourceState& state : sources_) {
+    for (Interval& interval : state.intervals) interval.failed = 0;
   }
 }
 
--- a/src/upstream/line_connection.cpp
+++ b/src/upstream/line_connection.cpp
@@ -11,9 +11,10 @@
 using transport::CloseReason;
 using transport::Stream;
 
-constexpr std::size_t most_unsent_bytes = 256 * 1024;  // an endpoint that takes no more is silent
-constexpr Time renewal_interval = 50;         // tenths of a millisecond between two renewals of deadlines
-constexpr std::size_t most_recent_tags = 64;  // far above the attempts of one request
+// Above this the endpoint counts as not reading, and the connection accepts no further exchange.
+constexpr std::size_t max_pending_bytes = 256 * 1024;
+constexpr Time renewal_interval = 50;        // tenths of a millisecond between two renewals of deadlines
+constexpr std::size_t max_recent_tags = 64;  // far more than one request has attempts
 
 }  // namespace
 
@@ -24,7 +25,7 @@
 void LineConnection::connect(const transport::Address& address) {
   stream_ = Stream::connect(reactor_, address, *this);
   timer_ = reactor_.at(reactor_.now() + limits_.connect_timeout,
-                       [this] { fail(AttemptOutcome::connect_failed, Unsent::fails); });
+                       [this] { fail(AttemptOutcome::connect_failed, UnsentExchanges::fail); });
 }
 
 LineConnection::~LineConnection() {
@@ -45,23 +46,23 @@
 }
 
 void LineConnection::send(LineExchange exchange) {
-  note_sending();
-  const std::string bytes = place(exchange);
+  leave_idle();
+  const std::string bytes = encode_at_end(exchange);
   if (exchange.call.kind == transport::UpstreamCallKind::evict) {
-    // It has no answer to be waited for.
+    // An evict command has no answer.
     if (established_ && idle()) become_idle();
     return stream_->write(bytes);
   }
-  remember(exchange.tag);
+  remember_tag(exchange.tag);
   start_timer(exchange);
   exchanges_.emplace(exchange.tag, std::move(exchange));
   stream_->write(bytes);
-  note_started();
+  report_started_attempts();
   schedule_renewal();
-  if (stream_->pending_bytes() > most_unsent_bytes) retire();
+  if (stream_->pending_bytes() > max_pending_bytes) retire();
 }
 
-void LineConnection::note_sending() {
+void LineConnection::leave_idle() {
   if (established_) reactor_.cancel(timer_);
   if (!idle()) return;
   idle_before_ = established_ ? reactor_.now() - idle_since_ : 0;
@@ -69,9 +70,9 @@
   answer_started_ = false;
 }
 
-void LineConnection::remember(const std::string& tag) {
+void LineConnection::remember_tag(const std::string& tag) {
   recent_tags_.push_back(tag);
-  if (recent_tags_.size() > most_recent_tags) recent_tags_.pop_front();
+  if (recent_tags_.size() > max_recent_tags) recent_tags_.pop_front();
 }
 
 void LineConnection::start_timer(LineExchange& exchange) {
@@ -84,22 +85,24 @@
   });
 }
 
-// Where none of the attempt has left, it is only taken from what waits. Where nothing else is on the
-// connection its close tells the endpoint, and one whose answer will never come costs no later attempt.
-// Beside others it is cancelled by a command, and they are the last.
+// If no byte of the attempt has been sent, its bytes are dropped and the endpoint learns nothing of it. If
+// the attempt is alone on the connection, closing the connection tells the endpoint, so that no later attempt
+// uses a connection whose endpoint may never answer. Otherwise an abort command is sent. In each case the
+// connection accepts no further exchange.
 void LineConnection::cancel(const transport::AttemptKey& attempt) {
   const auto self = shared_from_this();
   const std::string tag = tag_of(attempt);
-  if (tag.empty() || recall(tag)) return;
+  if (tag.empty() || cancel_if_unsent(tag)) return;
   detach(exchanges_.find(tag));
   if (!idle()) stream_->write(line_protocol::abort(tag));
   retire_and_close_if_idle();
 }
 
-// The connection takes no further exchange: it has been connecting for long, or is open and takes nothing.
-std::optional<LineExchange> LineConnection::recall(const std::string& tag) {
+// Also retires the connection, since unsent bytes mean that it is still connecting or that the endpoint is
+// not reading.
+std::optional<LineExchange> LineConnection::cancel_if_unsent(const std::string& tag) {
   const auto it = exchanges_.find(tag);
-  if (it == exchanges_.end() || !cancel_bytes(it->second)) return std::nullopt;
+  if (it == exchanges_.end() || !cancel_unsent_bytes(it->second)) return std::nullopt;
   const auto self = shared_from_this();
   LineExchange exchange = detach(it);
   retire_and_close_if_idle();
@@ -139,7 +142,7 @@
 }
 
 void LineConnection::on_write_drained() {
-  note_started();
+  report_started_attempts();
   schedule_renewal();
 }
 
@@ -152,13 +155,14 @@
     const line_protocol::Progress progress = reader_.next(answer);
     if (progress == line_protocol::Progress::more) return;
     if (progress == line_protocol::Progress::bad) return answer_unreadable(reader_.suspect());
-    // One that is not found is unknown, has been answered before, or was cancelled.
+    // If there is no such exchange, the id is unknown, was answered before, or belongs to a cancelled
+    // exchange.
     const auto it = exchanges_.find(answer.id);
-    if (it != exchanges_.end()) answered(it, std::move(answer));
+    if (it != exchanges_.end()) on_answer(it, std::move(answer));
   }
 }
 
-void LineConnection::answered(Exchanges::iterator it, line_protocol::Answer answer) {
+void LineConnection::on_answer(Exchanges::iterator it, line_protocol::Answer answer) {
   const LineExchange exchange = detach(it);
   if (idle()) {
     if (retired_) {
@@ -170,42 +174,45 @@
   owner_.exchange_answered(exchange, std::move(answer));
 }
 
-// The one that the answer was meant for has run and has no answer; the others lose their connection.
+// The exchange that the answer is for ends as an error, since the endpoint has answered it; the others end as
+// connection lost. If it is not known which exchange the answer is for, all end as errors.
 void LineConnection::answer_unreadable(const std::string& suspect) {
   owner_.answer_unreadable(*this);
-  const bool known = exchanges_.contains(suspect) || exchanges_.size() == 1;
+  const bool suspect_known = exchanges_.contains(suspect) || exchanges_.size() == 1;
   owner_.connection_unusable(*this);
   const std::vector<LineExchange> exchanges = detach_all();
   for (const LineExchange& exchange : exchanges) {
-    const bool meant = exchanges.size() == 1 || exchange.tag == suspect;
-    owner_.exchange_failed(exchange,
-                           meant || !known ? AttemptOutcome::error : AttemptOutcome::connection_lost);
+    const bool is_suspect = exchanges.size() == 1 || exchange.tag == suspect;
+    owner_.exchange_failed(
+        exchange, is_suspect || !suspect_known ? AttemptOutcome::error : AttemptOutcome::connection_lost);
   }
 }
 
 void LineConnection::on_closed(CloseReason reason) {
-  // A failure of this machine, which says nothing of the endpoint.
-  if (reason == CloseReason::not_started) return fail(AttemptOutcome::not_sent, Unsent::fails);
-  if (reason == CloseReason::connect_failed) return fail(AttemptOutcome::connect_failed, Unsent::is_retried);
-  const bool crossed =
+  // This machine lacks a resource, which says nothing about the endpoint.
+  if (reason == CloseReason::not_started) return fail(AttemptOutcome::not_sent, UnsentExchanges::fail);
+  if (reason == CloseReason::connect_failed)
+    return fail(AttemptOutcome::connect_failed, UnsentExchanges::retry);
+  const bool crossed_close =
       !answer_started_ && transport::crossed_idle_close(idle_before_, reactor_.now() - sent_at_);
-  fail(crossed ? AttemptOutcome::unanswered : AttemptOutcome::connection_lost, Unsent::is_retried);
+  fail(crossed_close ? AttemptOutcome::unanswered : AttemptOutcome::connection_lost, UnsentExchanges::retry);
 }
 
-// A connection that ended, also while it was being established, may have been cut: what the system took no
-// byte of, which is certain not to have begun, goes on another one, once.
-void LineConnection::fail(AttemptOutcome outcome, Unsent unsent) {
+// A connection that was lost, also while being established, may have been cut by the network. An exchange of
+// which the system took no byte cannot have run; with `UnsentExchanges::retry` it is retried once on another
+// connection.
+void LineConnection::fail(AttemptOutcome outcome, UnsentExchanges unsent) {
   const auto self = shared_from_this();
   const std::size_t handed_over = stream_->handed_over_bytes();
   owner_.connection_unusable(*this);
   for (LineExchange& exchange : detach_all()) {
-    const bool untouched = handed_over <= exchange.offset;
-    if (unsent == Unsent::is_retried && untouched && !exchange.retried) {
+    const bool unsent_exchange = handed_over <= exchange.offset;
+    if (unsent == UnsentExchanges::retry && unsent_exchange && !exchange.retried) {
       exchange.retried = true;
       owner_.retry(std::move(exchange));
     } else {
-      const bool connect_failed = untouched && outcome != AttemptOutcome::not_sent;
-      owner_.exchange_failed(exchange, connect_failed ? AttemptOutcome::connect_failed : outcome);
+      const bool report_connect_failed = unsent_exchange && outcome != AttemptOutcome::not_sent;
+      owner_.exchange_failed(exchange, report_connect_failed ? AttemptOutcome::connect_failed : outcome);
     }
   }
 }
@@ -228,27 +235,27 @@
   return exchange.is_attempt() && stream_->handed_over_bytes() > exchange.offset;
 }
 
-bool LineConnection::waits_to_leave(const LineExchange& exchange) const {
+bool LineConnection::is_unsent(const LineExchange& exchange) const {
   return exchange.is_attempt() && stream_->handed_over_bytes() <= exchange.offset;
 }
 
-void LineConnection::note_started() {
+void LineConnection::report_started_attempts() {
   for (auto& [tag, exchange] : exchanges_) {
     if (!has_started(exchange)) continue;
     if (!std::exchange(exchange.started, true)) owner_.attempt_started(exchange.call.request);
   }
 }
 
-// The exchange's bytes as of now; they are to be written next.
-std::string LineConnection::place(LineExchange& exchange) {
+// Returns the exchange's bytes as of now and notes their position; the caller writes them next.
+std::string LineConnection::encode_at_end(LineExchange& exchange) {
   std::string bytes = exchange.bytes(reactor_.now());
   exchange.offset = stream_->handed_over_bytes() + stream_->pending_bytes();
   exchange.size = bytes.size();
   return bytes;
 }
 
-// Takes the exchange's bytes from what waits to leave. False: some of them have left.
-bool LineConnection::cancel_bytes(const LineExchange& exchange) {
+// Removes the exchange's bytes from those to be sent. Returns false if some of them have been sent.
+bool LineConnection::cancel_unsent_bytes(const LineExchange& exchange) {
   const std::size_t offset = exchange.offset;
   if (!stream_->cancel_unsent(offset, exchange.size)) return false;
   for (auto& [tag, other] : exchanges_) {
@@ -257,30 +264,31 @@
   return true;
 }
 
-// Takes the bytes of all attempts that wait to leave; the attempts in the order in which they were written.
-std::vector<LineExchange*> LineConnection::cancel_waiting_bytes() {
-  std::vector<LineExchange*> waiting;
+// Removes the bytes of all unsent attempts; returns these attempts in the order in which they were written.
+std::vector<LineExchange*> LineConnection::cancel_unsent_attempts() {
+  std::vector<LineExchange*> unsent;
   for (auto& [tag, exchange] : exchanges_) {
-    if (waits_to_leave(exchange)) waiting.push_back(&exchange);
+    if (is_unsent(exchange)) unsent.push_back(&exchange);
   }
-  std::ranges::sort(waiting, {}, &LineExchange::offset);
-  std::erase_if(waiting, [this](const LineExchange* exchange) { return !cancel_bytes(*exchange); });
-  return waiting;
+  std::ranges::sort(unsent, {}, &LineExchange::offset);
+  std::erase_if(unsent, [this](const LineExchange* exchange) { return !cancel_unsent_bytes(*exchange); });
+  return unsent;
 }
 
-// The deadline that an attempt tells its endpoint is counted from when it leaves, which may be long after it
-// was written: its connection is established late, the system takes no more, or clients have to be read
+// Rewrites the unsent attempts, and ends those past their deadline. An attempt carries the time that its
+// client still waits, counted from when its bytes are sent. That may be long after they were written: the
+// connection is still being established, the system accepts no more bytes, or the loop reads from clients
 // first.
 void LineConnection::renew_deadlines() {
   std::vector<std::string> expired;
-  for (LineExchange* exchange : cancel_waiting_bytes()) {
+  for (LineExchange* exchange : cancel_unsent_attempts()) {
     if (exchange->deadline <= reactor_.now()) {
       expired.push_back(exchange->tag);
     } else {
-      stream_->write(place(*exchange));
+      stream_->write(encode_at_end(*exchange));
     }
   }
-  note_started();
+  report_started_attempts();
   for (const std::string& tag : expired)
     owner_.exchange_failed_later(detach(exchanges_.find(tag)), AttemptOutcome::not_sent);
   schedule_renewal();
@@ -288,7 +296,7 @@
 
 void LineConnection::schedule_renewal() {
   const bool needed = established_ && std::ranges::any_of(exchanges_, [this](const auto& item) {
-                        return waits_to_leave(item.second);
+                        return is_unsent(item.second);
                       });
   reactor_.cancel(renewal_timer_);
   if (!needed) return;
--- a/src/upstream/line_connection.h
+++ b/src/upstream/line_connection.h
@@ -1,5 +1,5 @@
-// One connection to an endpoint over the platform's line protocol, which carries several exchanges at once.
-// Their answers are matched by id.
+// A connection to an endpoint over the platform's line protocol. It carries several exchanges at once and
+// matches their answers by id.
 #pragma once
 
 #include <cstddef>
@@ -26,24 +26,24 @@
 // One command and its answer.
 struct LineExchange {
   transport::UpstreamCall call{};
-  std::string tag{};                       // the id that its answer begins with: the event's, or our own
-  std::string command{};                   // the bytes of all but attempts
-  line_protocol::Invocation invocation{};  // of an attempt
-  Time deadline = 0;                       // of an attempt: when its client gives up
-  bool retried = false;                    // it has been on a connection that took none of it
-  bool started = false;                    // bytes of it have left
-  std::size_t offset = 0;                  // bytes before it on its connection
-  std::size_t size = 0;                    // bytes of it there
-  core::Timer timer{};                     // ends it as unanswered; not of attempts
+  std::string tag{};      // the id that its answer begins with: the request's, or one made by the pool
+  std::string command{};  // the bytes to send; unused for an attempt
+  line_protocol::Invocation invocation{};  // of an attempt: the bytes to send, except for the deadline
+  Time deadline = 0;                       // of an attempt: when its client stops waiting
+  bool retried = false;    // whether it was already moved from a lost connection to another one
+  bool started = false;    // whether the system has taken bytes of it
+  std::size_t offset = 0;  // number of bytes before it on its connection
+  std::size_t size = 0;    // number of its own bytes on its connection
+  core::Timer timer{};     // ends it as unanswered; not set for attempts
 
   bool is_attempt() const { return call.kind == transport::UpstreamCallKind::attempt; }
-  // Its bytes as they are to leave now: an attempt names the time that its client still waits.
+  // Returns the bytes to send at `now`: those of an attempt contain the time that its client still waits.
   std::string bytes(Time now) const { return is_attempt() ? invocation.text(deadline - now) : command; }
 };
 
 // Limits of one connection.
 struct LineConnectionLimits {
-  std::size_t exchanges = 1;  // at once
+  std::size_t exchanges = 1;  // open at once
   Time connect_timeout = 0;   // tenths of a millisecond
   Time idle_timeout = 0;      // tenths of a millisecond
   line_protocol::Bounds answers{};
@@ -59,25 +59,26 @@
   LineConnectionOwner& operator=(LineConnectionOwner&&) = delete;
   virtual ~LineConnectionOwner() = default;
 
-  // The first bytes of an attempt have left.
+  // The system has taken the first bytes of an attempt.
   virtual void attempt_started(RequestId request) = 0;
-  // The exchange is on no connection any more; what becomes of it follows.
+  // The exchange has been removed from its connection. One of the calls below follows, unless it was
+  // cancelled.
   virtual void exchange_detached(const LineExchange& exchange) = 0;
-  // The exchange has its one end: by an answer, without one, or without one once what runs now has returned.
+  // Report the end of an exchange, once. exchange_failed_later() is handled after the current call has
+  // returned.
   virtual void exchange_answered(const LineExchange& exchange, line_protocol::Answer answer) = 0;
   virtual void exchange_failed(const LineExchange& exchange, AttemptOutcome outcome) = 0;
   virtual void exchange_failed_later(LineExchange exchange, AttemptOutcome outcome) = 0;
-  // Nothing of the exchange has begun: it goes on another connection.
+  // No byte of the exchange was sent, so that it cannot have run; it is to be sent on another connection.
   virtual void retry(LineExchange exchange) = 0;
-  // The connection can't be used any more and is to be closed.
+  // The connection can no longer be used and is to be closed.
   virtual void connection_unusable(LineConnection& connection) = 0;
   virtual void answer_unreadable(const LineConnection& connection) = 0;
 };
 
-// One connection. An endpoint's answers are believed by their ids alone, so an id
-// is never twice on the same connection: a second answer, or one that was under way when its attempt was
-// cancelled, meets no later attempt. Owned by its endpoint; may outlive the pool, and calls nothing but the
-// reactor then.
+// One connection. Answers are matched by id alone, so an id that the connection has carried recently is not
+// used on it again: a duplicate answer, or a late one to a cancelled attempt, would be taken for the answer
+// to a later attempt. Owned by its endpoint. It may outlive the pool, and then calls nothing but the reactor.
 class LineConnection final : public transport::StreamHandler,
                              public transport::Numbered,
                              public std::enable_shared_from_this<LineConnection> {
@@ -91,27 +92,29 @@
   ~LineConnection() override;
 
   LineEndpoint& endpoint() const { return endpoint_; }
-  // Exchanges on it that have no end yet.
+  // Exchanges on it that have not ended.
   std::size_t open_exchanges() const { return exchanges_.size(); }
   bool idle() const { return exchanges_.empty(); }
   Time idle_since() const { return idle_since_; }
-  // Whether the exchange may go on it.
+  // Returns whether the exchange may be sent on this connection.
   bool usable_for(const LineExchange& exchange) const;
-  // Whether an idle connection is still open with nothing to be read, or is being established.
+  // Returns whether an idle connection is being established, or is open and has no bytes to be read.
   bool healthy() const { return !established_ || stream_->peek() == transport::Stream::Peeked::nothing; }
 
-  // Opens the connection. Exchanges may be sent from then on; they leave once it is established.
+  // Opens the connection. Exchanges may be passed to send() from then on; their bytes are sent once it is
+  // established.
   void connect(const transport::Address& address);
   void send(LineExchange exchange);
-  // Gives an attempt up; nothing is reported of it.
+  // Cancels an attempt; its end is not reported.
   void cancel(const transport::AttemptKey& attempt);
-  // Takes an exchange back of which no byte has left; nothing: some have, or it is not on this connection.
-  std::optional<LineExchange> recall(const std::string& tag);
-  // The tag of an attempt; empty: it is not on this connection.
+  // Cancels an exchange of which no byte has been sent, and returns it. Returns nothing if some bytes have
+  // been sent or it is not on this connection.
+  std::optional<LineExchange> cancel_if_unsent(const std::string& tag);
+  // Returns the tag of an attempt; empty if it is not on this connection.
   std::string tag_of(const transport::AttemptKey& attempt) const;
   std::vector<std::string> tags() const;
 
-  // No further exchange goes on it.
+  // Makes the connection accept no further exchanges.
   void retire() { retired_ = true; }
   void close();
 
@@ -122,27 +125,27 @@
 
  private:
   using Exchanges = std::map<std::string, LineExchange, std::less<>>;
-  // What becomes of exchanges of which no byte has left when the connection is lost.
-  enum class Unsent : std::uint8_t { fails, is_retried };
+  // What to do with exchanges of which no byte has been sent when the connection is lost.
+  enum class UnsentExchanges : std::uint8_t { fail, retry };
 
-  void note_sending();
-  void remember(const std::string& tag);
+  void leave_idle();
+  void remember_tag(const std::string& tag);
   void start_timer(LineExchange& exchange);
   void retire_and_close_if_idle();
   void become_idle();
-  void note_started();
+  void report_started_attempts();
   bool has_started(const LineExchange& exchange) const;
-  bool waits_to_leave(const LineExchange& exchange) const;
-  std::string place(LineExchange& exchange);
-  bool cancel_bytes(const LineExchange& exchange);
-  std::vector<LineExchange*> cancel_waiting_bytes();
+  bool is_unsent(const LineExchange& exchange) const;
+  std::string encode_at_end(LineExchange& exchange);
+  bool cancel_unsent_bytes(const LineExchange& exchange);
+  std::vector<LineExchange*> cancel_unsent_attempts();
   void renew_deadlines();
   void schedule_renewal();
   LineExchange detach(Exchanges::iterator it);
   std::vector<LineExchange> detach_all();
-  void answered(Exchanges::iterator it, line_protocol::Answer answer);
+  void on_answer(Exchanges::iterator it, line_protocol::Answer answer);
   void answer_unreadable(const std::string& suspect);
-  void fail(AttemptOutcome outcome, Unsent unsent);
+  void fail(AttemptOutcome outcome, UnsentExchanges unsent);
 
   transport::Reactor& reactor_;
   LineConnectionOwner& owner_;
@@ -151,13 +154,13 @@
   std::shared_ptr<transport::Stream> stream_;
   line_protocol::Reader reader_;
   Exchanges exchanges_;                  // by tag
-  std::deque<std::string> recent_tags_;  // that it has carried
-  core::Timer timer_;                    // of connecting, or of being idle
+  std::deque<std::string> recent_tags_;  // carried last, the oldest first
+  core::Timer timer_;                    // the connect timeout, or the idle timeout
   core::Timer renewal_timer_;
   Time idle_since_ = 0;
-  Time idle_before_ = 0;         // how long it was idle before the exchange that ended that
-  Time sent_at_ = 0;             // when that exchange was written
-  bool answer_started_ = false;  // bytes have come since then
+  Time idle_before_ = 0;         // how long it was idle before the exchange that ended the idle time
+  Time sent_at_ = 0;             // when that exchange was sent
+  bool answer_started_ = false;  // whether bytes have been received since then
   bool established_ = false;
   bool retired_ = false;
   bool closed_ = false;
--- a/src/upstream/line_pool.cpp
+++ b/src/upstream/line_pool.cpp
@@ -24,8 +24,8 @@
   return oldest;
 }
 
-LinePool::LinePool(transport::Reactor& reactor, const LineBounds& bounds, core::EventLog& event_log)
-    : ConnectionPool(reactor, event_log), bounds_(bounds) {}
+LinePool::LinePool(transport::Reactor& reactor, const LineBounds& limits, core::EventLog& event_log)
+    : ConnectionPool(reactor, event_log), limits_(limits) {}
 
 void LinePool::send(const core::AttemptCall& call) {
   const std::string* function = call.message.other("function");
@@ -47,7 +47,7 @@
                   .endpoint = id,
                   .expires_at = reactor().now() + to_ticks(timeout)},
          .tag = tag,
-         .command = bounds_.reports ? line_protocol::gauges(tag) : line_protocol::alive(tag)});
+         .command = limits_.reports ? line_protocol::gauges(tag) : line_protocol::alive(tag)});
 }
 
 void LinePool::prewarm(const EndpointId& id, const FunctionId& function, int copies, Duration timeout) {
@@ -73,23 +73,23 @@
 bool LinePool::cancel_unsent(RequestId request, int attempt_number) {
   const transport::AttemptKey attempt{request, attempt_number};
   LineConnection* connection = connection_of(attempt);
-  return connection != nullptr && connection->recall(connection->tag_of(attempt)).has_value();
+  return connection != nullptr && connection->cancel_if_unsent(connection->tag_of(attempt)).has_value();
 }
 
 void LinePool::cancel_all_unsent(const EndpointId& id) {
   const LineEndpoint* endpoint = find_endpoint(id);
   if (endpoint == nullptr) return;
-  const auto connections = endpoint->connections;  // a copy: recalling may close a connection
+  const auto connections = endpoint->connections;  // A copy, since cancelling may close a connection.
   for (const auto& [connection, owner] : connections) {
     for (const std::string& tag : connection->tags()) {
-      if (auto recalled = connection->recall(tag))
-        exchange_failed_later(std::move(*recalled), AttemptOutcome::not_sent);
+      if (auto cancelled = connection->cancel_if_unsent(tag))
+        exchange_failed_later(std::move(*cancelled), AttemptOutcome::not_sent);
     }
   }
 }
 
-// An idle connection first; else a new one, since an unreadable answer on a shared one costs its neighbours;
-// else the one with the fewest exchanges.
+// Prefers an idle connection, then a new one, then the busy one with the fewest exchanges. A shared
+// connection comes last, since an unreadable answer on it also fails the other exchanges.
 void LinePool::start(LineExchange exchange) {
   LineEndpoint* endpoint = find_endpoint(exchange.call.endpoint);
   if (endpoint == nullptr || !endpoint->address)
@@ -117,7 +117,7 @@
   return found;
 }
 
-// The same, after closing idle connections that the endpoint has closed.
+// Returns the candidates after closing idle connections that the endpoint has closed or sent bytes on.
 LinePool::Candidates LinePool::healthy_candidates(const LineEndpoint& endpoint,
                                                   const LineExchange& exchange) {
   Candidates found = candidates(endpoint, exchange);
@@ -132,10 +132,10 @@
   LineConnectionOwner& owner = *this;
   const auto connection = std::make_shared<LineConnection>(
       reactor(), owner, endpoint,
-      LineConnectionLimits{.exchanges = static_cast<std::size_t>(bounds_.requests_per_connection),
-                           .connect_timeout = bounds_.connect_limit,
-                           .idle_timeout = bounds_.idle,
-                           .answers = bounds_.answers});
+      LineConnectionLimits{.exchanges = static_cast<std::size_t>(limits_.requests_per_connection),
+                           .connect_timeout = limits_.connect_limit,
+                           .idle_timeout = limits_.idle,
+                           .answers = limits_.answers});
   add(connection);
   connection->connect(address);
   return connection.get();
@@ -148,11 +148,12 @@
 void LinePool::connection_unusable(LineConnection& connection) { remove(connection); }
 
 void LinePool::answer_unreadable(const LineConnection& connection) {
-  event_log().write(core::Level::warning, "answer cannot be read", {{"server", connection.endpoint().id}});
+  event_log().write(core::Level::warning, "endpoint sent an unreadable answer; closing the connection",
+                    {{"server", connection.endpoint().id}});
 }
 
 void LinePool::destroy(std::unique_ptr<LineEndpoint> endpoint) {
-  reactor().post([gone = std::shared_ptr<LineEndpoint>(std::move(endpoint))] {});
+  reactor().post([released = std::shared_ptr<LineEndpoint>(std::move(endpoint))] {});
 }
 
 namespace {
@@ -170,7 +171,7 @@
   const UpstreamCall& call = exchange.call;
   if (call.kind == UpstreamCallKind::attempt) {
     auto result = line_protocol::attempt_result(std::move(answer));
-    // A word that answers no attempt: it may have run.
+    // The answer's word does not belong to an attempt; the attempt may have run.
     if (!result) return exchange_failed(exchange, AttemptOutcome::error);
     return observer().attempt_ended(call.request, call.attempt_number, std::move(*result));
   }
--- a/src/upstream/line_pool.h
+++ b/src/upstream/line_pool.h
@@ -1,5 +1,5 @@
-// Runs calls on endpoints over the platform's line protocol: a pool of connections that carry several
-// exchanges at once. docs/platform.md is the contract.
+// Sends calls to endpoints over the platform's line protocol, on a pool of connections that carry several
+// exchanges at once. docs/platform.md specifies the protocol.
 #pragma once
 
 #include <cstddef>
@@ -13,27 +13,28 @@
 
 namespace rushhill::upstream {
 
-// Bounds of the pool and of its connections.
+// Limits of the pool and of its connections.
 struct LineBounds {
-  int requests_per_connection = 1;  // at once
+  int requests_per_connection = 1;  // open at once
   std::size_t connections = 256;    // to all endpoints together
   Time connect_limit = 0;           // tenths of a millisecond
-  Time idle = 0;                    // tenths of a millisecond; below the time after which endpoints close
-  bool reports = false;             // probes ask for the load report
+  Time idle = 0;                    // tenths of a millisecond; shorter than the idle timeout of the endpoints
+  bool reports = false;             // whether probes ask for the load report
   line_protocol::Bounds answers{};
 };
 
-// An endpoint and its connections. A connection without an open exchange is idle.
+// An endpoint and its connections. A connection is idle if no exchange is open on it.
 struct LineEndpoint : transport::PooledEndpoint<LineConnection> {
   std::vector<LineConnection*> idle_connections() const;
   LineConnection* longest_idle() const;
   void connection_removed(LineConnection&) {}
 };
 
-// The pool. Every call ends once, with what is known of it.
+// The pool. Reports the end of every call to its observer exactly once, except for evict commands and
+// cancelled calls, whose end is not reported.
 class LinePool final : public transport::ConnectionPool<LineEndpoint>, private LineConnectionOwner {
  public:
-  LinePool(transport::Reactor& reactor, const LineBounds& bounds, core::EventLog& event_log);
+  LinePool(transport::Reactor& reactor, const LineBounds& limits, core::EventLog& event_log);
 
   void send(const core::AttemptCall& call) override;
   void cancel(RequestId request, int attempt_number) override;
@@ -43,14 +44,14 @@
   void prewarm(const EndpointId& id, const FunctionId& function, int copies, Duration timeout) override;
   void evict(const EndpointId& id, const FunctionId& function) override;
 
-  // Endpoints that are on the endpoint list or still have connections.
-  std::size_t servers() const { return endpoint_count(); }
+  // Returns the number of endpoints that are on the endpoint list or still have connections.
+  std::size_t known_endpoints() const { return endpoint_count(); }
 
  private:
-  // Connections that could take an exchange; nullptr: there is none of that kind.
+  // Connections on which an exchange may be sent; nullptr if there is none of that kind.
   struct Candidates {
-    LineConnection* idle = nullptr;    // the one used last
-    LineConnection* shared = nullptr;  // the one with the fewest exchanges on it
+    LineConnection* idle = nullptr;    // the idle one that was used last
+    LineConnection* shared = nullptr;  // the busy one with the fewest exchanges
   };
 
   void attempt_started(RequestId request) override;
@@ -66,11 +67,11 @@
   void start(LineExchange exchange);
   static Candidates candidates(const LineEndpoint& endpoint, const LineExchange& exchange);
   Candidates healthy_candidates(const LineEndpoint& endpoint, const LineExchange& exchange);
-  bool may_open() { return connections() < bounds_.connections || close_longest_idle(); }
+  bool may_open() { return connections() < limits_.connections || close_longest_idle(); }
   LineConnection* open_connection(LineEndpoint& endpoint, const transport::Address& address);
   std::string next_tag(const char* prefix) { return prefix + std::to_string(next_tag_++); }
 
-  LineBounds bounds_;
+  LineBounds limits_;
   std::uint64_t next_tag_ = 1;
 };
 
--- a/tests/admission/taking_test.cpp
+++ b/tests/admission/taking_test.cpp
@@ -1,4 +1,6 @@
-// Weighted taking and what is remembered of messages that come again.
+// Admission: weighted quotas per source, repeated deliveries, retries, and throttling of sources that can
+// wait. Guards against one flooding source starving the others, against a message being run twice, and
+// against retries that never stop or that repeat a request which may have run.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,188 +17,194 @@
 namespace rushhill::admission {
 namespace {
 
-TEST(Shares, AFloodLeavesTheOthersTheirRoomAndTakesWhatTheyLeave) {
-  Shares shares(100);
-  const auto flood = shares.add(1), quiet = shares.add(1);
-  int taken = 0;
-  while (shares.may_take(flood)) shares.took(flood), ++taken;
-  EXPECT_GT(taken, 80);   // more than its half, since the other is quiet
-  EXPECT_LT(taken, 100);  // but not all
-  EXPECT_TRUE(shares.may_take(quiet));
+TEST(SourceQuotas, FloodingSourceUsesUnusedQuotaButLeavesTheReserve) {
+  Shares quotas(100);
+  const auto flooding = quotas.add(1), idle = quotas.add(1);
+  int admitted = 0;
+  while (quotas.may_take(flooding)) quotas.took(flooding), ++admitted;
+  EXPECT_GT(admitted, 80);   // more than its quota, since the other source is idle
+  EXPECT_LT(admitted, 100);  // the reserve stays free
+  EXPECT_TRUE(quotas.may_take(idle));
 }
 
-TEST(Shares, UnderFloodFromAllEachGetsItsPartByWeight) {
-  Shares shares(120);
-  const auto one = shares.add(1), two = shares.add(2), three = shares.add(3);
+TEST(SourceQuotas, OpenRequestsFollowTheWeightsWhenAllSourcesFlood) {
+  Shares quotas(120);
+  const auto one = quotas.add(1), two = quotas.add(2), three = quotas.add(3);
   const std::vector<Shares::Source> all{one, two, three};
   std::vector<Shares::Source> order;
-  // One ends, one is taken, a thousand times: whatever was borrowed is given back.
-  while (shares.may_take(one)) shares.took(one), order.push_back(one);
+  // The first source takes all that it may. Then the oldest request ends and is replaced, a thousand times,
+  // which brings every source to its quota.
+  while (quotas.may_take(one)) quotas.took(one), order.push_back(one);
   for (int i = 0; i < 1'000; ++i) {
     Shares::Source chosen = 0;
-    while (shares.next([](Shares::Source) { return true; }, chosen))
-      shares.took(chosen), order.push_back(chosen);
-    shares.ended(order.front());
+    while (quotas.next_source([](Shares::Source) { return true; }, chosen))
+      quotas.took(chosen), order.push_back(chosen);
+    quotas.ended(order.front());
     order.erase(order.begin());
   }
-  EXPECT_NEAR(static_cast<double>(shares.open(one)), 20, 4);
-  EXPECT_NEAR(static_cast<double>(shares.open(two)), 40, 4);
-  EXPECT_NEAR(static_cast<double>(shares.open(three)), 60, 4);
+  EXPECT_NEAR(static_cast<double>(quotas.open(one)), 20, 4);
+  EXPECT_NEAR(static_cast<double>(quotas.open(two)), 40, 4);
+  EXPECT_NEAR(static_cast<double>(quotas.open(three)), 60, 4);
 }
 
-TEST(Shares, ALoneSourceHasAllOfIt) {
-  Shares shares(3);
-  const auto one = shares.add(0.5);
-  for (int i = 0; i < 3; ++i) shares.took(one);
-  EXPECT_FALSE(shares.may_take(one));
-  shares.ended(one);
-  EXPECT_TRUE(shares.may_take(one));
+TEST(SourceQuotas, OnlySourceMayUseTheWholeLimit) {
+  Shares quotas(3);
+  const auto one = quotas.add(0.5);
+  for (int i = 0; i < 3; ++i) quotas.took(one);
+  EXPECT_FALSE(quotas.may_take(one));
+  quotas.ended(one);
+  EXPECT_TRUE(quotas.may_take(one));
 }
 
-TEST(Deliveries, WhatIsWorkedOnIsJoinedAndWhatEndedIsAnswered) {
+TEST(DeliveryTracker, RecognisesMessagesInProgressAndEnded) {
   Deliveries deliveries(100, 10);
   EXPECT_EQ(deliveries.meet(1, "a"), Deliveries::Meeting::fresh);
   EXPECT_EQ(deliveries.meet(2, "a"), Deliveries::Meeting::joins);
   deliveries.ended(3, "a", Outcome::rejected);
   EXPECT_EQ(deliveries.meet(4, "a"), Deliveries::Meeting::answered);
   EXPECT_EQ(deliveries.outcome("a"), Outcome::rejected);
-  EXPECT_EQ(deliveries.meet(103, "a"), Deliveries::Meeting::fresh);  // its span is over
+  EXPECT_EQ(deliveries.meet(103, "a"), Deliveries::Meeting::fresh);  // its retention is over
 }
 
-TEST(Deliveries, WhatIsRememberedIsBoundedAndTheOldestGoFirst) {
+TEST(DeliveryTracker, ForgetsTheOldestEndedMessagesAtTheLimit) {
   Deliveries deliveries(1'000'000, 10);
   for (int i = 0; i < 100; ++i) deliveries.ended(i, std::to_string(i), Outcome::succeeded);
-  EXPECT_EQ(deliveries.known(), 10U);
+  EXPECT_EQ(deliveries.ended_count(), 10U);
   EXPECT_EQ(deliveries.meet(100, "99"), Deliveries::Meeting::answered);
   EXPECT_EQ(deliveries.meet(100, "1"), Deliveries::Meeting::fresh);
 }
 
-TEST(Deliveries, WhatWasNeverTakenIsFreshWhenItComesAgain) {
+TEST(DeliveryTracker, ForgottenMessageCountsAsNew) {
   Deliveries deliveries(100, 10);
   deliveries.meet(1, "a");
   deliveries.forget("a");
   EXPECT_EQ(deliveries.meet(2, "a"), Deliveries::Meeting::fresh);
 }
 
-TEST(Tries, WhatIsGivenUpRestsLongerEachTimeAndEndsAtTheToldCount) {
-  Tries tries(3, 100);
-  EXPECT_EQ(tries.again(0, "m", Outcome::rejected, RetrySafety::idempotent, 100'000, 0), Time{1'000});
-  EXPECT_EQ(tries.again(1'000, "m", Outcome::failed, RetrySafety::idempotent, 100'000, 0), Time{3'000});
-  EXPECT_EQ(tries.made("m"), 2);
-  EXPECT_EQ(tries.again(3'000, "m", Outcome::rejected, RetrySafety::idempotent, 100'000, 0), std::nullopt);
-  EXPECT_EQ(tries.made("m"), 3);
+TEST(MessageRetries, BackoffDoublesAndRetriesEndAtTheLimit) {
+  Tries retries(3, 100);
+  EXPECT_EQ(retries.again(0, "m", Outcome::rejected, RetrySafety::idempotent, 100'000, 0), Time{1'000});
+  EXPECT_EQ(retries.again(1'000, "m", Outcome::failed, RetrySafety::idempotent, 100'000, 0), Time{3'000});
+  EXPECT_EQ(retries.made("m"), 2);
+  EXPECT_EQ(retries.again(3'000, "m", Outcome::rejected, RetrySafety::idempotent, 100'000, 0), std::nullopt);
+  EXPECT_EQ(retries.made("m"), 3);
 }
 
-TEST(Tries, TheCoresTimeToComeBackIsKeptAndNothingIsTriedPastItsTime) {
-  Tries tries(10, 100);
-  EXPECT_EQ(tries.again(50, "m", Outcome::rejected, RetrySafety::idempotent, 100'000, 7'000), Time{7'050});
-  EXPECT_EQ(tries.again(7'050, "m", Outcome::rejected, RetrySafety::idempotent, 14'000, 7'000), std::nullopt);
+TEST(MessageRetries, UsesRetryAfterAndDoesNotRetryPastTheDeadline) {
+  Tries retries(10, 100);
+  EXPECT_EQ(retries.again(50, "m", Outcome::rejected, RetrySafety::idempotent, 100'000, 7'000), Time{7'050});
+  EXPECT_EQ(retries.again(7'050, "m", Outcome::rejected, RetrySafety::idempotent, 14'000, 7'000),
+            std::nullopt);
 }
 
-TEST(Tries, WhatMayHaveRunOrBelongsToItsGroupIsNeverTriedAgain) {
-  Tries tries(10, 100);
-  EXPECT_EQ(tries.again(0, "a", Outcome::failed, RetrySafety::at_most_once, 100'000, 0), std::nullopt);
-  EXPECT_NE(tries.again(0, "b", Outcome::rejected, RetrySafety::at_most_once, 100'000, 0), std::nullopt);
-  EXPECT_EQ(tries.again(0, "c", Outcome::rejected, RetrySafety::keyed, 100'000, 0), std::nullopt);
-  EXPECT_EQ(tries.again(0, "d", Outcome::failed, RetrySafety::keyed, 100'000, 0), std::nullopt);
+TEST(MessageRetries, NeverRetriesKeyedRequestsNorThoseThatMayHaveRun) {
+  Tries retries(10, 100);
+  EXPECT_EQ(retries.again(0, "a", Outcome::failed, RetrySafety::at_most_once, 100'000, 0), std::nullopt);
+  EXPECT_NE(retries.again(0, "b", Outcome::rejected, RetrySafety::at_most_once, 100'000, 0), std::nullopt);
+  EXPECT_EQ(retries.again(0, "c", Outcome::rejected, RetrySafety::keyed, 100'000, 0), std::nullopt);
+  EXPECT_EQ(retries.again(0, "d", Outcome::failed, RetrySafety::keyed, 100'000, 0), std::nullopt);
 }
 
-TEST(Tries, WhatIsCountedIsBoundedAndTheOldestGoFirst) {
-  Tries tries(5, 2);
-  for (const char* mark : {"a", "b", "c"})
-    tries.again(0, mark, Outcome::rejected, RetrySafety::idempotent, 100'000, 0);
-  EXPECT_EQ(tries.made("a"), 0);
-  EXPECT_EQ(tries.made("c"), 1);
-  tries.forget("c");
-  EXPECT_EQ(tries.made("c"), 0);
+TEST(MessageRetries, ForgetsTheOldestMessagesAtTheLimit) {
+  Tries retries(5, 2);
+  for (const char* message_key : {"a", "b", "c"})
+    retries.again(0, message_key, Outcome::rejected, RetrySafety::idempotent, 100'000, 0);
+  EXPECT_EQ(retries.made("a"), 0);
+  EXPECT_EQ(retries.made("c"), 1);
+  retries.forget("c");
+  EXPECT_EQ(retries.made("c"), 0);
 }
 
-// Three sources ask every millisecond before servers that bear so many events a beat and answer after 20 ms;
-// what comes beyond is given up, from whom it may be.
-class Yield : public testing::Test {
+// Three sources submit requests every millisecond to simulated servers that have a fixed capacity per second
+// and answer after 20 ms. Requests beyond the capacity fail, whichever source they come from. Source 0 cannot
+// wait.
+class SourceThrottleTest : public testing::Test {
  protected:
-  Yield() {
-    yielding.add(1, false);
-    yielding.add(1, true);
-    yielding.add(1, true);
+  SourceThrottleTest() {
+    throttle.add(1, false);
+    throttle.add(1, true);
+    throttle.add(1, true);
   }
-  struct Sum {
-    double wanted = 0, honoured = 0, given_up = 0;
+  struct Totals {
+    double submitted = 0, succeeded = 0, failed = 0;
   };
-  // `wants`: events a second, by source.
-  void play(Time until, const std::vector<double>& wants, double bears) {
+  // Runs until the moment `until`. `request_rates`: requests per second, by source; `capacity`: of the
+  // servers, requests per second.
+  void run(Time until, const std::vector<double>& request_rates, double capacity) {
     for (; now < until; now += 10) {
-      room = std::min(room + bears / 1000, bears / 100);
-      while (!out.empty() && out.front().first <= now) {
-        const auto [source, honoured] = out.front().second;
-        out.pop_front();
-        yielding.ended(now, source, honoured ? Yielding::End::succeeded : Yielding::End::failed);
-        (honoured ? sums[source].honoured : sums[source].given_up) += 1;
+      spare_capacity = std::min(spare_capacity + capacity / 1000, capacity / 100);
+      while (!in_flight.empty() && in_flight.front().first <= now) {
+        const auto [source, succeeded] = in_flight.front().second;
+        in_flight.pop_front();
+        throttle.ended(now, source, succeeded ? Yielding::End::succeeded : Yielding::End::failed);
+        (succeeded ? totals[source].succeeded : totals[source].failed) += 1;
       }
-      for (std::size_t turn = 0; turn < wants.size(); ++turn) {
-        const std::size_t source = (turn + static_cast<std::size_t>(now / 10)) % wants.size();
-        waiting[source] += wants[source] / 1000;
-        sums[source].wanted += wants[source] / 1000;
-        while (waiting[source] >= 1 && (source == 0 || yielding.may_take(now, source))) {
+      for (std::size_t offset = 0; offset < request_rates.size(); ++offset) {
+        const std::size_t source = (offset + static_cast<std::size_t>(now / 10)) % request_rates.size();
+        waiting[source] += request_rates[source] / 1000;
+        totals[source].submitted += request_rates[source] / 1000;
+        while (waiting[source] >= 1 && (source == 0 || throttle.may_take(now, source))) {
           waiting[source] -= 1;
-          yielding.took(now, source);
-          const bool honoured = room >= 1;
-          room -= honoured ? 1 : 0;
-          out.push_back({now + 200, {source, honoured}});
+          throttle.took(now, source);
+          const bool succeeded = spare_capacity >= 1;
+          spare_capacity -= succeeded ? 1 : 0;
+          in_flight.push_back({now + 200, {source, succeeded}});
         }
       }
     }
   }
-  Yielding yielding;
+  Yielding throttle;
   Time now = 0;
-  double room = 0;
-  std::deque<std::pair<Time, std::pair<std::size_t, bool>>> out;
+  double spare_capacity = 0;
+  std::deque<std::pair<Time, std::pair<std::size_t, bool>>> in_flight;
   std::array<double, 3> waiting{};
-  std::array<Sum, 3> sums;
+  std::array<Totals, 3> totals;
 };
 
-TEST_F(Yield, TheFloodHoldsBackAndTheOthersAreHonoured) {
-  play(20'000, {300, 300, 6'000}, 2'000);
-  sums = {};
-  play(60'000, {300, 300, 6'000}, 2'000);
+TEST_F(SourceThrottleTest, FloodingSourceIsThrottledAndTheOthersSucceed) {
+  run(20'000, {300, 300, 6'000}, 2'000);
+  totals = {};
+  run(60'000, {300, 300, 6'000}, 2'000);
   for (const std::size_t source : {0U, 1U})
-    EXPECT_GT(sums[source].honoured, 0.93 * sums[source].wanted) << source;
-  EXPECT_GT(sums[2].honoured, 0.8 * 4 * 1'400) << "what the others leave is the flood's, but for a fifth";
-  EXPECT_LT(sums[2].given_up, 0.1 * sums[2].honoured);
+    EXPECT_GT(totals[source].succeeded, 0.93 * totals[source].submitted) << source;
+  EXPECT_GT(totals[2].succeeded, 0.8 * 4 * 1'400)
+      << "the flooding source has to get over 80% of what the others leave";
+  EXPECT_LT(totals[2].failed, 0.1 * totals[2].succeeded);
 }
 
-TEST_F(Yield, WithoutStrainNothingIsHeldBack) {
-  play(40'000, {300, 300, 1'000}, 2'000);
-  EXPECT_EQ(yielding.allowance(1), std::numeric_limits<std::size_t>::max());
-  EXPECT_EQ(yielding.allowance(2), std::numeric_limits<std::size_t>::max());
+TEST_F(SourceThrottleTest, NoSourceIsThrottledWithoutOverload) {
+  run(40'000, {300, 300, 1'000}, 2'000);
+  EXPECT_EQ(throttle.allowance(1), std::numeric_limits<std::size_t>::max());
+  EXPECT_EQ(throttle.allowance(2), std::numeric_limits<std::size_t>::max());
 }
 
-TEST_F(Yield, AfterTheFloodItsSourceIsFreeAgain) {
-  play(40'000, {300, 300, 6'000}, 2'000);
-  ASSERT_LT(yielding.allowance(2), 1'000U);
+TEST_F(SourceThrottleTest, ThrottleIsLiftedAfterTheFlood) {
+  run(40'000, {300, 300, 6'000}, 2'000);
+  ASSERT_LT(throttle.allowance(2), 1'000U);
   waiting = {};
-  play(80'000, {300, 300, 100}, 2'000);
-  EXPECT_EQ(yielding.allowance(2), std::numeric_limits<std::size_t>::max());
+  run(80'000, {300, 300, 100}, 2'000);
+  EXPECT_EQ(throttle.allowance(2), std::numeric_limits<std::size_t>::max());
 }
 
-TEST_F(Yield, OneThatIsBelowItsPartNeverYieldsAndALoneOneLeavesTheShedToTheCore) {
-  play(40'000, {6'000, 300, 0}, 2'000);
-  EXPECT_EQ(yielding.allowance(1), std::numeric_limits<std::size_t>::max());
-  Yielding lone;
-  lone.add(1, true);
+TEST_F(SourceThrottleTest, NeitherASourceBelowItsShareNorTheOnlySourceIsThrottled) {
+  run(40'000, {6'000, 300, 0}, 2'000);
+  EXPECT_EQ(throttle.allowance(1), std::numeric_limits<std::size_t>::max());
+  Yielding single_source;
+  single_source.add(1, true);
   for (Time at = 0; at < 50'000; at += 10) {
-    lone.took(at, 0);
-    lone.ended(at, 0, at % 20 == 0 ? Yielding::End::succeeded : Yielding::End::failed);
+    single_source.took(at, 0);
+    single_source.ended(at, 0, at % 20 == 0 ? Yielding::End::succeeded : Yielding::End::failed);
   }
-  EXPECT_EQ(lone.allowance(0), std::numeric_limits<std::size_t>::max());
+  EXPECT_EQ(single_source.allowance(0), std::numeric_limits<std::size_t>::max());
 }
 
-TEST_F(Yield, AfterASilenceOldStrainCountsForNothing) {
-  play(10'000, {300, 300, 6'000}, 2'000);
-  ASSERT_LT(yielding.allowance(2), 1'000U);
-  const std::size_t before = yielding.allowance(2);
-  EXPECT_TRUE(yielding.may_take(900'000, 1));
-  EXPECT_GE(yielding.allowance(2), before * 3 / 4);  // of the last beat before it at most one cut
+TEST_F(SourceThrottleTest, OverloadBeforeALongSilenceCausesAtMostOneCut) {
+  run(10'000, {300, 300, 6'000}, 2'000);
+  ASSERT_LT(throttle.allowance(2), 1'000U);
+  const std::size_t before = throttle.allowance(2);
+  EXPECT_TRUE(throttle.may_take(900'000, 1));
+  // At most one cut, for the last interval before the silence.
+  EXPECT_GE(throttle.allowance(2), before * 3 / 4);
 }
 
 }  // namespace
--- a/tests/fake_host.h
+++ b/tests/fake_host.h
@@ -1,4 +1,5 @@
-// One tiny host that notes what the module asked for, and helpers to tell short stories.
+// A fake host that records what the routing policy asks for, and a harness that drives a policy with that
+// host.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -25,17 +26,19 @@
     Time at;
   };
 
-  void send_attempt(RequestId event, const EndpointId& server, Duration) override {
-    shots.push_back({event, server});
+  void send_attempt(RequestId request, const EndpointId& endpoint, Duration) override {
+    shots.push_back({request, endpoint});
   }
-  void cancel_attempt(RequestId event, int leg) override { called_off.emplace_back(event, leg); }
-  void reject(RequestId event, Duration) override { sheds.push_back(event); }
-  void fail(RequestId event) override { abandoned.push_back(event); }
+  void cancel_attempt(RequestId request, int attempt_number) override {
+    called_off.emplace_back(request, attempt_number);
+  }
+  void reject(RequestId request, Duration) override { sheds.push_back(request); }
+  void fail(RequestId request) override { abandoned.push_back(request); }
   void set_timer(std::int64_t token, Timestamp at) override { wakes.push_back({token, to_ticks(at)}); }
-  void probe(const EndpointId& server) override { probes.push_back(server); }
+  void probe(const EndpointId& endpoint) override { probes.push_back(endpoint); }
   void close_idle(const EndpointId&) override {}
-  void prewarm(const EndpointId& server, const FunctionId& function, int copies) override {
-    if (copies > 0) orders.emplace_back(server, function);
+  void prewarm(const EndpointId& endpoint, const FunctionId& function, int copies) override {
+    if (copies > 0) orders.emplace_back(endpoint, function);
   }
   void evict(const EndpointId&, const FunctionId&) override {}
   void send_gossip(int, const std::string& bytes) override { told.push_back(bytes); }
@@ -54,7 +57,7 @@
   int follows = 0;
 };
 
-// A router with its host and a clock that only runs forward.
+// A routing policy with a fake host and a clock that the test advances.
 struct Story {
   Story() {
     deployment.routers = 2;
@@ -74,17 +77,18 @@
     deployment.copies.prewarm_timeout = to_duration(10 * second);
   }
 
-  void start(int servers) {
+  void start(int endpoint_count) {
     router = make_routing_policy(deployment, seed, host);
     std::vector<Endpoint> list;
-    for (int i = 0; i < servers; ++i) list.push_back({.id = std::string(1, static_cast<char>('a' + i))});
+    for (int i = 0; i < endpoint_count; ++i)
+      list.push_back({.id = std::string(1, static_cast<char>('a' + i))});
     router->endpoints_updated(to_timestamp(now), EndpointListForm::complete, list);
   }
-  void change(const Endpoint& server) {
-    router->endpoints_updated(to_timestamp(now), EndpointListForm::delta, {server});
+  void change(const Endpoint& endpoint) {
+    router->endpoints_updated(to_timestamp(now), EndpointListForm::delta, {endpoint});
   }
 
-  // Lets time pass, ringing every bell that falls due.
+  // Advances the clock by `span` and fires the timers that become due, in the order of their times.
   void pass(Time span) {
     const Time end = now + span;
     for (;;) {
@@ -94,67 +98,67 @@
           next = i;
       }
       if (next == host.wakes.size()) break;
-      const FakeHost::Wake wake = host.wakes[next];
+      const FakeHost::Wake due_timer = host.wakes[next];
       host.wakes.erase(host.wakes.begin() + static_cast<std::ptrdiff_t>(next));
-      now = std::max(now, wake.at);
-      router->timer_fired(to_timestamp(now), wake.token);
+      now = std::max(now, due_timer.at);
+      router->timer_fired(to_timestamp(now), due_timer.token);
     }
     now = end;
   }
 
-  RequestId event(const FunctionId& function, Time left = 3 * second, const std::string& customer = "") {
+  RequestId event(const FunctionId& function, Time time_left = 3 * second, const std::string& tenant = "") {
     router->request_received(to_timestamp(now), {.id = ++last,
                                                  .request_class = "lookup",
-                                                 .tenant = customer,
+                                                 .tenant = tenant,
                                                  .function = function,
-                                                 .time_left = to_duration(left),
+                                                 .time_left = to_duration(time_left),
                                                  .lanes = 2,
                                                  .load_time = to_duration(second / 2)});
     return last;
   }
-  // Ends the newest shot of the event.
-  void end(RequestId id, AttemptOutcome ending, CopyState warmth = CopyState::loaded,
+  // Ends the newest attempt of the request.
+  void end(RequestId id, AttemptOutcome outcome, CopyState copy_state = CopyState::loaded,
            Time taken = second / 10) {
-    int leg = -1;
-    EndpointId server;
-    for (const auto& shot : host.shots) {
-      if (shot.event == id) ++leg, server = shot.server;
+    int attempt_number = -1;
+    EndpointId endpoint;
+    for (const auto& attempt : host.shots) {
+      if (attempt.event == id) ++attempt_number, endpoint = attempt.server;
     }
     router->attempt_ended(to_timestamp(now), {.request = id,
-                                              .attempt_number = leg,
-                                              .endpoint = server,
-                                              .outcome = ending,
-                                              .final = ending == AttemptOutcome::succeeded,
+                                              .attempt_number = attempt_number,
+                                              .endpoint = endpoint,
+                                              .outcome = outcome,
+                                              .final = outcome == AttemptOutcome::succeeded,
                                               .taken = to_duration(taken),
-                                              .copy_state = warmth});
+                                              .copy_state = copy_state});
   }
-  // An event that is honoured after a tenth of a second.
-  EndpointId honour(const FunctionId& function, const std::string& customer = "", Time taken = second / 10) {
-    const RequestId id = event(function, 3 * second, customer);
-    const EndpointId server = server_of(id);
+  // Sends a request that succeeds after `taken`, and returns the endpoint that served it.
+  EndpointId honour(const FunctionId& function, const std::string& tenant = "", Time taken = second / 10) {
+    const RequestId id = event(function, 3 * second, tenant);
+    const EndpointId endpoint = server_of(id);
     pass(taken);
     end(id, AttemptOutcome::succeeded, CopyState::loaded, taken);
-    return server;
+    return endpoint;
   }
-  // Traffic of other functions, so that none of them is hot.
-  void others(int events) {
-    for (int i = 0; i < events; ++i) honour("other" + std::to_string(i), "", second / 50);
+  // Serves one request each of `count` other functions, so that none of these is hot.
+  void others(int count) {
+    for (int i = 0; i < count; ++i) honour("other" + std::to_string(i), "", second / 50);
   }
   EndpointId server_of(RequestId id) const {
-    EndpointId server;
-    for (const auto& shot : host.shots) {
-      if (shot.event == id) server = shot.server;
+    EndpointId endpoint;
+    for (const auto& attempt : host.shots) {
+      if (attempt.event == id) endpoint = attempt.server;
     }
-    return server;
+    return endpoint;
   }
   int shots_of(RequestId id) const {
     int count = 0;
-    for (const auto& shot : host.shots) count += shot.event == id ? 1 : 0;
+    for (const auto& attempt : host.shots) count += attempt.event == id ? 1 : 0;
     return count;
   }
-  int shots_at(const EndpointId& server) const {
+  int shots_at(const EndpointId& endpoint) const {
     int count = 0;
-    for (const auto& shot : host.shots) count += shot.server == server ? 1 : 0;
+    for (const auto& attempt : host.shots) count += attempt.server == endpoint ? 1 : 0;
     return count;
   }
   std::size_t finals() const { return host.sheds.size() + host.abandoned.size(); }
