--- a/src/admission/yielding.cpp
+++ b/src/admission/yielding.cpp
@@ -16,13 +16,13 @@
 // An allowance is cut to this part of the open requests at which the overload occurred.
 constexpr double cut_factor = 0.8;
 constexpr int intervals_after_cut = 2;  // intervals without a further cut
-constexpr double min_allowance = 2;     // requests
 
 // Growth of an allowance per interval in which it refused a request. Near the load of the last cut, where an
 // overload is likely again, it grows more slowly.
 constexpr double growth_rate = 0.06;
-constexpr double slow_growth_rate = 0.005;
 constexpr double slow_growth_start = 0.9;  // part of the load at the last cut
+constexpr double slow_growth_rate = 0.005;
+constexpr double min_allowance = 2;  // requests; the smallest allowance after a cut
 
 // An allowance that has refused no request for this many intervals is lifted.
 constexpr int intervals_until_release = 20;
--- a/tests/fake_host.h
+++ b/tests/fake_host.h
@@ -140,7 +140,8 @@
     end(id, AttemptOutcome::succeeded, CopyState::loaded, taken);
     return endpoint;
   }
-  // Serves one request each of `count` other functions, so that none of these is hot.
+  // Serves one request each of `count` other functions. Without other traffic the first function requested
+  // would count as hot.
   void others(int count) {
     for (int i = 0; i < count; ++i) honour("other" + std::to_string(i), "", second / 50);
   }
