--- a/src/core/attempt_execution.cpp
+++ b/src/core/attempt_execution.cpp
@@ -9,7 +9,7 @@
 void AttemptExecution::start(RequestId id, const EndpointId& endpoint, Duration timeout) {
   Request* request = env_.requests.find(id);
   if (request == nullptr) {
-    env_.log.write(Level::error, "attempt for a request that is not open", {{"server", endpoint}});
+    env_.log.write(Level::error, "not sending an attempt for an unknown request", {{"server", endpoint}});
     return;
   }
   const Timestamp now = env_.clock.timestamp();
@@ -23,8 +23,9 @@
   }
   ++env_.counters.attempts;
   if (timeout > Duration::zero()) {
-    attempt.timeout_timer = env_.clock.at(
-        to_ticks(now + timeout), [this, id, number] { cancel_sent(id, number, AttemptOutcome::unanswered); });
+    attempt.timeout_timer = env_.clock.at(to_ticks(now + timeout), [this, id, number] {
+      cancel_and_report(id, number, AttemptOutcome::unanswered);
+    });
   }
   env_.upstream.send({.request = id,
                       .attempt_number = number,
@@ -35,7 +36,7 @@
 
 void AttemptExecution::cancel(RequestId id, int number) {
   const Attempt* attempt = env_.requests.find_attempt({.request = id, .number = number});
-  if (attempt != nullptr && attempt->open) cancel_sent(id, number, AttemptOutcome::cancelled);
+  if (attempt != nullptr && attempt->open) cancel_and_report(id, number, AttemptOutcome::cancelled);
 }
 
 void AttemptExecution::cancel_unsent(RequestId id, Request& request) {
@@ -47,14 +48,14 @@
   }
 }
 
-void AttemptExecution::cancel_at_deadline(RequestId id, Request& request) {
+void AttemptExecution::expire_attempts(RequestId id, Request& request) {
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
-    if (request.attempts[i].open) cancel_sent(id, static_cast<int>(i), AttemptOutcome::unanswered);
+    if (request.attempts[i].open) cancel_and_report(id, static_cast<int>(i), AttemptOutcome::unanswered);
   }
 }
 
-// Cancels the attempt now; the policy is told when its present call has returned.
-void AttemptExecution::cancel_sent(RequestId id, int number, AttemptOutcome outcome) {
+// Cancels the attempt at once and reports its end to the policy after the current call has returned.
+void AttemptExecution::cancel_and_report(RequestId id, int number, AttemptOutcome outcome) {
   env_.upstream.cancel(id, number);
   close_and_report(id, env_.requests.at(id), number, outcome);
 }
@@ -92,7 +93,7 @@
                        .in_flight = result.in_flight,
                        .report = result.report};
   env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.attempt_ended(now, end); });
-  env_.requests.erase_if_over(id);
+  env_.requests.erase_if_finished(id);
 }
 
 void AttemptExecution::log_end(const Request& request, int number, AttemptOutcome outcome) {
--- a/src/core/client.h
+++ b/src/core/client.h
@@ -1,4 +1,4 @@
-// A front end's side of one request, which the core answers.
+// The interface through which the core answers a front end's request.
 #pragma once
 
 #include "events/cloudevent.h"
@@ -6,7 +6,7 @@
 
 namespace rushhill::core {
 
-// Gets exactly one of the four final answers, once.
+// Receives exactly one of the four final answers, once, unless the client has cancelled the request.
 class Client {
  public:
   Client() = default;
@@ -17,14 +17,16 @@
   virtual ~Client() = default;
 
   virtual void succeeded(RequestId request, events::CloudEvent reply) = 0;
-  // It had no effect. `retry_after`: when the client may come back; zero: no advice.
+  // The request had no effect. `retry_after` is how long the client should wait before a retry; zero means
+  // that no delay is advised.
   virtual void rejected(RequestId request, Duration retry_after) = 0;
-  // It may have run.
+  // The request may have run.
   virtual void failed(RequestId request) = 0;
-  // Instead of failed: it did not run here, but was accepted before, here or by another router.
+  // Called instead of failed() for a duplicate: the request was not run again, because this router or another
+  // one had accepted it before.
   virtual void duplicate(RequestId request) { failed(request); }
 
-  // An attempt has started; may come several times, and must not be answered with a call of the gateway.
+  // The first bytes of an attempt were sent. Called once per attempt; must not call the gateway.
   virtual void attempt_started(RequestId) {}
 };
 
--- a/src/core/deduplication_log.h
+++ b/src/core/deduplication_log.h
@@ -1,4 +1,4 @@
-// The log through which routers know which requests were accepted before, by themselves or by another router.
+// The log that tells a router which requests it or another router has accepted before.
 #pragma once
 
 #include <string>
@@ -8,19 +8,20 @@
 
 namespace rushhill::core {
 
-// What the log says of a request before the routing policy sees it.
+// The log's decision on a request, made before the routing policy sees the request.
 enum class AdmissionVerdict {
-  untracked,   // go on; nothing is recorded
-  tracked,     // go on; its end is to be reported
-  pending,     // wait for Gateway::admission_decided, which brings one of the others
-  duplicate,   // it was accepted before, here or elsewhere, and may have run
-  unavailable  // reject: its record cannot be replicated, or this router may have forgotten it
+  untracked,   // proceed; nothing is recorded
+  tracked,     // proceed; the end of the request must be reported with request_ended()
+  pending,     // wait for Gateway::admission_decided(), which is called with another verdict
+  duplicate,   // this router or another one accepted the request before; it may have run
+  unavailable  // reject: the record cannot be replicated, or this router may have lost it
 };
 
-// What is certain about the execution of a request when it ends.
+// What is known about the execution of a request when it ends.
 enum class ExecutionCertainty { not_executed, may_have_executed, executed };
 
-// Records what must outlive this router with other routers, before the router acts on it.
+// Records requests and prewarm orders with other routers before this router acts on them, so that the records
+// survive its restart.
 class DeduplicationLog {
  public:
   DeduplicationLog() = default;
@@ -30,11 +31,12 @@
   DeduplicationLog& operator=(DeduplicationLog&&) = delete;
   virtual ~DeduplicationLog() = default;
 
-  // A prewarm order is about to be sent. False: it must not be.
+  // Records a prewarm order that is about to be sent. Returns false if the order must not be sent.
   virtual bool prepare_prewarm() = 0;
+  // Decides whether a new request may proceed. `time_left` is the time until the request's deadline.
   virtual AdmissionVerdict admit(RequestId request, const std::string& request_class,
                                  const events::CloudEvent& message, Duration time_left) = 0;
-  // The end of a tracked request.
+  // Called at the end of each request whose verdict was `tracked` or `pending`.
   virtual void request_ended(const events::CloudEvent& message, ExecutionCertainty certainty) = 0;
 };
 
--- a/src/core/deferred_calls.h
+++ b/src/core/deferred_calls.h
@@ -1,4 +1,4 @@
-// Calls that run later: once the present call has returned, or at a moment of the clock.
+// Calls that run later: after the current call has returned, or at a given time.
 #pragma once
 
 #include <memory>
@@ -8,7 +8,7 @@
 
 namespace rushhill::core {
 
-// Hands calls to the clock that are void when this object is gone, so that they may capture their owner.
+// Schedules calls that are skipped once this object is destroyed, so that they may safely refer to its owner.
 class DeferredCalls {
  public:
   explicit DeferredCalls(TimerService& clock) : clock_(clock) {}
--- a/src/core/endpoint_addresses.cpp
+++ b/src/core/endpoint_addresses.cpp
@@ -2,16 +2,16 @@
 
 namespace rushhill::core {
 
-EndpointAddresses::Map EndpointAddresses::listed(EndpointListForm form,
-                                                 const std::vector<EndpointListEntry>& entries) const {
-  Map listed;
+EndpointAddresses::Map EndpointAddresses::updates_from(EndpointListForm form,
+                                                       const std::vector<EndpointListEntry>& entries) const {
+  Map updates;
   for (const EndpointListEntry& entry : entries) {
-    listed[entry.endpoint.id] = entry.endpoint.state == EndpointState::removed ? "" : entry.address;
+    updates[entry.endpoint.id] = entry.endpoint.state == EndpointState::removed ? "" : entry.address;
   }
   if (form == EndpointListForm::complete || form == EndpointListForm::cached) {
-    for (const auto& [endpoint, address] : addresses_) listed.try_emplace(endpoint, "");
+    for (const auto& [endpoint, address] : addresses_) updates.try_emplace(endpoint, "");
   }
-  return listed;
+  return updates;
 }
 
 bool EndpointAddresses::set(const EndpointId& endpoint, const std::string& address) {
--- a/src/core/endpoint_addresses.h
+++ b/src/core/endpoint_addresses.h
@@ -1,4 +1,4 @@
-// The addresses at which the endpoints are reached, as the last endpoint lists gave them.
+// The network addresses of the endpoints, from the endpoint lists received so far.
 #pragma once
 
 #include <map>
@@ -14,12 +14,12 @@
  public:
   using Map = std::map<EndpointId, std::string>;
 
-  // The address of each endpoint that a list speaks of; empty: not reachable any more, because the endpoint
-  // was removed or a complete list leaves it out.
-  Map listed(EndpointListForm form, const std::vector<EndpointListEntry>& entries) const;
+  // Returns the new address of each endpoint that the list affects. The address is empty if the endpoint can
+  // no longer be reached, because it was removed or a complete or cached list does not contain it.
+  Map updates_from(EndpointListForm form, const std::vector<EndpointListEntry>& entries) const;
 
-  // Stores the address of one endpoint, or forgets the endpoint where it is empty. Returns whether that
-  // changed anything.
+  // Stores the address of one endpoint, or removes the endpoint if the address is empty. Returns whether the
+  // stored address changed.
   bool set(const EndpointId& endpoint, const std::string& address);
 
  private:
--- a/src/core/endpoint_call_execution.cpp
+++ b/src/core/endpoint_call_execution.cpp
@@ -5,7 +5,7 @@
 namespace rushhill::core {
 namespace {
 
-constexpr Duration probe_timeout = one_second;  // an older report is worth nothing
+constexpr Duration probe_timeout = one_second;  // a load report that arrives later is out of date
 
 }  // namespace
 
--- a/src/core/endpoint_call_execution.h
+++ b/src/core/endpoint_call_execution.h
@@ -1,5 +1,5 @@
-// Carries out decisions about endpoints that belong to no request: probes, and orders to prewarm and to evict
-// copies.
+// Carries out the routing policy's decisions that belong to no request: probes of endpoints, and orders to
+// prewarm or evict copies of functions.
 // Part of the gateway; docs/program.md, "The core".
 #pragma once
 
@@ -15,28 +15,30 @@
 
 namespace rushhill::core {
 
-// Sends the calls through the UpstreamTransport and reports their ends to the routing policy.
+// Sends the calls through the UpstreamTransport, and reports the ends of probes and prewarm orders to the
+// routing policy.
 class EndpointCallExecution {
  public:
-  // The other parts of the gateway; all of them outlive this one.
+  // The other parts of the gateway, all of which must outlive this one.
   struct Environment {
     TimerService& clock;
     UpstreamTransport& upstream;
-    DeduplicationLog* deduplication;  // none: orders are not recorded
+    DeduplicationLog* deduplication;  // null if prewarm orders are not recorded
     DeferredCalls& deferred;
     PolicyRunner& policy;
     Counters& counters;
   };
-  // `prewarm_timeout`: a prewarm order is given up after that.
+  // `prewarm_timeout` is how long the transport waits for the answer to a prewarm order.
   EndpointCallExecution(const Environment& environment, Duration prewarm_timeout)
       : env_(environment), prewarm_timeout_(prewarm_timeout) {}
 
   void probe(const EndpointId& endpoint);
-  // Orders copies of a function to be loaded. Where the order could not be recorded it ends as not sent.
+  // Orders the endpoint to load copies of a function. The order ends as not sent if the deduplication log
+  // does not permit it.
   void prewarm(const EndpointId& endpoint, const FunctionId& function, int copies);
   void evict(const EndpointId& endpoint, const FunctionId& function);
 
-  // Ends of these calls, reported to the routing policy with the time taken.
+  // Report the end of a call to the routing policy, with the time that it took.
   void probe_ended(const EndpointId& endpoint, AttemptOutcome outcome, const LoadReport& report);
   void prewarm_ended(const EndpointId& endpoint, const FunctionId& function, AttemptOutcome outcome,
                      int copies);
--- a/src/core/endpoint_list_source.h
+++ b/src/core/endpoint_list_source.h
@@ -1,4 +1,4 @@
-// Service discovery as the core uses it: where the list of endpoints comes from.
+// The core's interface to service discovery, which supplies the list of endpoints.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace rushhill::core {
 
-// The client of a service discovery; its lists come by Gateway::endpoints_updated.
+// A client of service discovery. It delivers endpoint lists by calling Gateway::endpoints_updated().
 class EndpointListSource {
  public:
   EndpointListSource() = default;
@@ -17,16 +17,16 @@
   EndpointListSource& operator=(EndpointListSource&&) = delete;
   virtual ~EndpointListSource() = default;
 
-  // Starts or ends the watch of changes.
+  // Starts or stops watching for changes of the endpoint list.
   virtual void watch(bool on) = 0;
-  // Asks for a complete list.
+  // Requests a complete list.
   virtual void resync() = 0;
 };
 
-// An endpoint and where it is reached.
+// An endpoint and its network address.
 struct EndpointListEntry {
   Endpoint endpoint{};
-  std::string address{};  // in digits, with a port
+  std::string address{};  // a numeric IP address and a port
 };
 
 }  // namespace rushhill::core
--- a/src/core/event_log.h
+++ b/src/core/event_log.h
@@ -1,4 +1,4 @@
-// The structured log of what a router does.
+// The interface of a router's structured log.
 #pragma once
 
 #include <initializer_list>
@@ -7,10 +7,10 @@
 
 namespace rushhill::core {
 
-// How important a line is, in ascending order.
+// The severity of a line, in ascending order.
 enum class Level { debug, info, warning, error };
 
-// Takes lines of named fields. Writing never fails for the caller.
+// Writes lines of named fields. Writing never fails from the caller's point of view.
 class EventLog {
  public:
   using Fields = std::initializer_list<std::pair<const char*, std::string>>;
@@ -22,9 +22,9 @@
   EventLog& operator=(EventLog&&) = delete;
   virtual ~EventLog() = default;
 
-  // Whether lines of the level are written: asked before an expensive line is composed.
+  // Returns whether lines of the level are written, so that callers can skip composing an expensive line.
   virtual bool wants(Level level) const = 0;
-  virtual void write(Level level, const char* what, Fields fields) = 0;
+  virtual void write(Level level, const char* message, Fields fields) = 0;
 };
 
 }  // namespace rushhill::core
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -6,21 +6,21 @@
 namespace rushhill::core {
 namespace {
 
-constexpr std::size_t peer_message_limit = 256;  // bytes; what one message to a peer may hold
+constexpr std::size_t max_peer_message = 256;  // bytes
 
 }  // namespace
 
 Gateway::Gateway(const RoutingConfiguration& configuration, std::uint64_t seed, const Ports& ports)
     : configuration_(configuration), ports_(ports), deferred_(ports.clock),
       policy_(make_routing_policy(configuration, seed, *this), ports.clock), requests_(ports.clock, seed),
-      room_(configuration.open_request_limit), attempts_({.clock = ports.clock,
-                                                          .upstream = ports.upstream,
-                                                          .log = ports.log,
-                                                          .requests = requests_,
-                                                          .deferred = deferred_,
-                                                          .policy = policy_,
-                                                          .counters = counters_},
-                                                         configuration.retries.attempt_limit),
+      source_limiter_(configuration.open_request_limit), attempts_({.clock = ports.clock,
+                                                                    .upstream = ports.upstream,
+                                                                    .log = ports.log,
+                                                                    .requests = requests_,
+                                                                    .deferred = deferred_,
+                                                                    .policy = policy_,
+                                                                    .counters = counters_},
+                                                                   configuration.retries.attempt_limit),
       endpoint_calls_({.clock = ports.clock,
                        .upstream = ports.upstream,
                        .deduplication = ports.deduplication,
@@ -34,13 +34,13 @@
            .deduplication = ports.deduplication,
            .requests = requests_,
            .attempts = attempts_,
-           .room = room_,
+           .source_limiter = source_limiter_,
            .deferred = deferred_,
            .policy = policy_,
            .counters = counters_},
           configuration.retries.retry_after ? configuration.retries.longest_retry_after : Duration::zero()) {}
 
-// Events from the front ends, service discovery, the peers and the deduplication log.
+// Events from the front ends, service discovery, the other routers and the deduplication log.
 
 RetrySafety Gateway::retry_safety_of(const std::string& request_class) const {
   const auto it = std::ranges::find(configuration_.request_classes, request_class, &RequestClass::name);
@@ -52,8 +52,8 @@
   return lifecycle_.accept(source, client, std::move(routing_request), std::move(message));
 }
 
-void Gateway::client_cancelled(RequestId request, std::uint64_t attempts_unread) {
-  lifecycle_.cancelled({.request = request, .attempts_unread = attempts_unread});
+void Gateway::client_cancelled(RequestId request, std::uint64_t attempts_after_cancel) {
+  lifecycle_.client_cancelled({.request = request, .attempts_after_cancel = attempts_after_cancel});
 }
 
 void Gateway::admission_decided(RequestId request, AdmissionVerdict verdict) {
@@ -61,22 +61,22 @@
 }
 
 void Gateway::expire_all() {
-  for (const RequestId request : requests_.not_concluded()) lifecycle_.expire(request);
+  for (const RequestId request : requests_.unconcluded_requests()) lifecycle_.expire(request);
 }
 
 void Gateway::endpoints_updated(EndpointListForm form, const std::vector<EndpointListEntry>& entries) {
-  std::vector<Endpoint> servers;
-  for (const EndpointListEntry& entry : entries) servers.push_back(entry.endpoint);
-  const EndpointAddresses::Map listed = addresses_.listed(form, entries);
-  for (const auto& [endpoint, address] : listed) {
+  std::vector<Endpoint> endpoints;
+  for (const EndpointListEntry& entry : entries) endpoints.push_back(entry.endpoint);
+  const EndpointAddresses::Map updates = addresses_.updates_from(form, entries);
+  for (const auto& [endpoint, address] : updates) {
     if (addresses_.set(endpoint, address)) ports_.upstream.set_address(endpoint, address);
   }
-  policy_.run([&](RoutingPolicy& policy, Timestamp now) { policy.endpoints_updated(now, form, servers); });
-  // Attempts of which no byte has left yet are made again elsewhere.
+  policy_.run([&](RoutingPolicy& policy, Timestamp now) { policy.endpoints_updated(now, form, endpoints); });
+  // Unsent attempts to endpoints that are draining end now, so that the policy can retry them elsewhere.
   for (const EndpointListEntry& entry : entries) {
     if (entry.endpoint.state == EndpointState::draining) ports_.upstream.cancel_all_unsent(entry.endpoint.id);
   }
-  for (const auto& [endpoint, address] : listed) {
+  for (const auto& [endpoint, address] : updates) {
     if (address.empty())
       ports_.upstream.cancel_all_unsent(endpoint);  // removed, or missing from a complete list
   }
@@ -87,11 +87,11 @@
       [&](RoutingPolicy& policy, Timestamp now) { policy.gossip_received(now, router_number, bytes); });
 }
 
-void Gateway::load_budget_restored(double orders) {
-  policy_.run([&](RoutingPolicy& policy, Timestamp now) { policy.load_budget_restored(now, orders); });
+void Gateway::load_budget_restored(double prewarms) {
+  policy_.run([&](RoutingPolicy& policy, Timestamp now) { policy.load_budget_restored(now, prewarms); });
 }
 
-// What the transport reports.
+// Events from the upstream transport.
 
 void Gateway::attempt_started(RequestId request) { lifecycle_.attempt_started(request); }
 
@@ -108,7 +108,7 @@
   endpoint_calls_.prewarm_ended(endpoint, function, outcome, copies);
 }
 
-// Decisions of the routing policy.
+// Decisions of the routing policy, carried out.
 
 void Gateway::send_attempt(RequestId request, const EndpointId& endpoint, Duration timeout) {
   attempts_.start(request, endpoint, timeout);
@@ -141,7 +141,7 @@
 }
 
 void Gateway::send_gossip(int router, const std::string& bytes) {
-  if (!configuration_.reports.gossip || bytes.size() > peer_message_limit) return;
+  if (!configuration_.reports.gossip || bytes.size() > max_peer_message) return;
   ++counters_.gossip_messages;
   ports_.peers.send(router, bytes);
 }
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -1,6 +1,6 @@
-// The core of a router: its requests and its routing decisions, free of sockets; time comes from the
-// TimerService. Its parts, a file each, do the work: RequestLifecycle, AttemptExecution,
-// EndpointCallExecution.
+// The core of a router: it tracks the requests and carries out the routing policy's decisions. It uses no
+// sockets and takes the time from a TimerService. RequestLifecycle, AttemptExecution and
+// EndpointCallExecution, each in a file of its own, do the work.
 #pragma once
 
 #include <cstdint>
@@ -28,59 +28,66 @@
 
 namespace rushhill::core {
 
-// Joins the routing policy to the front ends and to the ports: passes each event to the part that handles it,
-// and each decision to the part that carries it out. Every request gets exactly one final answer.
+// Connects the routing policy with the front ends and the ports: passes each event to the part that handles
+// it, and each decision to the part that carries it out. Every request gets exactly one final answer, unless
+// its client cancels it.
 //
-// All calls are made from the loop's thread. None may be made from within a call to a Client or a port.
+// All calls must be made from the event loop's thread, and none from within a call to a Client or a port,
+// except UpstreamObserver::attempt_started().
 class Gateway final : public RoutingHost, public UpstreamObserver {
  public:
-  // What the gateway is handed at its start; all of it has to outlive the gateway.
+  // The interfaces through which the gateway reaches its surroundings. All of them must outlive the gateway.
   struct Ports {
     TimerService& clock;
     UpstreamTransport& upstream;
     PeerMessenger& peers;
     EndpointListSource& endpoint_lists;
     EventLog& log;
-    DeduplicationLog* deduplication = nullptr;  // none: nothing outlives this router
+    DeduplicationLog* deduplication = nullptr;  // null if no records are replicated
   };
   Gateway(const RoutingConfiguration& configuration, std::uint64_t seed, const Ports& ports);
 
-  // Registers a front end, or a part of one, as a source of requests. `weight`: its share beside the other
-  // sources when there is not room for all. `can_wait`: requests that it does not hand over now are not lost.
+  // Registers a front end, or a part of one, as a source of requests. `weight` is its share of the limit on
+  // open requests, relative to the other sources. `can_wait` says that requests which the source holds back
+  // are not lost and may be passed to accept() later.
   admission::Shares::Source add_source(double weight, bool can_wait = false) {
-    return room_.add(weight, can_wait);
+    return source_limiter_.add_source(weight, can_wait);
   }
-  // Whether the source should hand over a request now.
-  bool has_room(admission::Shares::Source source) { return room_.has_room(ports_.clock.timestamp(), source); }
-  // Of the requests of a class; at most once for a class that is not configured.
+  // Returns whether the source should pass a request to accept() now.
+  bool has_room(admission::Shares::Source source) {
+    return source_limiter_.has_room(ports_.clock.timestamp(), source);
+  }
+  // Returns how safe it is to retry requests of a class: at_most_once if the class is not configured.
   RetrySafety retry_safety_of(const std::string& request_class) const;
 
-  // Accepts a request whose function, class and times the front end has read, and returns the id that it gets
-  // here; nothing where the source has no room. The client's answer never comes before this returns.
+  // Accepts a request and returns the id that the gateway assigns to it, or nothing if the source is over its
+  // limit. The gateway sets the id in `routing_request`; the front end fills in the rest. The final answer is
+  // never delivered before this call returns.
   std::optional<RequestId> accept(admission::Shares::Source source, Client& client,
                                   RoutingRequest routing_request, events::CloudEvent message);
-  // The client has left. `attempts_unread`: attempts that started while the message that says so had arrived
-  // and had not been read.
-  void client_cancelled(RequestId request, std::uint64_t attempts_unread = 0);
+  // The client has cancelled the request or disconnected. `attempts_after_cancel` is the number of attempts
+  // that started after the cancellation had arrived and before the front end read it.
+  void client_cancelled(RequestId request, std::uint64_t attempts_after_cancel = 0);
 
-  // A message of the endpoint list, with the addresses at which the endpoints are reached.
+  // Service discovery has delivered an endpoint list or a change of it.
   void endpoints_updated(EndpointListForm form, const std::vector<EndpointListEntry>& entries);
-  // A message from another router.
+  // Another router has sent a gossip message.
   void gossip_received(int router, const std::string& bytes);
-  // The verdict on a request for which the DeduplicationLog had said `pending`.
+  // The DeduplicationLog has decided on a request for which it returned `pending`.
   void admission_decided(RequestId request, AdmissionVerdict verdict);
-  // Prewarm orders sent before this router was restarted, where the configuration says that they are
-  // restored.
-  void load_budget_restored(double orders);
+  // Tells the policy how many prewarm orders this router sent before its restart, if the router is configured
+  // to restore that number.
+  void load_budget_restored(double prewarms);
 
-  // Requests accepted that have no final answer.
-  std::size_t open_requests() const { return room_.open(); }
-  // Whether a client still waits for its final answer, or for one that has been decided and not handed over.
+  // The number of accepted requests without a final answer.
+  std::size_t open_requests() const { return source_limiter_.open_requests(); }
+  // Returns whether a client still waits for its final answer, including an answer that is decided but not
+  // yet delivered.
   bool any_client_waits() const { return requests_.any_client_waits(); }
-  // Answers every open request now, as at its deadline, because the router must end.
+  // Ends every open request as if its deadline had passed; called when the router must terminate.
   void expire_all();
   const Counters& tally() const { return counters_; }
-  // Time spent within the routing policy, in nanoseconds; 0 where it is not measured.
+  // Time spent within the routing policy, in nanoseconds, or 0 if the TimerService does not measure it.
   std::int64_t policy_ns() const { return policy_.spent_ns(); }
   const RoutingConfiguration& configuration() const { return configuration_; }
 
@@ -114,7 +121,7 @@
   PolicyRunner policy_;
   RequestTable requests_;
   EndpointAddresses addresses_;
-  SourceRoom room_;
+  SourceLimiter source_limiter_;
   AttemptExecution attempts_;
   EndpointCallExecution endpoint_calls_;
   RequestLifecycle lifecycle_;
--- a/src/core/outstanding_calls.h
+++ b/src/core/outstanding_calls.h
@@ -1,4 +1,4 @@
-// Start times of calls that were sent to a server and have not ended yet, such as probes and load orders.
+// Start times of calls that were sent to endpoints and have not ended yet, such as probes and prewarm orders.
 #pragma once
 
 #include <map>
@@ -9,14 +9,14 @@
 
 namespace rushhill::core {
 
-// Measures how long calls take whose ends name only a key: calls of one key end in the order in which they
-// started.
+// Measures how long calls take when the report of their end names only a key. It assumes that calls with the
+// same key end in the order in which they started.
 template <typename Key>
 class OutstandingCalls {
  public:
   void start(const Key& key, Timestamp now) { started_[key].push_back(now); }
 
-  // Ends the oldest call of the key and returns how long it took; zero where no call of the key is
+  // Ends the oldest call with the key and returns how long it took, or zero if no call with the key is
   // outstanding.
   Duration end(const Key& key, Timestamp now) {
     const auto calls = started_.find(key);
@@ -27,11 +27,11 @@
     return now - started;
   }
 
-  // Keys with at least one outstanding call.
-  std::size_t keys() const { return started_.size(); }
+  // The number of keys with at least one outstanding call.
+  std::size_t key_count() const { return started_.size(); }
 
  private:
-  std::map<Key, std::vector<Timestamp>> started_;  // oldest first, never empty
+  std::map<Key, std::vector<Timestamp>> started_;  // each vector is oldest first and never empty
 };
 
 }  // namespace rushhill::core
--- a/src/core/peer_messenger.h
+++ b/src/core/peer_messenger.h
@@ -1,11 +1,11 @@
-// How the core sends messages to the other routers.
+// The interface through which the core sends messages to the other routers.
 #pragma once
 
 #include <string>
 
 namespace rushhill::core {
 
-// Sends datagram-like messages between the routers of a deployment.
+// Sends messages to the other routers of a deployment, without a delivery guarantee.
 class PeerMessenger {
  public:
   PeerMessenger() = default;
@@ -15,7 +15,7 @@
   PeerMessenger& operator=(PeerMessenger&&) = delete;
   virtual ~PeerMessenger() = default;
 
-  // To one router, by its number; -1: to all. Messages may get lost.
+  // Sends to the router with that number, or to all other routers if it is -1.
   virtual void send(int router, const std::string& bytes) = 0;
 };
 
--- a/src/core/policy_runner.h
+++ b/src/core/policy_runner.h
@@ -10,14 +10,14 @@
 
 namespace rushhill::core {
 
-// Owns the policy; every call of it goes through here.
+// Owns the policy. Every call to the policy is made through run().
 class PolicyRunner {
  public:
   PolicyRunner(std::unique_ptr<RoutingPolicy> policy, TimerService& clock)
       : clock_(clock), policy_(std::move(policy)) {}
 
-  // Runs `call(RoutingPolicy&, Timestamp now)`. Calls must not nest: what the policy asks for is reported to
-  // it later.
+  // Runs `call(RoutingPolicy&, Timestamp now)`. Calls must not nest: the results of what the policy requests
+  // during a call must be reported to it after the call has returned.
   template <typename Call>
   void run(Call call) {
     const std::int64_t began_ns = clock_.nanoseconds();
@@ -25,7 +25,7 @@
     spent_ns_ += clock_.nanoseconds() - began_ns;
   }
 
-  // Time spent within the policy, in nanoseconds; 0 where the clock does not measure it.
+  // Time spent within the policy, in nanoseconds, or 0 if the TimerService does not measure it.
   std::int64_t spent_ns() const { return spent_ns_; }
 
  private:
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -13,13 +13,13 @@
 
 using FractionalMilliseconds = std::chrono::duration<double, std::milli>;
 
-const char* name_of(SourceRoom::End end) {
+const char* name_of(SourceLimiter::End end) {
   switch (end) {
-    case SourceRoom::End::succeeded:
+    case SourceLimiter::End::succeeded:
       return "honoured";
-    case SourceRoom::End::failed:
-      return "given up";
-    case SourceRoom::End::cancelled:
+    case SourceLimiter::End::failed:
+      return "rejected or failed";
+    case SourceLimiter::End::cancelled:
       break;
   }
   return "gone";
@@ -31,10 +31,10 @@
 
 }  // namespace
 
-std::optional<RequestId> RequestLifecycle::accept(SourceRoom::Source source, Client& client,
+std::optional<RequestId> RequestLifecycle::accept(SourceLimiter::Source source, Client& client,
                                                   RoutingRequest routing_request,
                                                   events::CloudEvent message) {
-  if (!env_.room.within_share(source)) {
+  if (!env_.source_limiter.within_share(source)) {
     ++env_.counters.not_accepted;
     return std::nullopt;
   }
@@ -44,23 +44,24 @@
   request.message = std::move(message);
   request.accepted = env_.clock.timestamp();
   request.deadline = request.accepted + routing_request.time_left;
-  request.deadline_timer = env_.clock.at(to_ticks(request.deadline), [this, added = id] { expire(added); });
+  request.deadline_timer =
+      env_.clock.at(to_ticks(request.deadline), [this, request_id = id] { expire(request_id); });
   request.source = source;
-  env_.room.accepted(request.accepted, source);
+  env_.source_limiter.request_accepted(request.accepted, source);
   ++env_.counters.accepted;
   AdmissionVerdict verdict = AdmissionVerdict::untracked;
   if (env_.deduplication != nullptr) {
     verdict = env_.deduplication->admit(id, routing_request.request_class, request.message,
                                         routing_request.time_left);
   }
-  apply(verdict, id, request, std::move(routing_request));
+  apply_verdict(verdict, id, request, std::move(routing_request));
   return id;
 }
 
-// A request that does not go on to the routing policy is answered at once.
-void RequestLifecycle::apply(AdmissionVerdict verdict, RequestId id, Request& request,
-                             RoutingRequest routing_request) {
-  request.awaiting_record.reset();
+// Passes an admitted request to the routing policy; concludes a request that is not admitted.
+void RequestLifecycle::apply_verdict(AdmissionVerdict verdict, RequestId id, Request& request,
+                                     RoutingRequest routing_request) {
+  request.awaiting_verdict.reset();
   switch (verdict) {
     case AdmissionVerdict::tracked:
       request.recorded = true;
@@ -71,7 +72,7 @@
       break;
     case AdmissionVerdict::pending:
       request.recorded = true;
-      request.awaiting_record = std::move(routing_request);
+      request.awaiting_verdict = std::move(routing_request);
       break;
     case AdmissionVerdict::duplicate:
       answer_duplicate(id, request);
@@ -85,28 +86,28 @@
 
 void RequestLifecycle::admission_decided(RequestId id, AdmissionVerdict verdict) {
   Request* request = env_.requests.find(id);
-  if (request == nullptr || !request->awaiting_record || request->concluded) return;
-  RoutingRequest routing_request = std::move(*request->awaiting_record);
+  if (request == nullptr || !request->awaiting_verdict || request->concluded) return;
+  RoutingRequest routing_request = std::move(*request->awaiting_verdict);
   routing_request.time_left = request->deadline - env_.clock.timestamp();
-  // In the tick of the deadline the deadline comes first.
+  // A verdict at the deadline is too late, even if the deadline timer has not fired yet.
   if (routing_request.time_left <= Duration::zero()) {
     expire(id);
     return;
   }
-  apply(verdict, id, *request, std::move(routing_request));
+  apply_verdict(verdict, id, *request, std::move(routing_request));
 }
 
-void RequestLifecycle::cancelled(const ClientCancellation& cancellation) {
-  env_.counters.attempts_after_cancel += cancellation.attempts_unread;
+void RequestLifecycle::client_cancelled(const ClientCancellation& cancellation) {
+  env_.counters.attempts_after_cancel += cancellation.attempts_after_cancel;
   const RequestId id = cancellation.request;
   Request* request = env_.requests.find(id);
   if (request == nullptr || request->client == nullptr) return;
   request->client = nullptr;
   if (request->concluded) return;
   ++env_.counters.cancelled;
-  const bool unknown_to_policy = request->awaiting_record.has_value();
+  const bool unseen_by_policy = request->awaiting_verdict.has_value();
   conclude(id, *request, End::cancelled, certainty_without_reply(*request));
-  if (unknown_to_policy) return;
+  if (unseen_by_policy) return;
   env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.client_cancelled(now, id); });
 }
 
@@ -133,21 +134,23 @@
   answer_soon(id, [id](Client& client) { client.duplicate(id); });
 }
 
-// The routing policy has given its answer before; where it has not, the core does.
+// The routing policy normally gives the final answer before the deadline; if it has not, the core does so
+// here.
 void RequestLifecycle::expire(RequestId id) {
   Request* request = env_.requests.find(id);
   if (request == nullptr) return;
   if (!request->concluded) {
-    if (request->awaiting_record) {  // the policy has not seen it
+    if (request->awaiting_verdict) {  // the policy has not seen the request
       reject(id, Duration::zero());
       return;
     }
     ++env_.counters.expired;
-    env_.log.write(Level::error, "no answer by the hard limit", {{"event", request->message.id}});
+    env_.log.write(Level::error, "request failed without an answer from the routing policy",
+                   {{"event", request->message.id}});
     fail(id);
     env_.policy.run([&](RoutingPolicy& policy, Timestamp now) { policy.client_cancelled(now, id); });
   }
-  env_.attempts.cancel_at_deadline(id, *request);
+  env_.attempts.expire_attempts(id, *request);
 }
 
 void RequestLifecycle::attempt_started(RequestId id) {
@@ -159,7 +162,7 @@
   Attempt* attempt = env_.requests.find_attempt({.request = id, .number = number});
   if (attempt == nullptr || !attempt->open) return;
   Request& request = env_.requests.at(id);
-  // In the very tick of the deadline the deadline comes first.
+  // An attempt that ends at the deadline is too late, even if the deadline timer has not fired yet.
   if (!request.concluded && env_.clock.timestamp() >= request.deadline) {
     expire(id);
     return;
@@ -174,21 +177,22 @@
   env_.attempts.report_end(id, number, result);
 }
 
-// From here on the request only waits for the ends of its attempts. Nothing is sent for it any more, whether
-// or not what is out may be cancelled.
+// Marks the request as concluded. From then on it only waits for its attempts to end, and nothing more is
+// sent for it: unsent attempts are cancelled here even if the configuration does not allow sent ones to be
+// cancelled.
 void RequestLifecycle::conclude(RequestId id, Request& request, End end, ExecutionCertainty certainty) {
   if (request.recorded) env_.deduplication->request_ended(request.message, certainty);
   env_.attempts.cancel_unsent(id, request);
-  env_.room.concluded(env_.clock.timestamp(), request.source, end);
+  env_.source_limiter.request_concluded(env_.clock.timestamp(), request.source, end);
   request.concluded = true;
-  env_.deferred.run_soon([this, id] { env_.requests.erase_if_over(id); });
+  env_.deferred.run_soon([this, id] { env_.requests.erase_if_finished(id); });
   log_conclusion(request, end);
 }
 
 void RequestLifecycle::log_conclusion(const Request& request, End end) {
   if (!env_.log.wants(Level::debug)) return;
   const FractionalMilliseconds elapsed = env_.clock.timestamp() - request.accepted;
-  env_.log.write(Level::debug, "final answer",
+  env_.log.write(Level::debug, "request concluded",
                  {{"outcome", name_of(end)},
                   {"event", request.message.id},
                   {"source", request.message.source},
@@ -196,7 +200,7 @@
                   {"ms", std::to_string(elapsed.count())}});
 }
 
-// Answers that the routing policy decides on are sent when it has returned.
+// Delivers the answer to the client after the current call has returned.
 void RequestLifecycle::answer_soon(RequestId id, std::function<void(Client&)> answer) {
   ++env_.requests.at(id).deferred_calls;
   env_.deferred.run_soon([this, id, answer = std::move(answer)] {
@@ -204,7 +208,7 @@
     --request.deferred_calls;
     Client* client = std::exchange(request.client, nullptr);
     if (client != nullptr) answer(*client);
-    env_.requests.erase_if_over(id);
+    env_.requests.erase_if_finished(id);
   });
 }
 
--- a/src/core/request_lifecycle.h
+++ b/src/core/request_lifecycle.h
@@ -1,5 +1,5 @@
-// The life of a request from its acceptance to its one final answer: the admission verdict, the deadline, the
-// cancellation by the client, the answers. Part of the gateway; docs/program.md, "The core".
+// Handles a request from its acceptance to its final answer: the admission verdict, the deadline,
+// cancellation by the client, and the answers. Part of the gateway; docs/program.md, "The core".
 #pragma once
 
 #include <cstdint>
@@ -16,51 +16,56 @@
 
 namespace rushhill::core {
 
-// The client of a request has left. `attempts_unread`: see Gateway::client_cancelled.
+// A cancellation by the client. See Gateway::client_cancelled() for `attempts_after_cancel`.
 struct ClientCancellation {
   RequestId request = 0;
-  std::uint64_t attempts_unread = 0;
+  std::uint64_t attempts_after_cancel = 0;
 };
 
-// Decides when and how each request of the RequestTable is concluded.
+// Concludes each request of the RequestTable exactly once: with a final answer, or by the client's
+// cancellation.
 class RequestLifecycle {
  public:
-  // The other parts of the gateway; all of them outlive this one.
+  // The other parts of the gateway, all of which must outlive this one.
   struct Environment {
     TimerService& clock;
     EventLog& log;
-    DeduplicationLog* deduplication;  // none: nothing outlives this router
+    DeduplicationLog* deduplication;  // null if no records are replicated
     RequestTable& requests;
     AttemptExecution& attempts;
-    SourceRoom& room;
+    SourceLimiter& source_limiter;
     DeferredCalls& deferred;
     PolicyRunner& policy;
     Counters& counters;
   };
-  // `retry_after`: when clients may come back whose requests could not be recorded; zero: no advice.
+  // `retry_after` is the delay advised to clients whose requests the deduplication log could not record; zero
+  // means that no delay is advised.
   RequestLifecycle(const Environment& environment, Duration retry_after)
       : env_(environment), retry_after_(retry_after) {}
 
-  // Accepts a request unless its source has no room. The client's answer never comes before this returns.
-  std::optional<RequestId> accept(SourceRoom::Source source, Client& client, RoutingRequest routing_request,
-                                  events::CloudEvent message);
-  // The verdict on a request that waited for it.
+  // Accepts a request, or returns nothing if its source is over its limit. The final answer is never
+  // delivered before this call returns.
+  std::optional<RequestId> accept(SourceLimiter::Source source, Client& client,
+                                  RoutingRequest routing_request, events::CloudEvent message);
+  // The deduplication log has decided on a request that was waiting for the verdict.
   void admission_decided(RequestId id, AdmissionVerdict verdict);
 
-  void cancelled(const ClientCancellation& cancellation);
-  // Final answers that the routing policy asks for; nothing where the request has one.
+  void client_cancelled(const ClientCancellation& cancellation);
+  // Give the final answer that the routing policy has decided on. They do nothing if the request has one
+  // already.
   void reject(RequestId id, Duration retry_after);
   void fail(RequestId id);
-  // The deadline has come, or the router must end.
+  // Ends a request whose deadline has passed, or which is open when the router must terminate.
   void expire(RequestId id);
 
   void attempt_started(RequestId id);
   void attempt_ended(RequestId id, int number, AttemptResult result);
 
  private:
-  using End = SourceRoom::End;
+  using End = SourceLimiter::End;
 
-  void apply(AdmissionVerdict verdict, RequestId id, Request& request, RoutingRequest routing_request);
+  void apply_verdict(AdmissionVerdict verdict, RequestId id, Request& request,
+                     RoutingRequest routing_request);
   void answer_duplicate(RequestId id, Request& request);
   void conclude(RequestId id, Request& request, End end, ExecutionCertainty certainty);
   void log_conclusion(const Request& request, End end);
--- a/src/core/request_reader.h
+++ b/src/core/request_reader.h
@@ -1,4 +1,5 @@
-// Reads a CloudEvent as a routing request, for every front end alike. docs/events.md lists the attributes.
+// Converts a CloudEvent to a routing request, in the same way for every front end. docs/events.md lists the
+// attributes.
 #pragma once
 
 #include <map>
@@ -9,13 +10,13 @@
 
 namespace rushhill::core {
 
-// Knows the request classes and tenants of the configuration.
+// Reads events according to the request classes and tenants of the configuration.
 class RequestReader {
  public:
-  // `class_of_type`: from an event's type attribute to the name of a request class.
+  // `class_of_type` maps an event's type attribute to the name of a request class.
   RequestReader(const RoutingConfiguration& configuration, std::map<std::string, std::string> class_of_type);
 
-  // Leaves the id unset. Throws events::BadEvent, which names the attribute.
+  // Returns the request without an id. Throws events::BadEvent, which names the invalid attribute.
   RoutingRequest read(const events::CloudEvent& event) const;
 
  private:
--- a/src/core/request_table.cpp
+++ b/src/core/request_table.cpp
@@ -5,10 +5,10 @@
 namespace rushhill::core {
 namespace {
 
-constexpr std::uint64_t first_id_limit = 1ULL << 51U;  // ids start anywhere below
+constexpr std::uint64_t first_id_limit = 1ULL << 51U;  // the first id is at most this
 
-// The finalizer of SplitMix64: spreads the seed over the whole space of ids.
-std::uint64_t mix(std::uint64_t value) {
+// The finalizer of SplitMix64; it makes similar seeds give first ids that are far apart.
+std::uint64_t mix_bits(std::uint64_t value) {
   value = (value ^ value >> 30U) * 0xbf58476d1ce4e5b9ULL;
   value = (value ^ value >> 27U) * 0x94d049bb133111ebULL;
   return value ^ value >> 31U;
@@ -17,7 +17,7 @@
 }  // namespace
 
 RequestTable::RequestTable(TimerService& clock, std::uint64_t seed)
-    : clock_(clock), next_id_(static_cast<RequestId>(mix(seed) % first_id_limit) + 1) {}
+    : clock_(clock), next_id_(static_cast<RequestId>(mix_bits(seed) % first_id_limit) + 1) {}
 
 RequestTable::~RequestTable() {
   for (auto& [id, request] : requests_) {
@@ -43,7 +43,7 @@
   return &request->attempts[number];
 }
 
-void RequestTable::erase_if_over(RequestId id) {
+void RequestTable::erase_if_finished(RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
   Request& request = it->second;
@@ -57,7 +57,7 @@
   return std::ranges::any_of(requests_, [](const auto& item) { return item.second.client != nullptr; });
 }
 
-std::vector<RequestId> RequestTable::not_concluded() const {
+std::vector<RequestId> RequestTable::unconcluded_requests() const {
   std::vector<RequestId> ids;
   for (const auto& [id, request] : requests_) {
     if (!request.concluded) ids.push_back(id);
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -1,4 +1,4 @@
-// The requests that a router has accepted and not finished with, and the attempts made for each.
+// The requests that a router has accepted and not yet finished, with the attempts of each.
 #pragma once
 
 #include <cstdint>
@@ -12,37 +12,37 @@
 
 namespace rushhill::core {
 
-// Names an attempt: its request, and its number within the request.
+// Identifies an attempt by its request and its number within the request, from 0.
 struct AttemptId {
   RequestId request = 0;
   int number = 0;
 };
 
-// One attempt to have a request answered by an endpoint; its number is its place in Request::attempts.
+// One attempt to get a request answered by an endpoint. Its number is its index in Request::attempts.
 struct Attempt {
   EndpointId endpoint;
   Timestamp started{};
   bool open = true;
-  Timer timeout_timer{};  // none: until the request's deadline
+  Timer timeout_timer{};  // not set if the attempt may run until the request's deadline
 };
 
 // A request from its acceptance until its last attempt has ended.
 struct Request {
   admission::Shares::Source source = 0;
-  Client* client = nullptr;  // null: it was handed its final answer, or it cancelled
-  bool concluded = false;    // the final answer is decided; only ends of attempts are awaited
-  bool recorded = false;     // its end is reported to the deduplication log
-  std::optional<RoutingRequest> awaiting_record;  // the policy has not seen it yet
+  Client* client = nullptr;  // null once it has received its final answer or has cancelled
+  bool concluded = false;    // the final answer is decided or the client has cancelled
+  bool recorded = false;     // its end must be reported to the deduplication log
+  std::optional<RoutingRequest> awaiting_verdict;  // kept for the policy while the verdict is pending
   events::CloudEvent message;
   Timestamp accepted{};
   Timestamp deadline{};
   Timer deadline_timer;
   std::vector<Attempt> attempts;
-  int deferred_calls = 0;  // what is put off until the present call returns: ends of attempts, the answer
+  int deferred_calls = 0;  // scheduled reports of ended attempts and answers
 };
 
-// Owns the requests and their timers. Ids are unique within a router and start at a place drawn from its
-// seed, so that those of different routers differ.
+// Owns the requests and their timers. Ids are unique within a router. They count up from a number derived
+// from the router's seed, so that the ids of different routers differ.
 class RequestTable {
  public:
   RequestTable(TimerService& clock, std::uint64_t seed);
@@ -52,22 +52,23 @@
   RequestTable& operator=(RequestTable&&) = delete;
   ~RequestTable();
 
-  // A new request and the id it got.
+  // A new request and its id.
   struct Added {
     RequestId id;
     Request& request;
   };
   // References to requests stay valid until the request is erased.
   Added add();
-  Request* find(RequestId id);                            // null: none of that id
+  Request* find(RequestId id);                            // null if there is no such request
   Request& at(RequestId id) { return requests_.at(id); }  // throws std::out_of_range
-  Attempt* find_attempt(const AttemptId& id);             // null: no such request or attempt
+  Attempt* find_attempt(const AttemptId& id);             // null if there is no such request or attempt
 
-  // Erases the request if it is concluded and neither an attempt nor a deferred call of it is left.
-  void erase_if_over(RequestId id);
+  // Erases the request if it is concluded and has neither open attempts nor deferred calls.
+  void erase_if_finished(RequestId id);
 
+  // Returns whether a client still waits for its answer.
   bool any_client_waits() const;
-  std::vector<RequestId> not_concluded() const;  // in ascending order
+  std::vector<RequestId> unconcluded_requests() const;  // in ascending order
   std::size_t size() const { return requests_.size(); }
 
  private:
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -1,5 +1,6 @@
-// Timers in the order in which they fire: the structure behind a TimerService. Adding, cancelling and firing
-// one take time logarithmic in their number; two of one moment fire in the order in which they were added.
+// A queue of timers, with which a TimerService is implemented. Adding, cancelling and firing a timer take
+// time logarithmic in the number of timers. Timers set for the same time fire in the order in which they were
+// added.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +12,7 @@
 
 namespace rushhill::core {
 
-// Not thread-safe; calls may add and cancel timers while they are fired.
+// Not thread-safe. The calls that it runs may add and cancel timers.
 class TimerQueue {
  public:
   Timer add(Time when, TimerService::Call call) {
@@ -21,12 +22,12 @@
   }
   void cancel(Timer& timer) { timers_.erase(std::exchange(timer, Timer{})); }
 
-  // The moment of the first timer; nothing where there is none.
+  // Returns the time of the earliest timer, or nothing if there is none.
   std::optional<Time> next_deadline() const {
     if (timers_.empty()) return std::nullopt;
     return timers_.begin()->first.at;
   }
-  // Fires all timers due at `now`, also those added meanwhile for a moment that has come.
+  // Fires all timers that are due at `now`, including due timers that are added by the calls.
   void fire_due(Time now) {
     while (!timers_.empty() && timers_.begin()->first.at <= now) {
       const auto call = std::move(timers_.extract(timers_.begin()).mapped());
--- a/src/core/timer_service.h
+++ b/src/core/timer_service.h
@@ -1,4 +1,5 @@
-// The clock and the timers that the core and its neighbours are handed; an emulator hands over its own.
+// The interface to the clock and the timers. The event loop implements it; so does the emulator, with
+// emulated time.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +9,16 @@
 
 namespace rushhill::core {
 
-// Names one timer, so that it can be cancelled; the default names none.
+// Identifies a timer so that it can be cancelled. The default value identifies no timer. `at` is the time at
+// which the timer fires, in tenths of a millisecond.
 struct Timer {
   Time at = 0;
   std::uint64_t number = 0;
   auto operator<=>(const Timer&) const = default;
 };
 
-// Calls run on the one thread of the loop, never from within the call that asked for them.
+// Runs calls later, on the thread of the event loop. A call never runs before the call that scheduled it has
+// returned.
 class TimerService {
  public:
   using Call = std::function<void()>;
@@ -27,18 +30,18 @@
   TimerService& operator=(TimerService&&) = delete;
   virtual ~TimerService() = default;
 
-  // Monotonic, in tenths of a millisecond, never 0. The core itself uses `timestamp`; what stands around it
-  // counts ticks still.
+  // The time of a monotonic clock, in tenths of a millisecond; never 0. The core itself uses timestamp();
+  // other packages still use plain tick counts.
   virtual Time now() const = 0;
-  // The same reading as a strong type.
+  // The same time as a strong type.
   Timestamp timestamp() const { return to_timestamp(now()); }
-  // Runs the call once, at or after that moment.
+  // Runs the call once, at or after the given time.
   virtual Timer at(Time when, Call call) = 0;
-  // Nothing happens where the timer has fired or names none.
+  // Cancels the timer and resets it to the default value. Does nothing if the timer has fired or is not set.
   virtual void cancel(Timer& timer) = 0;
-  // Runs the call when what runs now has returned.
+  // Runs the call after the current call has returned.
   virtual void post(Call call) = 0;
-  // For measuring spent time only; 0: not measured.
+  // A clock reading in nanoseconds, for measuring elapsed real time only; always 0 if there is no such clock.
   virtual std::int64_t nanoseconds() const { return 0; }
 };
 
--- a/src/core/upstream_transport.h
+++ b/src/core/upstream_transport.h
@@ -1,5 +1,5 @@
-// How the core reaches the endpoints: the transport that carries its attempts, and the observer that is
-// called when something ends. No socket is seen from here.
+// The interface through which the core sends attempts, probes and orders to the endpoints, and the observer
+// that the transport calls when they end. It is independent of sockets and protocols.
 #pragma once
 
 #include <string>
@@ -9,16 +9,17 @@
 
 namespace rushhill::core {
 
-// How one attempt ended, as far as the transport can know.
+// How one attempt ended, as far as the transport can tell.
 struct AttemptResult {
   AttemptOutcome outcome = AttemptOutcome::unanswered;
   CopyState copy_state = CopyState::unknown;
-  int in_flight = 0;  // requests of the same function at the endpoint
+  int in_flight = 0;  // requests for the same function at the endpoint
   LoadReport report{};
-  events::CloudEvent reply{};  // with AttemptOutcome::succeeded
+  events::CloudEvent reply{};  // set if the outcome is AttemptOutcome::succeeded
 };
 
-// Called at the end of everything the transport was asked for, once each and never from within the asking.
+// Receives the end of each attempt, probe and prewarm order, once each, except for attempts that the core
+// cancels. An end is never reported from within a call to the transport.
 class UpstreamObserver {
  public:
   UpstreamObserver() = default;
@@ -28,7 +29,8 @@
   UpstreamObserver& operator=(UpstreamObserver&&) = delete;
   virtual ~UpstreamObserver() = default;
 
-  // The first bytes of an attempt have left; the one call that may come from within the asking.
+  // The first bytes of an attempt were sent. This is the only call that may be made from within a call to the
+  // transport.
   virtual void attempt_started(RequestId) {}
   virtual void attempt_ended(RequestId request, int attempt_number, AttemptResult result) = 0;
   virtual void probe_ended(const EndpointId& endpoint, AttemptOutcome outcome, const LoadReport& report) = 0;
@@ -36,16 +38,16 @@
                              int copies) = 0;
 };
 
-// An attempt to be sent; the references are valid during the call only.
+// An attempt to be sent. The references are valid only during the call to UpstreamTransport::send().
 struct AttemptCall {
   RequestId request = 0;
   int attempt_number = 0;
   const EndpointId& endpoint;
-  Duration time_left{};  // until the client gives up
+  Duration time_left{};  // until the request's deadline
   const events::CloudEvent& message;
 };
 
-// Sends attempts, probes and orders to endpoints. Every call returns at once; ends come by UpstreamObserver.
+// Sends attempts, probes and orders to endpoints. No call blocks; ends are reported to the UpstreamObserver.
 class UpstreamTransport {
  public:
   UpstreamTransport() = default;
@@ -56,18 +58,18 @@
   virtual ~UpstreamTransport() = default;
 
   virtual void send(const AttemptCall& call) = 0;
-  // Gives the attempt up; the observer hears nothing more of it.
+  // Cancels the attempt. Its end is not reported to the observer.
   virtual void cancel(RequestId request, int attempt_number) = 0;
-  // The same, but only where no byte of it has left. False: it is out, and goes on.
+  // Cancels the attempt only if no byte of it has been sent. Returns false if it was not cancelled.
   virtual bool cancel_unsent(RequestId request, int attempt_number) = 0;
-  // Attempts and prewarm orders for the endpoint of which no byte has left end as not sent.
+  // Ends attempts and prewarm orders for the endpoint as not sent if no byte of them has been sent.
   virtual void cancel_all_unsent(const EndpointId& endpoint) = 0;
   virtual void probe(const EndpointId& endpoint, Duration timeout) = 0;
   virtual void prewarm(const EndpointId& endpoint, const FunctionId& function, int copies,
                        Duration timeout) = 0;
   virtual void evict(const EndpointId& endpoint, const FunctionId& function) = 0;
   virtual void close_idle(const EndpointId& endpoint) = 0;
-  // Where an endpoint is reached from now on; an empty address: nowhere.
+  // Sets the address of an endpoint. An empty address means that the endpoint can no longer be reached.
   virtual void set_address(const EndpointId& endpoint, const std::string& address) = 0;
 };
 
--- a/tests/core/deferred_calls_test.cpp
+++ b/tests/core/deferred_calls_test.cpp
@@ -1,4 +1,4 @@
-// Calls put off, and their owner's end.
+// Guards against deferred calls that run too early or after their owner has been destroyed.
 #include "core/deferred_calls.h"
 
 #include <gtest/gtest.h>
@@ -10,30 +10,30 @@
 namespace rushhill::core {
 namespace {
 
-TEST(DeferredCalls, RunOnceThePresentCallHasReturnedOrAtTheirMoment) {
-  HandClock clock;
+TEST(DeferredCalls, RunAfterTheCurrentCallOrAtTheGivenTime) {
+  ManualClock clock;
   DeferredCalls deferred(clock);
   int soon = 0;
   int later = 0;
   deferred.run_soon([&] { ++soon; });
   deferred.run_at(clock.timestamp() + Duration{50}, [&] { ++later; });
   EXPECT_EQ(soon, 0);
-  clock.settle();
+  clock.run_posted_calls();
   EXPECT_EQ(soon, 1);
-  clock.pass(49);
+  clock.advance(49);
   EXPECT_EQ(later, 0);
-  clock.pass(1);
+  clock.advance(1);
   EXPECT_EQ(later, 1);
 }
 
-TEST(DeferredCalls, AreVoidWhenTheirOwnerIsGone) {
-  HandClock clock;
+TEST(DeferredCalls, DoNotRunAfterTheyAreDestroyed) {
+  ManualClock clock;
   std::optional<DeferredCalls> deferred(clock);
   int calls = 0;
   deferred->run_soon([&] { ++calls; });
   deferred->run_at(clock.timestamp() + Duration{50}, [&] { ++calls; });
   deferred.reset();
-  clock.pass(100);
+  clock.advance(100);
   EXPECT_EQ(calls, 0);
 }
 
--- a/tests/core/endpoint_addresses_test.cpp
+++ b/tests/core/endpoint_addresses_test.cpp
@@ -1,4 +1,4 @@
-// Which addresses a server list changes.
+// Guards against stale endpoint addresses: checks which addresses each form of endpoint list changes.
 #include "core/endpoint_addresses.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 using Map = EndpointAddresses::Map;
 
-class ServerAddressesTest : public testing::Test {
+class EndpointAddressesTest : public testing::Test {
  protected:
   void SetUp() override {
     addresses.set("a", "127.0.0.1:1");
@@ -17,32 +17,32 @@
   EndpointAddresses addresses;
 };
 
-TEST_F(ServerAddressesTest, ChangesSpeakOnlyOfTheServersTheyName) {
-  EXPECT_EQ(addresses.listed(EndpointListForm::delta, {{{.id = "b"}, "127.0.0.1:3"}}),
+TEST_F(EndpointAddressesTest, DeltaAffectsOnlyTheListedEndpoints) {
+  EXPECT_EQ(addresses.updates_from(EndpointListForm::delta, {{{.id = "b"}, "127.0.0.1:3"}}),
             (Map{{"b", "127.0.0.1:3"}}));
-  EXPECT_TRUE(addresses.listed(EndpointListForm::failed, {}).empty());
+  EXPECT_TRUE(addresses.updates_from(EndpointListForm::failed, {}).empty());
 }
 
-TEST_F(ServerAddressesTest, AWholeListMakesTheServersItLeavesOutUnreachable) {
+TEST_F(EndpointAddressesTest, CompleteListMakesMissingEndpointsUnreachable) {
   const Map expected{{"a", ""}, {"b", "127.0.0.1:2"}};
-  EXPECT_EQ(addresses.listed(EndpointListForm::complete, {{{.id = "b"}, "127.0.0.1:2"}}), expected);
-  EXPECT_EQ(addresses.listed(EndpointListForm::cached, {{{.id = "b"}, "127.0.0.1:2"}}), expected);
+  EXPECT_EQ(addresses.updates_from(EndpointListForm::complete, {{{.id = "b"}, "127.0.0.1:2"}}), expected);
+  EXPECT_EQ(addresses.updates_from(EndpointListForm::cached, {{{.id = "b"}, "127.0.0.1:2"}}), expected);
 }
 
-TEST_F(ServerAddressesTest, AServerThatHasLeftIsUnreachableWhateverAddressIsGiven) {
+TEST_F(EndpointAddressesTest, RemovedEndpointIsUnreachableEvenWithAnAddress) {
   const std::vector<EndpointListEntry> entries{
       {{.id = "a", .state = EndpointState::removed}, "127.0.0.1:1"},
       {{.id = "b", .state = EndpointState::draining}, "127.0.0.1:2"}};
-  EXPECT_EQ(addresses.listed(EndpointListForm::delta, entries), (Map{{"a", ""}, {"b", "127.0.0.1:2"}}));
+  EXPECT_EQ(addresses.updates_from(EndpointListForm::delta, entries), (Map{{"a", ""}, {"b", "127.0.0.1:2"}}));
 }
 
-TEST_F(ServerAddressesTest, OnlyAnAddressThatDiffersIsAChange) {
+TEST_F(EndpointAddressesTest, ReportsOnlyADifferentAddressAsAChange) {
   EXPECT_FALSE(addresses.set("a", "127.0.0.1:1"));
   EXPECT_TRUE(addresses.set("a", "127.0.0.1:9"));
   EXPECT_TRUE(addresses.set("a", ""));
-  EXPECT_FALSE(addresses.set("a", "")) << "forgotten already";
+  EXPECT_FALSE(addresses.set("a", "")) << "the address is already removed";
   EXPECT_FALSE(addresses.set("never seen", ""));
-  EXPECT_EQ(addresses.listed(EndpointListForm::complete, {}), (Map{{"b", ""}}));
+  EXPECT_EQ(addresses.updates_from(EndpointListForm::complete, {}), (Map{{"b", ""}}));
 }
 
 }  // namespace
--- a/tests/core/endpoint_call_execution_test.cpp
+++ b/tests/core/endpoint_call_execution_test.cpp
@@ -1,4 +1,6 @@
-// Probes and orders to load: sent, measured, and reported to the decision module.
+// Guards against probes and prewarm orders whose end is reported to the policy with a wrong duration or from
+// within the call that caused it, and against prewarm orders that are sent although they could not be
+// recorded.
 #include "core/endpoint_call_execution.h"
 
 #include "core/parts_fixture.h"
@@ -6,7 +8,7 @@
 namespace rushhill::core {
 namespace {
 
-struct RefusingLedger final : DeduplicationLog {
+struct RefusingDeduplicationLog final : DeduplicationLog {
   bool prepare_prewarm() override { return false; }
   AdmissionVerdict admit(RequestId, const std::string&, const events::CloudEvent&, Duration) override {
     return AdmissionVerdict::untracked;
@@ -14,61 +16,61 @@
   void request_ended(const events::CloudEvent&, ExecutionCertainty) override {}
 };
 
-class ServerCallExecutionTest : public PartsFixture {
+class EndpointCallExecutionTest : public GatewayPartsFixture {
  protected:
-  EndpointCallExecution calls(DeduplicationLog* ledger) {
+  EndpointCallExecution calls(DeduplicationLog* deduplication) {
     return {{.clock = clock,
-             .upstream = carrier,
-             .deduplication = ledger,
+             .upstream = transport,
+             .deduplication = deduplication,
              .deferred = deferred,
-             .policy = decisions,
-             .counters = tally},
+             .policy = policy,
+             .counters = counters},
             5 * one_second};
   }
 };
 
-TEST_F(ServerCallExecutionTest, AProbeIsReportedWithTheTimeItTook) {
+TEST_F(EndpointCallExecutionTest, ReportsAProbeWithItsDuration) {
   EndpointCallExecution execution = calls(nullptr);
   execution.probe("a");
-  clock.pass(30);
+  clock.advance(30);
   execution.probe_ended("a", AttemptOutcome::succeeded, {});
-  EXPECT_EQ(carrier.probes, std::vector<EndpointId>{"a"});
-  EXPECT_EQ(tally.probes, 1U);
-  ASSERT_EQ(heard.probe_ends.size(), 1U);
-  EXPECT_EQ(heard.probe_ends[0].endpoint, "a");
-  EXPECT_EQ(heard.probe_ends[0].taken, to_duration(30));
+  EXPECT_EQ(transport.probes, std::vector<EndpointId>{"a"});
+  EXPECT_EQ(counters.probes, 1U);
+  ASSERT_EQ(policy_events.probe_ends.size(), 1U);
+  EXPECT_EQ(policy_events.probe_ends[0].endpoint, "a");
+  EXPECT_EQ(policy_events.probe_ends[0].taken, to_duration(30));
 }
 
-TEST_F(ServerCallExecutionTest, AnOrderLeavesWithItsLimitAndIsReportedWithTheTimeItTook) {
+TEST_F(EndpointCallExecutionTest, SendsAPrewarmOrderWithItsTimeoutAndReportsItsDuration) {
   EndpointCallExecution execution = calls(nullptr);
   execution.prewarm("a", "f", 2);
-  clock.pass(second);
+  clock.advance(second);
   execution.prewarm_ended("a", "f", AttemptOutcome::succeeded, 2);
-  EXPECT_EQ(carrier.orders, (std::vector{std::pair(EndpointId("a"), 2)}));
-  EXPECT_EQ(carrier.order_limit, 5 * one_second);
-  EXPECT_EQ(tally.prewarms, 1U);
-  ASSERT_EQ(heard.order_ends.size(), 1U);
-  EXPECT_EQ(heard.order_ends[0].taken, to_duration(second));
-  EXPECT_EQ(heard.order_ends[0].copies, 2);
+  EXPECT_EQ(transport.prewarms, (std::vector{std::pair(EndpointId("a"), 2)}));
+  EXPECT_EQ(transport.prewarm_timeout, 5 * one_second);
+  EXPECT_EQ(counters.prewarms, 1U);
+  ASSERT_EQ(policy_events.prewarm_ends.size(), 1U);
+  EXPECT_EQ(policy_events.prewarm_ends[0].taken, to_duration(second));
+  EXPECT_EQ(policy_events.prewarm_ends[0].copies, 2);
 }
 
-TEST_F(ServerCallExecutionTest, AnOrderThatTheLedgerRefusesEndsAsNotSentOnceTheCallHasReturned) {
-  RefusingLedger ledger;
-  EndpointCallExecution execution = calls(&ledger);
+TEST_F(EndpointCallExecutionTest, ReportsARefusedPrewarmOrderAsNotSentAfterTheCurrentCall) {
+  RefusingDeduplicationLog deduplication;
+  EndpointCallExecution execution = calls(&deduplication);
   execution.prewarm("a", "f", 2);
-  EXPECT_TRUE(heard.order_ends.empty());
-  clock.settle();
-  EXPECT_TRUE(carrier.orders.empty());
-  EXPECT_EQ(tally.prewarms, 0U);
-  ASSERT_EQ(heard.order_ends.size(), 1U);
-  EXPECT_EQ(heard.order_ends[0].outcome, AttemptOutcome::not_sent);
+  EXPECT_TRUE(policy_events.prewarm_ends.empty());
+  clock.run_posted_calls();
+  EXPECT_TRUE(transport.prewarms.empty());
+  EXPECT_EQ(counters.prewarms, 0U);
+  ASSERT_EQ(policy_events.prewarm_ends.size(), 1U);
+  EXPECT_EQ(policy_events.prewarm_ends[0].outcome, AttemptOutcome::not_sent);
 }
 
-TEST_F(ServerCallExecutionTest, AnEvictionIsSentAndCounted) {
+TEST_F(EndpointCallExecutionTest, SendsAndCountsEvictions) {
   EndpointCallExecution execution = calls(nullptr);
   execution.evict("a", "f");
-  EXPECT_EQ(carrier.unloads, std::vector<EndpointId>{"a"});
-  EXPECT_EQ(tally.evictions, 1U);
+  EXPECT_EQ(transport.evictions, std::vector<EndpointId>{"a"});
+  EXPECT_EQ(counters.evictions, 1U);
 }
 
 }  // namespace
--- a/tests/core/manual_clock.h
+++ b/tests/core/manual_clock.h
@@ -1,4 +1,4 @@
-// A clock that only moves when told.
+// A TimerService for tests whose time changes only when the test advances it.
 #pragma once
 
 #include <algorithm>
@@ -10,34 +10,38 @@
 
 namespace rushhill::core {
 
-class HandClock final : public TimerService {
+class ManualClock final : public TimerService {
  public:
   Time now() const override { return now_; }
-  Timer at(Time when, Call call) override { return alarms_.add(when, std::move(call)); }
-  void cancel(Timer& alarm) override { alarms_.cancel(alarm); }
-  void post(Call call) override { soon_.push_back(std::move(call)); }
-  void settle() {
-    while (!soon_.empty()) {
-      for (const Call& call : std::exchange(soon_, {})) call();
+  Timer at(Time when, Call call) override { return timers_.add(when, std::move(call)); }
+  void cancel(Timer& timer) override { timers_.cancel(timer); }
+  void post(Call call) override { posted_.push_back(std::move(call)); }
+  // Runs all posted calls, including those that they post.
+  void run_posted_calls() {
+    while (!posted_.empty()) {
+      for (const Call& call : std::exchange(posted_, {})) call();
     }
   }
-  void pass(Time span) {
+  // Advances the time by `span`, in tenths of a millisecond, and runs the timers and posted calls that become
+  // due.
+  void advance(Time span) {
     const Time end = now_ + span;
-    settle();
-    while (alarms_.next_deadline() && *alarms_.next_deadline() <= end) {
-      now_ = std::max(now_, *alarms_.next_deadline());
-      alarms_.fire_due(now_);
-      settle();
+    run_posted_calls();
+    while (timers_.next_deadline() && *timers_.next_deadline() <= end) {
+      now_ = std::max(now_, *timers_.next_deadline());
+      timers_.fire_due(now_);
+      run_posted_calls();
     }
     now_ = end;
   }
-  void jump(Time span) { now_ += span; }  // the moment has come, and nothing has rung yet
-  std::size_t standing() const { return alarms_.count(); }
+  // Advances the time without running timers, as if the event loop had not noticed them yet.
+  void advance_without_firing(Time span) { now_ += span; }
+  std::size_t pending_timers() const { return timers_.count(); }
 
  private:
   Time now_ = 100 * 10'000;
-  TimerQueue alarms_;
-  std::vector<Call> soon_;
+  TimerQueue timers_;
+  std::vector<Call> posted_;
 };
 
 }  // namespace rushhill::core
--- a/tests/core/outstanding_calls_test.cpp
+++ b/tests/core/outstanding_calls_test.cpp
@@ -1,4 +1,4 @@
-// How long calls take of which only the key is told at their end.
+// Guards against wrong durations when several calls with the same key are outstanding.
 #include "core/outstanding_calls.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 constexpr Timestamp at(Time ticks) { return to_timestamp(ticks); }
 
-TEST(OutstandingCalls, TheOldestCallOfAKeyEndsFirst) {
+TEST(OutstandingCalls, EndsTheOldestCallOfAKeyFirst) {
   OutstandingCalls<EndpointId> calls;
   calls.start("a", at(100));
   calls.start("a", at(130));
@@ -20,15 +20,15 @@
   EXPECT_EQ(calls.end("a", at(200)), Duration{70});
 }
 
-TEST(OutstandingCalls, AnEndWithoutACallTookNoTimeAndLeavesNothingBehind) {
+TEST(OutstandingCalls, AnEndWithoutACallReturnsZeroAndKeepsNoKey) {
   OutstandingCalls<EndpointId> calls;
   EXPECT_EQ(calls.end("a", at(200)), Duration{0});
-  EXPECT_EQ(calls.keys(), 0U);
+  EXPECT_EQ(calls.key_count(), 0U);
   calls.start("a", at(200));
-  EXPECT_EQ(calls.keys(), 1U);
+  EXPECT_EQ(calls.key_count(), 1U);
   EXPECT_EQ(calls.end("a", at(250)), Duration{50});
   EXPECT_EQ(calls.end("a", at(260)), Duration{0});
-  EXPECT_EQ(calls.keys(), 0U);
+  EXPECT_EQ(calls.key_count(), 0U);
 }
 
 }  // namespace
--- a/tests/core/parts_fixture.h
+++ b/tests/core/parts_fixture.h
@@ -1,4 +1,5 @@
-// The parts of the core between a decision module and a carrier that only note what they are told.
+// A fixture with the parts of the gateway, between a routing policy and a transport that only record their
+// calls.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,62 +16,68 @@
 
 namespace rushhill::core {
 
-// What the decision module hears.
-struct Heard {
+// The events that the routing policy receives.
+struct PolicyEvents {
   std::vector<RoutingRequest> requests;
   std::vector<AttemptEnd> attempt_ends;
   std::vector<ProbeEnd> probe_ends;
-  std::vector<PrewarmEnd> order_ends;
-  std::vector<RequestId> cancelled;
+  std::vector<PrewarmEnd> prewarm_ends;
+  std::vector<RequestId> cancelled_requests;
 };
 
-class RecordingRouter final : public RoutingPolicy {
+class RecordingPolicy final : public RoutingPolicy {
  public:
-  explicit RecordingRouter(Heard& heard) : heard_(heard) {}
+  explicit RecordingPolicy(PolicyEvents& policy_events) : events_(policy_events) {}
   void endpoints_updated(Timestamp, EndpointListForm, const std::vector<Endpoint>&) override {}
-  void request_received(Timestamp, const RoutingRequest& event) override { heard_.requests.push_back(event); }
+  void request_received(Timestamp, const RoutingRequest& request) override {
+    events_.requests.push_back(request);
+  }
   void response_started(Timestamp, RequestId, int) override {}
-  void attempt_ended(Timestamp, const AttemptEnd& end) override { heard_.attempt_ends.push_back(end); }
-  void client_cancelled(Timestamp, RequestId event) override { heard_.cancelled.push_back(event); }
+  void attempt_ended(Timestamp, const AttemptEnd& end) override { events_.attempt_ends.push_back(end); }
+  void client_cancelled(Timestamp, RequestId request) override {
+    events_.cancelled_requests.push_back(request);
+  }
   void timer_fired(Timestamp, std::int64_t) override {}
-  void probe_ended(Timestamp, const ProbeEnd& end) override { heard_.probe_ends.push_back(end); }
-  void prewarm_ended(Timestamp, const PrewarmEnd& end) override { heard_.order_ends.push_back(end); }
+  void probe_ended(Timestamp, const ProbeEnd& end) override { events_.probe_ends.push_back(end); }
+  void prewarm_ended(Timestamp, const PrewarmEnd& end) override { events_.prewarm_ends.push_back(end); }
   void gossip_received(Timestamp, int, const std::string&) override {}
   void load_budget_restored(Timestamp, double) override {}
 
  private:
-  Heard& heard_;
+  PolicyEvents& events_;
 };
 
-struct RecordingCarrier final : UpstreamTransport {
-  struct Sent {
+struct RecordingTransport final : UpstreamTransport {
+  struct SentAttempt {
     RequestId id;
     int number;
-    EndpointId server;
-    Duration left;
+    EndpointId endpoint;
+    Duration time_left;
   };
   void send(const AttemptCall& call) override {
-    sent.push_back(
-        {.id = call.request, .number = call.attempt_number, .server = call.endpoint, .left = call.time_left});
+    sent.push_back({.id = call.request,
+                    .number = call.attempt_number,
+                    .endpoint = call.endpoint,
+                    .time_left = call.time_left});
   }
-  void cancel(RequestId id, int number) override { dropped.emplace_back(id, number); }
+  void cancel(RequestId id, int number) override { cancelled_attempts.emplace_back(id, number); }
   bool cancel_unsent(RequestId id, int number) override { return unsent.contains({id, number}); }
   void cancel_all_unsent(const EndpointId&) override {}
-  void probe(const EndpointId& server, Duration) override { probes.push_back(server); }
-  void prewarm(const EndpointId& server, const FunctionId&, int copies, Duration limit) override {
-    orders.emplace_back(server, copies);
-    order_limit = limit;
+  void probe(const EndpointId& endpoint, Duration) override { probes.push_back(endpoint); }
+  void prewarm(const EndpointId& endpoint, const FunctionId&, int copies, Duration timeout) override {
+    prewarms.emplace_back(endpoint, copies);
+    prewarm_timeout = timeout;
   }
-  void evict(const EndpointId& server, const FunctionId&) override { unloads.push_back(server); }
+  void evict(const EndpointId& endpoint, const FunctionId&) override { evictions.push_back(endpoint); }
   void close_idle(const EndpointId&) override {}
   void set_address(const EndpointId&, const std::string&) override {}
 
-  std::vector<Sent> sent;
-  std::vector<std::pair<RequestId, int>> dropped;
+  std::vector<SentAttempt> sent;
+  std::vector<std::pair<RequestId, int>> cancelled_attempts;
   std::set<std::pair<RequestId, int>> unsent;
-  std::vector<EndpointId> probes, unloads;
-  std::vector<std::pair<EndpointId, int>> orders;
-  Duration order_limit{};
+  std::vector<EndpointId> probes, evictions;
+  std::vector<std::pair<EndpointId, int>> prewarms;
+  Duration prewarm_timeout{};
 };
 
 struct CountingLog final : EventLog {
@@ -81,27 +88,27 @@
   int errors = 0;
 };
 
-class PartsFixture : public testing::Test {
+class GatewayPartsFixture : public testing::Test {
  protected:
   static constexpr Time second = 10'000;
-  static constexpr int attempt_cap = 3;
+  static constexpr int attempt_limit = 3;
 
-  HandClock clock;
-  RecordingCarrier carrier;
+  ManualClock clock;
+  RecordingTransport transport;
   CountingLog log;
-  Heard heard;
-  Counters tally;
+  PolicyEvents policy_events;
+  Counters counters;
   DeferredCalls deferred{clock};
-  PolicyRunner decisions{std::make_unique<RecordingRouter>(heard), clock};
+  PolicyRunner policy{std::make_unique<RecordingPolicy>(policy_events), clock};
   RequestTable requests{clock, 7};
   AttemptExecution attempts{{.clock = clock,
-                             .upstream = carrier,
+                             .upstream = transport,
                              .log = log,
                              .requests = requests,
                              .deferred = deferred,
-                             .policy = decisions,
-                             .counters = tally},
-                            attempt_cap};
+                             .policy = policy,
+                             .counters = counters},
+                            attempt_limit};
 };
 
 }  // namespace rushhill::core
--- a/tests/core/request_lifecycle_test.cpp
+++ b/tests/core/request_lifecycle_test.cpp
@@ -1,4 +1,5 @@
-// The life of a request: every accepted one gets exactly one final answer, whatever comes first.
+// Guards against requests that get no final answer or more than one. The tests bring about the deadline,
+// replies, cancellations and admission verdicts in different orders.
 #include "core/request_lifecycle.h"
 
 #include "core/parts_fixture.h"
@@ -8,33 +9,35 @@
 
 struct RecordingClient final : Client {
   void succeeded(RequestId, events::CloudEvent) override { answers.emplace_back("succeeded"); }
-  void rejected(RequestId, Duration come_back) override {
+  void rejected(RequestId, Duration delay) override {
     answers.emplace_back("rejected");
-    advice = come_back;
+    retry_after = delay;
   }
   void failed(RequestId) override { answers.emplace_back("failed"); }
   void duplicate(RequestId) override { answers.emplace_back("known"); }
   void attempt_started(RequestId) override { ++started; }
   std::vector<std::string> answers;
-  Duration advice{};
+  Duration retry_after{};
   int started = 0;
 };
 
-struct ScriptedLedger final : DeduplicationLog {
+struct ScriptedDeduplicationLog final : DeduplicationLog {
   bool prepare_prewarm() override { return true; }
   AdmissionVerdict admit(RequestId, const std::string&, const events::CloudEvent&, Duration) override {
     return verdict;
   }
-  void request_ended(const events::CloudEvent&, ExecutionCertainty fate) override { fates.push_back(fate); }
+  void request_ended(const events::CloudEvent&, ExecutionCertainty certainty) override {
+    certainties.push_back(certainty);
+  }
   AdmissionVerdict verdict = AdmissionVerdict::untracked;
-  std::vector<ExecutionCertainty> fates;
+  std::vector<ExecutionCertainty> certainties;
 };
 
 using Answers = std::vector<std::string>;
 
-class RequestLifecycleTest : public PartsFixture {
+class RequestLifecycleTest : public GatewayPartsFixture {
  protected:
-  static constexpr Duration advice{700};
+  static constexpr Duration advised_retry_after{700};
 
   RequestId accept() {
     return lifecycle
@@ -43,154 +46,155 @@
   }
 
   RecordingClient client;
-  ScriptedLedger ledger;
-  SourceRoom room{3};
-  SourceRoom::Source source = room.add(1, false);
+  ScriptedDeduplicationLog deduplication;
+  SourceLimiter source_limiter{3};
+  SourceLimiter::Source source = source_limiter.add_source(1, false);
   RequestLifecycle lifecycle{{.clock = clock,
                               .log = log,
-                              .deduplication = &ledger,
+                              .deduplication = &deduplication,
                               .requests = requests,
                               .attempts = attempts,
-                              .room = room,
+                              .source_limiter = source_limiter,
                               .deferred = deferred,
-                              .policy = decisions,
-                              .counters = tally},
-                             advice};
+                              .policy = policy,
+                              .counters = counters},
+                             advised_retry_after};
 };
 
-TEST_F(RequestLifecycleTest, ASucceedingRequestIsAnsweredOnceAndLeavesNothingBehind) {
+TEST_F(RequestLifecycleTest, AnswersASuccessfulRequestOnceAndReleasesItsState) {
   const RequestId id = accept();
-  ASSERT_EQ(heard.requests.size(), 1U);
-  EXPECT_EQ(heard.requests[0].id, id);
+  ASSERT_EQ(policy_events.requests.size(), 1U);
+  EXPECT_EQ(policy_events.requests[0].id, id);
   attempts.start(id, "a", to_duration(second / 2));
   lifecycle.attempt_started(id);
   lifecycle.attempt_ended(id, 0, {.outcome = AttemptOutcome::succeeded});
   lifecycle.attempt_ended(id, 0, {.outcome = AttemptOutcome::succeeded});
-  clock.pass(2 * second);
+  clock.advance(2 * second);
   EXPECT_EQ(client.answers, Answers{"succeeded"});
   EXPECT_EQ(client.started, 1);
-  ASSERT_EQ(heard.attempt_ends.size(), 1U);
-  EXPECT_TRUE(heard.attempt_ends[0].final);
+  ASSERT_EQ(policy_events.attempt_ends.size(), 1U);
+  EXPECT_TRUE(policy_events.attempt_ends[0].final);
   EXPECT_EQ(requests.size(), 0U);
-  EXPECT_EQ(room.open(), 0U);
-  EXPECT_EQ(clock.standing(), 0U);
+  EXPECT_EQ(source_limiter.open_requests(), 0U);
+  EXPECT_EQ(clock.pending_timers(), 0U);
 }
 
-TEST_F(RequestLifecycleTest, WithoutRoomNothingIsAccepted) {
+TEST_F(RequestLifecycleTest, AcceptsNoRequestBeyondTheSourceLimit) {
   for (int i = 0; i < 3; ++i) EXPECT_NE(accept(), 0);
   EXPECT_EQ(accept(), 0);
-  EXPECT_EQ(tally.not_accepted, 1U);
-  EXPECT_EQ(tally.accepted, 3U);
-  EXPECT_EQ(heard.requests.size(), 3U);
+  EXPECT_EQ(counters.not_accepted, 1U);
+  EXPECT_EQ(counters.accepted, 3U);
+  EXPECT_EQ(policy_events.requests.size(), 3U);
 }
 
-TEST_F(RequestLifecycleTest, OnlyTheFirstAnswerCountsAndItLeavesWhenTheCallHasReturned) {
+TEST_F(RequestLifecycleTest, DeliversOnlyTheFirstAnswerAfterTheCurrentCall) {
   const RequestId id = accept();
   lifecycle.reject(id, Duration{40});
   lifecycle.fail(id);
   EXPECT_TRUE(client.answers.empty());
-  clock.settle();
+  clock.run_posted_calls();
   EXPECT_EQ(client.answers, Answers{"rejected"});
-  EXPECT_EQ(client.advice, Duration{40});
-  EXPECT_EQ(tally.rejected, 1U);
-  EXPECT_EQ(tally.failed, 0U);
+  EXPECT_EQ(client.retry_after, Duration{40});
+  EXPECT_EQ(counters.rejected, 1U);
+  EXPECT_EQ(counters.failed, 0U);
 }
 
-TEST_F(RequestLifecycleTest, AtTheDeadlineTheRequestFailsAndItsAttemptsEnd) {
+TEST_F(RequestLifecycleTest, FailsTheRequestAndEndsItsAttemptsAtTheDeadline) {
   const RequestId id = accept();
   attempts.start(id, "a", Duration::zero());
-  clock.pass(second);
+  clock.advance(second);
   EXPECT_EQ(client.answers, Answers{"failed"});
-  EXPECT_EQ(carrier.dropped, (std::vector{std::pair(id, 0)}));
-  EXPECT_EQ(heard.cancelled, std::vector<RequestId>{id});
-  EXPECT_EQ(tally.expired, 1U);
+  EXPECT_EQ(transport.cancelled_attempts, (std::vector{std::pair(id, 0)}));
+  EXPECT_EQ(policy_events.cancelled_requests, std::vector<RequestId>{id});
+  EXPECT_EQ(counters.expired, 1U);
   EXPECT_EQ(log.errors, 1);
   EXPECT_EQ(requests.size(), 0U);
 }
 
-TEST_F(RequestLifecycleTest, AReplyInTheTickOfTheDeadlineComesTooLate) {
+TEST_F(RequestLifecycleTest, IgnoresAReplyInTheTickOfTheDeadline) {
   const RequestId id = accept();
   attempts.start(id, "a", Duration::zero());
-  clock.jump(second);
+  clock.advance_without_firing(second);
   lifecycle.attempt_ended(id, 0, {.outcome = AttemptOutcome::succeeded});
-  clock.settle();
+  clock.run_posted_calls();
   EXPECT_EQ(client.answers, Answers{"failed"});
-  EXPECT_EQ(tally.succeeded, 0U);
+  EXPECT_EQ(counters.succeeded, 0U);
 }
 
-TEST_F(RequestLifecycleTest, ACancelledRequestIsReportedOnceAndNeverAnswered) {
+TEST_F(RequestLifecycleTest, ReportsACancelledRequestOnceAndNeverAnswersIt) {
   const RequestId id = accept();
   attempts.start(id, "a", Duration::zero());
-  lifecycle.cancelled({.request = id, .attempts_unread = 2});
-  lifecycle.cancelled({.request = id, .attempts_unread = 0});
+  lifecycle.client_cancelled({.request = id, .attempts_after_cancel = 2});
+  lifecycle.client_cancelled({.request = id, .attempts_after_cancel = 0});
   lifecycle.fail(id);
   lifecycle.attempt_ended(id, 0, {.outcome = AttemptOutcome::succeeded});
-  clock.settle();
+  clock.run_posted_calls();
   EXPECT_TRUE(client.answers.empty());
-  EXPECT_EQ(heard.cancelled, std::vector<RequestId>{id});
-  EXPECT_EQ(tally.cancelled, 1U);
-  EXPECT_EQ(tally.attempts_after_cancel, 2U);
+  EXPECT_EQ(policy_events.cancelled_requests, std::vector<RequestId>{id});
+  EXPECT_EQ(counters.cancelled, 1U);
+  EXPECT_EQ(counters.attempts_after_cancel, 2U);
   EXPECT_EQ(requests.size(), 0U);
 }
 
-TEST_F(RequestLifecycleTest, AClientThatLeavesBetweenTheDecisionAndItsAnswerHearsNothing) {
+TEST_F(RequestLifecycleTest, DeliversNoAnswerAfterACancellation) {
   const RequestId id = accept();
   lifecycle.reject(id, Duration::zero());
-  lifecycle.cancelled({.request = id, .attempts_unread = 0});
-  clock.settle();
+  lifecycle.client_cancelled({.request = id, .attempts_after_cancel = 0});
+  clock.run_posted_calls();
   EXPECT_TRUE(client.answers.empty());
-  EXPECT_TRUE(heard.cancelled.empty());
+  EXPECT_TRUE(policy_events.cancelled_requests.empty());
   EXPECT_EQ(requests.size(), 0U);
 }
 
-TEST_F(RequestLifecycleTest, AWaitingRequestReachesTheModuleWithTheTimeItHasLeft) {
-  ledger.verdict = AdmissionVerdict::pending;
+TEST_F(RequestLifecycleTest, PassesAPendingRequestToThePolicyWithItsRemainingTime) {
+  deduplication.verdict = AdmissionVerdict::pending;
   const RequestId id = accept();
-  EXPECT_TRUE(heard.requests.empty());
-  clock.pass(second / 4);
+  EXPECT_TRUE(policy_events.requests.empty());
+  clock.advance(second / 4);
   lifecycle.admission_decided(id, AdmissionVerdict::tracked);
   lifecycle.admission_decided(id, AdmissionVerdict::tracked);
-  ASSERT_EQ(heard.requests.size(), 1U);
-  EXPECT_EQ(heard.requests[0].time_left, to_duration(second - second / 4));
+  ASSERT_EQ(policy_events.requests.size(), 1U);
+  EXPECT_EQ(policy_events.requests[0].time_left, to_duration(second - second / 4));
   lifecycle.fail(id);
-  EXPECT_EQ(ledger.fates, std::vector<ExecutionCertainty>{ExecutionCertainty::not_executed});
+  EXPECT_EQ(deduplication.certainties, std::vector<ExecutionCertainty>{ExecutionCertainty::not_executed});
 }
 
-TEST_F(RequestLifecycleTest, EachVerdictAgainstARequestHasItsAnswer) {
-  ledger.verdict = AdmissionVerdict::duplicate;
+TEST_F(RequestLifecycleTest, AnswersDuplicateAndUnavailableRequests) {
+  deduplication.verdict = AdmissionVerdict::duplicate;
   accept();
-  ledger.verdict = AdmissionVerdict::unavailable;
+  deduplication.verdict = AdmissionVerdict::unavailable;
   accept();
-  clock.settle();
+  clock.run_posted_calls();
   EXPECT_EQ(client.answers, (Answers{"known", "rejected"}));
-  EXPECT_EQ(client.advice, advice);
-  EXPECT_EQ(tally.duplicates, 1U);
-  EXPECT_EQ(tally.not_replicated, 1U);
-  EXPECT_TRUE(heard.requests.empty());
-  EXPECT_TRUE(ledger.fates.empty()) << "neither was recorded";
+  EXPECT_EQ(client.retry_after, advised_retry_after);
+  EXPECT_EQ(counters.duplicates, 1U);
+  EXPECT_EQ(counters.not_replicated, 1U);
+  EXPECT_TRUE(policy_events.requests.empty());
+  EXPECT_TRUE(deduplication.certainties.empty()) << "the end of an unrecorded request must not be reported";
 }
 
-TEST_F(RequestLifecycleTest, OfARequestThatStillWaitsForItsRecordTheModuleNeverHears) {
-  ledger.verdict = AdmissionVerdict::pending;
-  const RequestId left = accept();
+TEST_F(RequestLifecycleTest, NeverPassesARequestWithoutAVerdictToThePolicy) {
+  deduplication.verdict = AdmissionVerdict::pending;
+  const RequestId cancelled_id = accept();
   accept();
-  lifecycle.cancelled({.request = left, .attempts_unread = 0});
-  clock.pass(second);
+  lifecycle.client_cancelled({.request = cancelled_id, .attempts_after_cancel = 0});
+  clock.advance(second);
   EXPECT_EQ(client.answers, Answers{"rejected"});
-  EXPECT_EQ(client.advice, Duration::zero());
-  EXPECT_TRUE(heard.requests.empty());
-  EXPECT_TRUE(heard.cancelled.empty());
-  EXPECT_EQ(ledger.fates, (std::vector<ExecutionCertainty>{ExecutionCertainty::not_executed,
-                                                           ExecutionCertainty::not_executed}));
-  EXPECT_EQ(tally.expired, 0U);
+  EXPECT_EQ(client.retry_after, Duration::zero());
+  EXPECT_TRUE(policy_events.requests.empty());
+  EXPECT_TRUE(policy_events.cancelled_requests.empty());
+  EXPECT_EQ(deduplication.certainties, (std::vector<ExecutionCertainty>{ExecutionCertainty::not_executed,
+                                                                        ExecutionCertainty::not_executed}));
+  EXPECT_EQ(counters.expired, 0U);
 }
 
-TEST_F(RequestLifecycleTest, ARecordedRequestThatFailsAfterAnAttemptMayHaveRun) {
-  ledger.verdict = AdmissionVerdict::tracked;
+TEST_F(RequestLifecycleTest, ReportsAFailedRequestWithAnAttemptAsPossiblyExecuted) {
+  deduplication.verdict = AdmissionVerdict::tracked;
   const RequestId id = accept();
   attempts.start(id, "a", Duration::zero());
   lifecycle.fail(id);
-  EXPECT_EQ(ledger.fates, std::vector<ExecutionCertainty>{ExecutionCertainty::may_have_executed});
+  EXPECT_EQ(deduplication.certainties,
+            std::vector<ExecutionCertainty>{ExecutionCertainty::may_have_executed});
 }
 
 }  // namespace
--- a/tests/core/request_table_test.cpp
+++ b/tests/core/request_table_test.cpp
@@ -1,4 +1,5 @@
-// The table of open requests: ids, when a record may be erased, timers.
+// Guards against colliding request ids, requests that are erased too early, and timers that outlive their
+// request.
 #include "core/request_table.h"
 
 #include <gtest/gtest.h>
@@ -12,11 +13,11 @@
 
 class RequestTableTest : public testing::Test {
  protected:
-  HandClock clock;
+  ManualClock clock;
   std::unique_ptr<RequestTable> table = std::make_unique<RequestTable>(clock, 7);
 };
 
-TEST_F(RequestTableTest, IdsCountUpFromAPlaceThatTheSeedDraws) {
+TEST_F(RequestTableTest, IdsCountUpFromANumberDerivedFromTheSeed) {
   const RequestId first = table->add().id;
   EXPECT_GT(first, 0);
   EXPECT_EQ(table->add().id, first + 1);
@@ -37,41 +38,43 @@
   EXPECT_EQ(table->find_attempt({.request = id + 1, .number = 0}), nullptr);
 }
 
-TEST_F(RequestTableTest, ErasesARequestOnlyWhenNothingOfItIsLeft) {
+TEST_F(RequestTableTest, ErasesARequestOnlyWhenItIsFinished) {
   const auto [id, request] = table->add();
   request.attempts.resize(1);
   request.deferred_calls = 1;
-  table->erase_if_over(id);
+  table->erase_if_finished(id);
   request.concluded = true;
-  table->erase_if_over(id);
+  table->erase_if_finished(id);
   request.deferred_calls = 0;
-  table->erase_if_over(id);
-  EXPECT_EQ(table->size(), 1U) << "an attempt is open";
+  table->erase_if_finished(id);
+  EXPECT_EQ(table->size(), 1U) << "a request with an open attempt must not be erased";
   request.attempts[0].open = false;
-  table->erase_if_over(id);
+  table->erase_if_finished(id);
   EXPECT_EQ(table->size(), 0U);
-  table->erase_if_over(id);  // nothing of that id any more
+  table->erase_if_finished(id);  // does nothing, because the request is already erased
 }
 
-TEST_F(RequestTableTest, TimersAreWithdrawnWithTheirRequest) {
+TEST_F(RequestTableTest, CancelsTimersWithTheirRequestOrTable) {
   const auto set_timers = [&](Request& request) {
-    request.deadline_timer = clock.at(clock.now() + 100, [] { FAIL() << "rings after its request"; });
+    request.deadline_timer =
+        clock.at(clock.now() + 100, [] { FAIL() << "the timer fired after its request was erased"; });
     request.attempts.resize(1);
     request.attempts[0].open = false;
   };
   const auto [over, first] = table->add();
   set_timers(first);
   first.concluded = true;
-  table->erase_if_over(over);
-  EXPECT_EQ(clock.standing(), 0U);
+  table->erase_if_finished(over);
+  EXPECT_EQ(clock.pending_timers(), 0U);
   Request& second = table->add().request;
   set_timers(second);
-  second.attempts[0].timeout_timer = clock.at(clock.now() + 50, [] { FAIL() << "rings after its table"; });
+  second.attempts[0].timeout_timer =
+      clock.at(clock.now() + 50, [] { FAIL() << "the timer fired after its table was destroyed"; });
   table.reset();
-  EXPECT_EQ(clock.standing(), 0U);
+  EXPECT_EQ(clock.pending_timers(), 0U);
 }
 
-TEST_F(RequestTableTest, KnowsWhichRequestsAndClientsStillWait) {
+TEST_F(RequestTableTest, ListsUnconcludedRequestsAndDetectsWaitingClients) {
   struct SilentClient final : Client {
     void succeeded(RequestId, events::CloudEvent) override {}
     void rejected(RequestId, Duration) override {}
@@ -85,8 +88,8 @@
   std::vector<RequestId> expected;
   for (int i = 20; i >= 1; --i) expected.push_back(id - i);
   request.concluded = true;
-  EXPECT_EQ(table->not_concluded(), expected);
-  EXPECT_TRUE(table->any_client_waits()) << "its answer is decided and not handed over";
+  EXPECT_EQ(table->unconcluded_requests(), expected);
+  EXPECT_TRUE(table->any_client_waits()) << "the answer is decided but not yet delivered";
 }
 
 }  // namespace
