--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -21,7 +21,7 @@
   std::uint64_t not_accepted = 0;    // requests not accepted, because their source was over its limit
   std::uint64_t expired = 0;         // requests the policy had not answered by the deadline or shutdown
   std::uint64_t duplicates = 0;      // failed requests that this router or another one had accepted before
-  std::uint64_t not_replicated = 0;  // rejected requests whose deduplication record could not be replicated
+  std::uint64_t not_replicated = 0;  // rejected requests with the verdict AdmissionVerdict::unavailable
   std::uint64_t attempts_after_cancel = 0;  // attempts that started before a received cancellation was read
   std::uint64_t attempts = 0;               // attempts sent
   std::uint64_t probes = 0;                 // probes sent
--- a/src/core/timer_service.h
+++ b/src/core/timer_service.h
@@ -37,7 +37,7 @@
   Timestamp timestamp() const { return to_timestamp(now()); }
   // Runs the call once, at or after the given time.
   virtual Timer at(Time when, Call call) = 0;
-  // Cancels the timer and resets it to the default value. Does nothing if the timer has fired or is not set.
+  // Cancels the timer if it has not fired yet, and resets it to the default value.
   virtual void cancel(Timer& timer) = 0;
   // Runs the call after the current call has returned.
   virtual void post(Call call) = 0;
