--- a/src/membership/board_client.cpp
+++ b/src/membership/board_client.cpp
@@ -6,22 +6,31 @@
 namespace rushhill::membership {
 namespace {
 
-constexpr std::size_t longest_line = 4 * 1024 * 1024;  // bytes; some 20,000 servers
-constexpr std::size_t shown = 120;                     // bytes of a line that cannot be read
-constexpr Time beat_limit = 15'000;  // tenths of a millisecond; a line comes each second; two silences in 4 s
-constexpr std::size_t progress = 4 * 1024;  // bytes of a line within that time, which is no silence either
-constexpr Time slow_answer = 40'000;   // likewise; a watch that is silent for longer brings nothing in time
-constexpr Time open_limit = 5'000;     // likewise; a board that does not open is tried again
-constexpr Time first_pause = 300;      // before the next try; doubled up to
-constexpr Time longest_pause = 4'800;  // which leaves several tries in the 2 s after which news count as told
-
-EndpointListForm form_of(const Notice& notice) {
-  return notice.whole ? EndpointListForm::complete : EndpointListForm::delta;
+constexpr std::size_t max_line_bytes = 4 * 1024 * 1024;  // A list of some 20,000 servers fits.
+constexpr std::size_t max_logged_bytes = 120;            // of a line that cannot be read
+
+// Times are in tenths of a millisecond. Discovery sends a line each second. An update counts as known to this
+// router 4 s after discovery fell silent. With this timeout, two silent watches in a row are replaced before
+// that.
+constexpr Time silence_timeout = 15'000;
+// Receiving this much of an unfinished line within the timeout counts as activity.
+constexpr std::size_t min_progress_bytes = 4 * 1024;
+// A watch that was connected longer ago and is still silent cannot deliver an update in time.
+constexpr Time slow_watch_timeout = 40'000;
+// A connection that is not established within this time is given up and retried.
+constexpr Time connect_timeout = 5'000;
+// The pause before a new watch doubles from the first value to the second. The maximum leaves several
+// attempts within the 2 s after which an update counts as known to this router.
+constexpr Time initial_backoff = 300;
+constexpr Time max_backoff = 4'800;
+
+EndpointListForm form_of(const Notice& event) {
+  return event.whole ? EndpointListForm::complete : EndpointListForm::delta;
 }
 
 }  // namespace
 
-// One connection to discovery, cut into lines.
+// One connection to service discovery. Splits what it receives into lines.
 class BoardClient::Watch final : public transport::StreamHandler {
  public:
   explicit Watch(BoardClient& client) : client_(client) {
@@ -32,164 +41,169 @@
     closed_ = true;
     stream_->close();
   }
-  bool established() const { return established_; }
-  Time since() const { return since_; }  // when it was established
+  bool connected() const { return connected_; }
+  Time connected_since() const { return connected_since_; }
 
  private:
   void on_connected() override {
-    established_ = true;
-    since_ = client_.reactor_.now();
-    stream_->write("watch " + std::to_string(client_.last_) + "\n");
-    client_.silent_after(beat_limit);
+    connected_ = true;
+    connected_since_ = client_.reactor_.now();
+    stream_->write("watch " + std::to_string(client_.last_revision_) + "\n");
+    client_.start_timeout(silence_timeout);
   }
   void on_data(std::string_view bytes) override {
-    in_ += bytes;
+    input_ += bytes;
     std::size_t at = 0;
-    for (std::size_t end = 0; (end = in_.find('\n', at)) != std::string::npos; at = end + 1) {
-      client_.line(*this, std::string_view(in_).substr(at, end - at));
-      if (closed_) return;  // it was no good: a new watch is on its way
+    for (std::size_t end = 0; (end = input_.find('\n', at)) != std::string::npos; at = end + 1) {
+      client_.on_line(*this, std::string_view(input_).substr(at, end - at));
+      if (closed_) return;  // The line was not accepted, and a new watch has been scheduled.
     }
-    in_.erase(0, at);
-    if (in_.size() > longest_line) return client_.failed(*this, "endless line");
-    if (at > 0) counted_ = 0;
-    if (in_.size() < counted_ + progress) return;
-    counted_ = in_.size();
-    client_.alive(*this);
+    input_.erase(0, at);
+    if (input_.size() > max_line_bytes) return client_.on_failure(*this, "line too long");
+    if (at > 0) reported_bytes_ = 0;
+    if (input_.size() < reported_bytes_ + min_progress_bytes) return;
+    reported_bytes_ = input_.size();
+    client_.on_progress(*this);
   }
-  void on_closed(transport::CloseReason) override { client_.failed(*this, "broken"); }
+  void on_closed(transport::CloseReason) override { client_.on_failure(*this, "broken"); }
 
   BoardClient& client_;
   std::shared_ptr<transport::Stream> stream_;
-  std::string in_;
-  std::size_t counted_ = 0;  // bytes of the line that is coming, when its last progress was noted
-  Time since_ = 0;
-  bool established_ = false, closed_ = false;
+  std::string input_;
+  std::size_t reported_bytes_ = 0;  // length of the unfinished line when progress was last reported
+  Time connected_since_ = 0;
+  bool connected_ = false, closed_ = false;
 };
 
-BoardClient::BoardClient(transport::Reactor& reactor, const transport::Address& address, std::int64_t last,
-                         std::uint64_t seed, core::EventLog& diary, Heard heard)
-    : reactor_(reactor), address_(address), last_(last),
-      chance_(static_cast<std::uint_fast32_t>(seed % 16'777'216)), diary_(diary), heard_(std::move(heard)) {}
+BoardClient::BoardClient(transport::Reactor& reactor, const transport::Address& address,
+                         std::int64_t last_revision, std::uint64_t seed, core::EventLog& event_log,
+                         ListCallback on_list)
+    : reactor_(reactor), address_(address), last_revision_(last_revision),
+      random_(static_cast<std::uint_fast32_t>(seed % 16'777'216)), event_log_(event_log),
+      on_list_(std::move(on_list)) {}
 
-BoardClient::~BoardClient() { reactor_.cancel(alarm_); }
+BoardClient::~BoardClient() { reactor_.cancel(timer_); }
 
 void BoardClient::watch(bool on) {
-  following_ = on;
-  if (on && !watch_) connect();
+  watching_ = on;
+  if (on && !current_watch_) connect();
 }
 
-// The board has no word for the list as a whole: what is missing comes with a new watch.
+// The protocol has no request for a complete list. A new watch brings what was missed.
 void BoardClient::resync() {
-  drop(silent_);
-  again("asked");
+  close_watch(silent_watch_);
+  restart_watch("asked");
 }
 
 void BoardClient::move_to(const transport::Address& address) {
   if (address == address_) return;
   address_ = address;
   failures_ = 0;
-  drop(silent_);
-  if (following_) again("moved");
+  close_watch(silent_watch_);
+  if (watching_) restart_watch("moved");
 }
 
 void BoardClient::connect() {
-  watch_ = std::make_shared<Watch>(*this);
-  silent_after(open_limit);
+  current_watch_ = std::make_shared<Watch>(*this);
+  start_timeout(connect_timeout);
 }
 
-void BoardClient::silent_after(Time span) {
-  reactor_.cancel(alarm_);
-  alarm_ = reactor_.at(reactor_.now() + span, [this] { fell_silent(); });
+void BoardClient::start_timeout(Time span) {
+  reactor_.cancel(timer_);
+  timer_ = reactor_.at(reactor_.now() + span, [this] { on_timeout(); });
 }
 
-// It may only be slow: beside the next ones the oldest stays for a while, until one of them speaks. What is
-// asked for anew each time would never come where its answer takes longer than the silence that is borne.
-void BoardClient::fell_silent() {
-  const bool slow = silent_ && reactor_.now() - silent_->since() < slow_answer;
+// Keeps the oldest silent watch for a while beside the new ones, until one of them receives a line: discovery
+// may only be slow. If every watch were closed on its timeout, an answer that takes longer than the timeout
+// would never be received.
+void BoardClient::on_timeout() {
+  const bool slow = silent_watch_ && reactor_.now() - silent_watch_->connected_since() < slow_watch_timeout;
   if (!slow) {
-    drop(silent_);
-    if (watch_->established()) silent_ = std::exchange(watch_, nullptr);
+    close_watch(silent_watch_);
+    if (current_watch_->connected()) silent_watch_ = std::exchange(current_watch_, nullptr);
   }
-  again("silent");
+  restart_watch("silent");
 }
 
-void BoardClient::alive(Watch& watch) {
-  if (&watch == silent_.get()) watch_.swap(silent_);
-  drop(silent_);
-  silent_after(beat_limit);
+void BoardClient::on_progress(Watch& watch) {
+  if (&watch == silent_watch_.get()) current_watch_.swap(silent_watch_);
+  close_watch(silent_watch_);
+  start_timeout(silence_timeout);
 }
 
-void BoardClient::failed(Watch& watch, const char* why) {
-  if (&watch == silent_.get()) return drop(silent_);
-  again(why);
+void BoardClient::on_failure(Watch& watch, const char* reason) {
+  if (&watch == silent_watch_.get()) return close_watch(silent_watch_);
+  restart_watch(reason);
 }
 
-// It may be the one that is calling: it goes when that call has returned.
-void BoardClient::drop(std::shared_ptr<Watch>& watch) {
+// The watch may be the caller, so it is destroyed only after that call has returned.
+void BoardClient::close_watch(std::shared_ptr<Watch>& watch) {
   if (!watch) return;
   watch->close();
-  reactor_.post([gone = std::exchange(watch, nullptr)] {});
+  reactor_.post([closed = std::exchange(watch, nullptr)] {});
 }
 
-void BoardClient::line(Watch& watch, std::string_view text) {
+void BoardClient::on_line(Watch& watch, std::string_view text) {
   while (!text.empty() && (text.back() == '\r' || text.back() == ' ')) text.remove_suffix(1);
   if (text.empty()) return;
-  alive(watch);
-  take(text);
-  if (watch_.get() == &watch) silent_after(beat_limit);  // from when it is taken: a long list takes a while
+  on_progress(watch);
+  process_line(text);
+  if (current_watch_.get() == &watch)
+    start_timeout(silence_timeout);  // Processing a long list takes a while and is not silence.
 }
 
-void BoardClient::take(std::string_view text) {
-  Notice notice;
+void BoardClient::process_line(std::string_view text) {
+  Notice event;
   try {
-    notice = read_line(text, as_told);
-  } catch (const settings::BadField& wrong) {
-    diary_.write(core::Level::warning, "notice cannot be read",
-                 {{"reason", wrong.what()}, {"line", std::string(text.substr(0, shown))}});
-    return again("unreadable");
+    event = read_line(text, as_told);
+  } catch (const settings::BadField& error) {
+    event_log_.write(core::Level::warning, "cannot read a line from service discovery",
+                     {{"reason", error.what()}, {"line", std::string(text.substr(0, max_logged_bytes))}});
+    return restart_watch("unreadable");
   }
-  if (notice.number <= last_) {  // told before, or a beat that agrees
+  if (event.revision <= last_revision_) {  // an event received before, or a heartbeat without anything newer
     failures_ = 0;
     return;
   }
-  if (notice.beat) return again("behind its number");
-  if (!follows(notice)) return again("a gap");
+  if (event.heartbeat) return restart_watch("heartbeat shows a missed event");
+  if (!is_next(event)) return restart_watch("gap in the revisions");
   failures_ = 0;
-  apply(std::move(notice));
+  apply_event(std::move(event));
 }
 
-void BoardClient::apply(Notice notice) {
-  last_ = notice.number;
-  start_times_.translate_update(reactor_.now(), form_of(notice), notice.entries);
-  heard_(form_of(notice), notice.entries);
+void BoardClient::apply_event(Notice event) {
+  last_revision_ = event.revision;
+  start_times_.translate_update(reactor_.now(), form_of(event), event.entries);
+  on_list_(form_of(event), event.entries);
 }
 
 Known BoardClient::translated(Known initial) {
   const ClockReading at = read_clocks(reactor_);
   Time latest = 0;
-  for (const Notice& notice : initial.notices) latest = std::max(latest, latest_start(notice.entries));
-  for (Notice& notice : initial.notices)
-    start_times_.translate_snapshot(at, latest, form_of(notice), notice.entries);
+  for (const Notice& event : initial.notices) latest = std::max(latest, latest_start(event.entries));
+  for (Notice& event : initial.notices)
+    start_times_.translate_snapshot(at, latest, form_of(event), event.entries);
   return initial;
 }
 
 void BoardClient::catch_up(const Known& known) {
-  for (const Notice& notice : known.notices) {
-    if (notice.number <= last_) continue;
-    if (!follows(notice)) return;  // what is missing comes with the watch
-    apply(notice);
+  for (const Notice& event : known.notices) {
+    if (event.revision <= last_revision_) continue;
+    if (!is_next(event)) return;  // The watch will bring the missing events.
+    apply_event(event);
   }
 }
 
-// Doubling pauses, each with a part by chance, so that many routers do not come back in one moment.
-void BoardClient::again(const char* why) {
-  reactor_.cancel(alarm_);
-  drop(watch_);
-  if (!following_) return;
-  diary_.write(core::Level::info, "watching again", {{"reason", why}, {"last", std::to_string(last_)}});
-  const Time pause = std::min(first_pause << std::min(failures_++, 8), longest_pause);
-  const double part = static_cast<double>(chance_()) / static_cast<double>(chance_.max());
-  alarm_ = reactor_.at(reactor_.now() + static_cast<Time>(static_cast<double>(pause) * (0.5 + part / 2)),
+// Waits with exponential backoff and random jitter, so that many routers do not reconnect at the same moment.
+void BoardClient::restart_watch(const char* reason) {
+  reactor_.cancel(timer_);
+  close_watch(current_watch_);
+  if (!watching_) return;
+  event_log_.write(core::Level::info, "restarting the discovery watch",
+                   {{"reason", reason}, {"last", std::to_string(last_revision_)}});
+  const Time pause = std::min(initial_backoff << std::min(failures_++, 8), max_backoff);
+  const double jitter = static_cast<double>(random_()) / static_cast<double>(random_.max());
+  timer_ = reactor_.at(reactor_.now() + static_cast<Time>(static_cast<double>(pause) * (0.5 + jitter / 2)),
                        [this] { connect(); });
 }
 
--- a/src/membership/board_client.h
+++ b/src/membership/board_client.h
@@ -1,5 +1,6 @@
-// Follows the platform's notice board: watches from the last event that came whole, comes back after a break,
-// a gap or a silence, and goes to another address when told.
+// The client of the platform's service discovery. Watches the endpoint list from the last event that was
+// received completely, and starts a new watch after a broken connection, a missed event or a period of
+// silence.
 #pragma once
 
 #include <functional>
@@ -17,47 +18,51 @@
 
 class BoardClient final : public core::EndpointListSource {
  public:
-  using Heard = std::function<void(EndpointListForm, const std::vector<core::EndpointListEntry>&)>;
+  using ListCallback = std::function<void(EndpointListForm, const std::vector<core::EndpointListEntry>&)>;
 
-  BoardClient(transport::Reactor& reactor, const transport::Address& address, std::int64_t last,
-              std::uint64_t seed, core::EventLog& diary, Heard heard);
+  BoardClient(transport::Reactor& reactor, const transport::Address& address, std::int64_t last_revision,
+              std::uint64_t seed, core::EventLog& event_log, ListCallback on_list);
   ~BoardClient() override;
 
   void watch(bool on) override;
   void resync() override;
-  void move_to(const transport::Address& address);  // the numbers go on there
-  // The initial endpoint list with its start times on this process's clock; before anything else is heard.
+  // Continues the watch at another address, after the last event received here.
+  void move_to(const transport::Address& address);
+  // Returns the initial endpoint list with its start times on this process's monotonic clock. Called before
+  // any event is received.
   Known translated(Known initial);
-  // Takes what another source, a new configuration, tells beyond what has been heard here.
+  // Applies the events of a reloaded configuration that are newer than the last one received, up to the first
+  // gap in their revisions.
   void catch_up(const Known& known);
-  std::int64_t last() const { return last_; }
+  std::int64_t last_revision() const { return last_revision_; }
 
  private:
   class Watch;
   void connect();
-  void line(Watch& watch, std::string_view text);
-  void alive(Watch& watch);
-  void failed(Watch& watch, const char* why);
-  void fell_silent();
-  void drop(std::shared_ptr<Watch>& watch);
-  void take(std::string_view text);
-  bool follows(const Notice& notice) const { return notice.whole || notice.number == last_ + 1; }
-  void apply(Notice notice);
-  void again(const char* why);
-  void silent_after(Time span);
+  void on_line(Watch& watch, std::string_view text);
+  void on_progress(Watch& watch);
+  void on_failure(Watch& watch, const char* reason);
+  void on_timeout();
+  void close_watch(std::shared_ptr<Watch>& watch);
+  void process_line(std::string_view text);
+  bool is_next(const Notice& event) const { return event.whole || event.revision == last_revision_ + 1; }
+  void apply_event(Notice event);
+  void restart_watch(const char* reason);
+  void start_timeout(Time span);
 
   transport::Reactor& reactor_;
   transport::Address address_;
-  std::int64_t last_;
-  std::ranlux24_base chance_;
-  core::EventLog& diary_;
-  Heard heard_;
+  std::int64_t last_revision_;
+  std::ranlux24_base random_;
+  core::EventLog& event_log_;
+  ListCallback on_list_;
   StartTimeTranslator start_times_;
-  std::shared_ptr<Watch> watch_;
-  std::shared_ptr<Watch> silent_;  // an older one, which may still speak; only while watch_ has not
-  core::Timer alarm_;
+  std::shared_ptr<Watch> current_watch_;
+  // An older watch that timed out but may still answer. Kept only until either watch receives data.
+  std::shared_ptr<Watch> silent_watch_;
+  core::Timer timer_;
   int failures_ = 0;
-  bool following_ = false;
+  bool watching_ = false;
 };
 
 }  // namespace rushhill::membership
--- a/src/membership/board_words.h
+++ b/src/membership/board_words.h
@@ -1,5 +1,5 @@
-// The platform's notice board without any transport: its events, one JSON object a line, and the
-// configuration's `known`, which holds those of the start.
+// The message format of the platform's service discovery: watch events, one JSON object per line, and the
+// configuration's field `known`, which holds the events of the initial endpoint list.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,20 @@
 namespace rushhill::membership {
 
 struct Notice {
-  std::int64_t number = 0;
-  bool beat = false;   // no event: the board's last number, told each second
-  bool whole = false;  // else what has changed
+  std::int64_t revision = 0;
+  bool heartbeat = false;  // The line holds no event, only the latest revision; one is sent each second.
+  bool whole = false;      // The entries are the complete list, not only those that changed.
   std::vector<core::EndpointListEntry> entries{};
 };
 
-// `wall_offset`: what is taken off a start's Unix time, in tenths of a millisecond; none where the start
-// times are translated later, by StartTimeTranslator.
+// `wall_offset` is subtracted from the Unix time of each start, in tenths of a millisecond. It is zero where
+// StartTimeTranslator translates the start times later.
 constexpr Time as_told = 0;
-// All throw settings::BadField.
-Notice read_notice(const settings::Json& event, Time wall_offset);
+// The functions below throw settings::BadField if a message cannot be read.
+Notice read_event(const settings::Json& json, Time wall_offset);
 Notice read_line(std::string_view text, Time wall_offset);
 struct Known {
-  std::int64_t number = 0;  // of the last event
+  std::int64_t revision = 0;  // of the last event
   std::vector<Notice> notices{};
 };
 Known read_known(const settings::Fields& known, Time wall_offset);
--- a/src/membership/roster_client.cpp
+++ b/src/membership/roster_client.cpp
@@ -7,109 +7,119 @@
 namespace rushhill::membership {
 namespace {
 
-constexpr std::size_t longest_line = 32 * 1024 * 1024;  // bytes; 100,000 servers and their fields
-constexpr int most_doublings = 5;                       // of the pause between tries; 32 times the first, or
-constexpr Time longest_pause = 11'000;  // tenths of a millisecond; with its part by chance below 2 s
-constexpr Time open_limit = 5'000;      // likewise; a source that does not open is tried again
+constexpr std::size_t max_line_bytes = 32 * 1024 * 1024;  // A list of 100,000 servers fits.
+// The pause between connection attempts doubles up to 32 times the first one, and not beyond max_backoff
+// unless the first one is longer. Times are in tenths of a millisecond. With its jitter, max_backoff stays
+// below 2 s.
+constexpr int max_doublings = 5;
+constexpr Time max_backoff = 11'000;
+// A connection that is not established within this time is given up and retried.
+constexpr Time connect_timeout = 5'000;
 
 }  // namespace
 
 RosterClient::RosterClient(transport::Reactor& reactor, const transport::Address& address, int router,
-                           Time retry, std::uint64_t seed, core::EventLog& diary, Heard heard)
-    : reactor_(reactor), address_(address), router_(router), retry_(retry),
-      chance_(static_cast<std::uint_fast32_t>(seed % 16'777'216)), diary_(diary), heard_(std::move(heard)) {}
+                           Time initial_backoff, std::uint64_t seed, core::EventLog& event_log,
+                           ListCallback on_list)
+    : reactor_(reactor), address_(address), router_(router), initial_backoff_(initial_backoff),
+      random_(static_cast<std::uint_fast32_t>(seed % 16'777'216)), event_log_(event_log),
+      on_list_(std::move(on_list)) {}
 
 RosterClient::~RosterClient() {
-  reactor_.cancel(again_);
+  reactor_.cancel(timer_);
   if (stream_) stream_->close();
 }
 
 void RosterClient::watch(bool on) {
-  following_ = on;
-  if (open_) return ask(on ? "follow" : "rest");
+  watching_ = on;
+  if (connected_) return send_request(on ? "follow" : "rest");
   if (on && !stream_) connect();
 }
 
 void RosterClient::resync() {
-  if (open_) return ask("reload");
-  reload_due_ = true;
+  if (connected_) return send_request("reload");
+  resync_pending_ = true;
   if (!stream_) connect();
 }
 
 void RosterClient::connect() {
-  reactor_.cancel(again_);
-  in_.clear();
+  reactor_.cancel(timer_);
+  input_.clear();
   stream_ = transport::Stream::connect(reactor_, address_, *this);
   stream_->keepalive();
-  again_ = reactor_.at(reactor_.now() + open_limit, [this] {
+  timer_ = reactor_.at(reactor_.now() + connect_timeout, [this] {
     stream_->close();
-    broke();
+    on_connection_lost();
   });
 }
 
-void RosterClient::ask(const char* what) {
-  stream_->write("{\"ask\":\"" + std::string(what) + "\",\"router\":" + std::to_string(router_) + "}\n");
+void RosterClient::send_request(const char* request) {
+  stream_->write("{\"ask\":\"" + std::string(request) + "\",\"router\":" + std::to_string(router_) + "}\n");
 }
 
 void RosterClient::on_connected() {
-  open_ = true;
-  reactor_.cancel(again_);
-  if (following_) ask("follow");
-  if (std::exchange(reload_due_, false) && !following_) ask("reload");
+  connected_ = true;
+  reactor_.cancel(timer_);
+  if (watching_) send_request("follow");
+  if (std::exchange(resync_pending_, false) && !watching_) send_request("reload");
 }
 
 void RosterClient::on_data(std::string_view bytes) {
-  in_ += bytes;
+  input_ += bytes;
   for (;;) {
-    const std::size_t end = in_.find('\n');
+    const std::size_t end = input_.find('\n');
     if (end == std::string::npos) break;
-    const std::string line = in_.substr(0, end);
-    in_.erase(0, end + 1);
+    const std::string line = input_.substr(0, end);
+    input_.erase(0, end + 1);
     try {
-      RosterWord word = read_word(line, 0);
-      for (const std::string& remark : word.remarks)
-        diary_.write(core::Level::warning, "roster disagrees with itself", {{"remark", remark}});
+      RosterWord message = read_word(line, 0);
+      for (const std::string& inconsistency : message.remarks)
+        event_log_.write(core::Level::warning, "endpoint list contradicts itself",
+                         {{"remark", inconsistency}});
       failures_ = 0;
-      take(std::move(word));
-    } catch (const std::invalid_argument& wrong) {
-      // The list as it stood stays in force; a complete one is asked for on a new connection.
-      diary_.write(core::Level::warning, "roster's word cannot be read", {{"reason", wrong.what()}});
+      apply_message(std::move(message));
+    } catch (const std::invalid_argument& error) {
+      // The list received before stays in use. A new connection requests a complete one.
+      event_log_.write(core::Level::warning, "cannot read an endpoint list message; closing the connection",
+                       {{"reason", error.what()}});
       stream_->close();
-      return broke();
+      return on_connection_lost();
     }
   }
-  if (in_.size() > longest_line) {
-    diary_.write(core::Level::warning, "roster's word is too long", {});
+  if (input_.size() > max_line_bytes) {
+    event_log_.write(core::Level::warning,
+                     "endpoint list message is longer than 32 MiB; closing the connection", {});
     stream_->close();
-    broke();
+    on_connection_lost();
   }
 }
 
-void RosterClient::take(RosterWord word) {
-  remembered_.hear(word);
-  if (!std::exchange(heard_any_, true) && word.form == EndpointListForm::complete) {
-    start_times_.translate_snapshot(read_clocks(reactor_), latest_start(word.entries), word.form,
-                                    word.entries);
+void RosterClient::apply_message(RosterWord message) {
+  list_.hear(message);
+  if (!std::exchange(received_any_, true) && message.form == EndpointListForm::complete) {
+    start_times_.translate_snapshot(read_clocks(reactor_), latest_start(message.entries), message.form,
+                                    message.entries);
   } else {
-    start_times_.translate_update(reactor_.now(), word.form, word.entries);
+    start_times_.translate_update(reactor_.now(), message.form, message.entries);
   }
-  heard_(word.form, word.entries);
+  on_list_(message.form, message.entries);
 }
 
-void RosterClient::on_closed(transport::CloseReason) { broke(); }
+void RosterClient::on_closed(transport::CloseReason) { on_connection_lost(); }
 
-void RosterClient::broke() {
-  open_ = false;
-  reactor_.cancel(again_);
-  reactor_.post([gone = std::move(stream_)] {});
+void RosterClient::on_connection_lost() {
+  connected_ = false;
+  reactor_.cancel(timer_);
+  reactor_.post([closed = std::move(stream_)] {});
   stream_.reset();
-  heard_(EndpointListForm::failed, {});
-  // Doubling pauses, each with a part by chance, so that many routers do not come back in one moment.
-  const Time pause =
-      std::min(retry_ << std::min(failures_++, most_doublings), std::max(retry_, longest_pause));
-  const double part = 0.5 + static_cast<double>(chance_()) / static_cast<double>(chance_.max());
-  if (following_ || reload_due_)
-    again_ = reactor_.at(reactor_.now() + static_cast<Time>(static_cast<double>(pause) * part),
+  on_list_(EndpointListForm::failed, {});
+  // Waits with exponential backoff and random jitter, so that many routers do not reconnect at the same
+  // moment.
+  const Time pause = std::min(initial_backoff_ << std::min(failures_++, max_doublings),
+                              std::max(initial_backoff_, max_backoff));
+  const double jitter = 0.5 + static_cast<double>(random_()) / static_cast<double>(random_.max());
+  if (watching_ || resync_pending_)
+    timer_ = reactor_.at(reactor_.now() + static_cast<Time>(static_cast<double>(pause) * jitter),
                          [this] { connect(); });
 }
 
--- a/src/membership/roster_client.h
+++ b/src/membership/roster_client.h
@@ -1,4 +1,5 @@
-// Follows a roster source over a line protocol on TCP: asks, reads words, comes back after a break.
+// The client of a service discovery that sends the endpoint list over TCP, one JSON message per line. Watches
+// the list or requests it once, and reconnects after a broken connection.
 #pragma once
 
 #include <functional>
@@ -16,44 +17,44 @@
 
 class RosterClient final : public core::EndpointListSource, private transport::StreamHandler {
  public:
-  using Heard = std::function<void(EndpointListForm, const std::vector<core::EndpointListEntry>&)>;
+  using ListCallback = std::function<void(EndpointListForm, const std::vector<core::EndpointListEntry>&)>;
 
-  RosterClient(transport::Reactor& reactor, const transport::Address& address, int router, Time retry,
-               std::uint64_t seed, core::EventLog& diary, Heard heard);
+  RosterClient(transport::Reactor& reactor, const transport::Address& address, int router,
+               Time initial_backoff, std::uint64_t seed, core::EventLog& event_log, ListCallback on_list);
   ~RosterClient() override;
 
-  // Asks from now on, also again after every break; `on` as in Host::follow.
+  // Starts or ends the watch of changes. While it is on, every new connection requests it again.
   void watch(bool on) override;
   void resync() override;
 
-  bool heard_any() const { return heard_any_; }
-  // The list as it was told, its start times in Unix time.
-  const Remembered& remembered() const { return remembered_; }
+  bool received_any() const { return received_any_; }
+  // Returns the list as discovery sent it, with start times in Unix time.
+  const Remembered& remembered() const { return list_; }
   StartTimeTranslator& start_times() { return start_times_; }
 
  private:
   void connect();
-  void ask(const char* what);
-  void take(RosterWord word);
-  void broke();
+  void send_request(const char* request);
+  void apply_message(RosterWord message);
+  void on_connection_lost();
   void on_connected() override;
   void on_data(std::string_view bytes) override;
-  void on_closed(transport::CloseReason why) override;
+  void on_closed(transport::CloseReason reason) override;
 
   transport::Reactor& reactor_;
   transport::Address address_;
   int router_;
-  Time retry_;
-  std::ranlux24_base chance_;
-  core::EventLog& diary_;
-  Heard heard_;
+  Time initial_backoff_;
+  std::ranlux24_base random_;
+  core::EventLog& event_log_;
+  ListCallback on_list_;
   std::shared_ptr<transport::Stream> stream_;
-  core::Timer again_;
-  std::string in_;
-  Remembered remembered_;
+  core::Timer timer_;
+  std::string input_;
+  Remembered list_;
   StartTimeTranslator start_times_;
   int failures_ = 0;
-  bool following_ = false, reload_due_ = false, open_ = false, heard_any_ = false;
+  bool watching_ = false, resync_pending_ = false, connected_ = false, received_any_ = false;
 };
 
 }  // namespace rushhill::membership
--- a/src/membership/roster_words.h
+++ b/src/membership/roster_words.h
@@ -1,4 +1,4 @@
-// The roster's messages without any transport: one JSON object a line. docs/roster.md is the contract.
+// The message format of the endpoint list: one JSON object per line. docs/roster.md is the contract.
 #pragma once
 
 #include <map>
@@ -14,18 +14,19 @@
   EndpointListForm form = EndpointListForm::complete;
   std::int64_t revision = 0;
   std::vector<core::EndpointListEntry> entries{};
-  std::vector<std::string> remarks{};  // what was mended on reading: a server named twice, and the like
+  std::vector<std::string> remarks{};  // contradictions resolved on reading, such as a server listed twice
 };
 
-// `wall_offset`: what is taken off a start's Unix time, in tenths of a millisecond; 0 where the start times
-// are translated later, by StartTimeTranslator. Throws std::invalid_argument naming the field and the fault.
+// `wall_offset` is subtracted from the Unix time of each start on reading and added on writing, in tenths of
+// a millisecond. It is 0 where StartTimeTranslator translates the start times later. Reading throws
+// std::invalid_argument, which names the field and the fault.
 RosterWord read_word(std::string_view line, Time wall_offset);
-std::string write_word(const RosterWord& word, Time wall_offset);
+std::string write_word(const RosterWord& message, Time wall_offset);
 
-// The list as a whole, kept up by complete words and changes; for remembering it over a restart.
+// The complete endpoint list, updated by each message, so that it can be stored for the next start.
 class Remembered {
  public:
-  void hear(const RosterWord& word);
+  void hear(const RosterWord& message);
   RosterWord whole() const;
 
  private:
--- a/src/membership/start_times.h
+++ b/src/membership/start_times.h
@@ -1,4 +1,5 @@
-// Start times of servers: from the Unix time that discovery tells to this process's monotonic clock.
+// Translates the start times of servers from the Unix time that service discovery reports to this process's
+// monotonic clock.
 #pragma once
 
 #include <map>
@@ -9,8 +10,8 @@
 
 namespace rushhill::membership {
 
-// Both clocks at one moment, in tenths of a millisecond. The wall clock may have been stepped, or be stepped
-// later; the monotonic one runs on.
+// Both clocks at one moment, in tenths of a millisecond. The wall clock may be stepped at any time; the
+// monotonic clock never is.
 struct ClockReading {
   Time monotonic = 0;
   Time wall = 0;
@@ -19,39 +20,42 @@
 
 using EndpointEntries = std::vector<core::EndpointListEntry>;
 
-// The latest start among the entries, as told; 0 where none is told.
+// Returns the latest start among the entries, as reported, or 0 if no entry has one.
 Time latest_start(const EndpointEntries& entries);
 
-// Translates the start times of entries in place, from Unix time to the monotonic clock; 0 stays 0, long ago.
+// Translates the start times of entries in place, from Unix time to the monotonic clock. A start of 0 means
+// long ago and stays 0.
 //
-// A start that this process saw, a server that was not listed before or that is told with another start, is
-// the moment at which it was heard of. No wall clock is asked for it, so that none can make it older or put
-// it into the future. Told again, the same start keeps its first translation, whatever the clocks show then.
+// If this process sees a server start (the server was not listed before, or is reported with another start),
+// the start is the time at which the report arrived. The wall clock is not read for it, so a step of that
+// clock can neither make the server look older nor put its start into the future. The same start, reported
+// again, keeps its first translation.
 //
-// In a list from before this process nothing proves an age but the list itself: a server is at least as old
-// as its start lies before the latest one that is told. What the wall clock shows may be less, and then
-// counts: the clock of the servers was set back between the two. It may show more, and does not count then,
-// since it may have been stepped forward after the server started; only what lies beyond the longest step is
-// proven. Where it shows a start in the future it has been set back, and says nothing. The latest start of a
-// list thus counts as the present, and a fleet that starts one by one is not held back on as a whole.
+// In a list from before this process, only the list itself proves an age: a server is at least as old as the
+// time between its start and the latest start in the list. If the wall clock shows a smaller age, that one
+// counts, because the clock of the servers was set back between the two starts. A larger age does not count,
+// because the wall clock may have been stepped forward after the server started; only the part beyond the
+// longest step is proven. A start in the future shows that the wall clock was set back, and its reading is
+// ignored. The latest start in a list thus counts as the present, and of servers that started one after
+// another only the latest are treated as new.
 class StartTimeTranslator {
  public:
-  // A list of which this process has not seen how it came about: of its start, remembered, or the first one
-  // that discovery tells. `latest`: the latest start told in all of its messages.
+  // Translates a list from before this process: the configured or stored one, or the first that discovery
+  // sends. `latest` is the latest start reported in all messages of the list.
   void translate_snapshot(const ClockReading& at, Time latest, EndpointListForm form,
                           EndpointEntries& entries);
-  // A watch event, or what a reload brings beyond these.
+  // Translates a watch event, or a newer event from a reloaded configuration.
   void translate_update(Time now, EndpointListForm form, EndpointEntries& entries);
 
  private:
   struct StartTime {
-    Time told = 0;        // Unix time
+    Time reported = 0;    // Unix time
     Time translated = 0;  // monotonic
   };
   template <typename FirstTranslation>
   void translate(EndpointListForm form, EndpointEntries& entries, FirstTranslation first_translation);
 
-  std::map<EndpointId, StartTime> known_;  // of the listed servers that are told with a start
+  std::map<EndpointId, StartTime> start_times_;  // of the listed servers that have one
 };
 
 }  // namespace rushhill::membership
--- a/tests/membership/board_test.cpp
+++ b/tests/membership/board_test.cpp
@@ -1,4 +1,6 @@
-// The notice board: whatever it breaks off, repeats or keeps silent about, nothing told is missed.
+// The client of the platform's service discovery must not lose or repeat an endpoint list event. The server
+// in these tests cuts, repeats and leaves out events, sends wrong revisions, falls silent or moves to
+// another address.
 #include "emulator/network.h"
 #include "loopback.h"
 #include "membership/board_client.h"
@@ -6,188 +8,191 @@
 namespace rushhill::membership {
 namespace {
 
-std::string event(int number, const std::string& host, const std::string& state = "active") {
-  return R"({"rev":)" + std::to_string(number) + R"(,"pool":{"seq":7,"whole":false,"hosts":[{"host":")" +
+std::string event_line(int revision, const std::string& host, const std::string& state = "active") {
+  return R"({"rev":)" + std::to_string(revision) + R"(,"pool":{"seq":7,"whole":false,"hosts":[{"host":")" +
          host + R"(","dial":"10.1.0.9:10080","site":"east","class":"std","block":2,"health":")" + state +
          R"(","share":4,"born_ms":0}]}})" + "\n";
 }
 
-class BoardStory : public testing::Test {
+class PlatformDiscoveryTest : public testing::Test {
  protected:
-  BoardStory() { client.watch(true); }
-  bool watching(std::size_t peer, const std::string& line) {
-    return pump.until([&] { return board.peers.size() > peer && board.peers[peer]->seen == line; });
+  PlatformDiscoveryTest() { client.watch(true); }
+  bool wait_for_request(std::size_t peer, const std::string& line) {
+    return driver.until([&] { return server.peers.size() > peer && server.peers[peer]->seen == line; });
   }
-  bool heard(std::size_t count) {
-    return pump.until([&] { return names.size() >= count; });
+  bool wait_for_endpoints(std::size_t count) {
+    return driver.until([&] { return received_ids.size() >= count; });
   }
 
   transport::Loop reactor;
-  Pump pump{reactor};
-  Silent silent;
-  RawServer board{reactor};
-  std::vector<std::string> names;
+  Pump driver{reactor};
+  Silent event_log;
+  RawServer server{reactor};
+  std::vector<std::string> received_ids;
   BoardClient client{reactor,
-                     transport::numeric_address(board.address()),
+                     transport::numeric_address(server.address()),
                      4,
                      1,
-                     silent,
+                     event_log,
                      [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
-                       for (const auto& entry : entries) names.push_back(entry.endpoint.id);
+                       for (const auto& entry : entries) received_ids.push_back(entry.endpoint.id);
                      }};
 };
 
-TEST_F(BoardStory, CutAtAnyByteTheEventIsHeardOnceAndWholeAfterTheBreak) {
-  const std::string text = event(5, "s5");
+TEST_F(PlatformDiscoveryTest, ReceivesAnEventCutAtAnyByteOnceAfterReconnecting) {
+  const std::string text = event_line(5, "s5");
   for (const std::size_t cut : {std::size_t{0}, std::size_t{1}, text.size() / 2, text.size() - 1}) {
-    const std::size_t peer = board.peers.empty() ? 0 : board.peers.size();
-    ASSERT_TRUE(watching(peer, "watch 4\n")) << cut;
-    board.peers[peer]->stream->write(text.substr(0, cut));
-    board.peers[peer]->stream->shutdown_write();
-    ASSERT_TRUE(pump.until([&] { return board.peers.size() > peer + 1; })) << cut;
-    EXPECT_TRUE(names.empty());
+    const std::size_t peer = server.peers.empty() ? 0 : server.peers.size();
+    ASSERT_TRUE(wait_for_request(peer, "watch 4\n")) << cut;
+    server.peers[peer]->stream->write(text.substr(0, cut));
+    server.peers[peer]->stream->shutdown_write();
+    ASSERT_TRUE(driver.until([&] { return server.peers.size() > peer + 1; })) << cut;
+    EXPECT_TRUE(received_ids.empty());
   }
-  const std::size_t peer = board.peers.size() - 1;
-  ASSERT_TRUE(watching(peer, "watch 4\n"));
-  board.peers[peer]->stream->write(text);
-  ASSERT_TRUE(heard(1));
-  EXPECT_EQ(names[0], "s5");
+  const std::size_t peer = server.peers.size() - 1;
+  ASSERT_TRUE(wait_for_request(peer, "watch 4\n"));
+  server.peers[peer]->stream->write(text);
+  ASSERT_TRUE(wait_for_endpoints(1));
+  EXPECT_EQ(received_ids[0], "s5");
 }
 
-TEST_F(BoardStory, AnEventHeardTwiceCountsOnceAndAGapIsAskedForAgain) {
-  ASSERT_TRUE(watching(0, "watch 4\n"));
-  board.peers[0]->stream->write(event(5, "s5") + event(5, "s5") + "{\"rev\":5}\n5\n" + event(7, "s7"));
-  ASSERT_TRUE(watching(1, "watch 5\n"));
-  EXPECT_EQ(names, std::vector<std::string>{"s5"});
-  board.peers[1]->stream->write(event(6, "s6") + event(7, "s7"));
-  ASSERT_TRUE(heard(3));
-  EXPECT_EQ(names, (std::vector<std::string>{"s5", "s6", "s7"}));
+TEST_F(PlatformDiscoveryTest, IgnoresARepeatedEventAndRestartsTheWatchAfterAGap) {
+  ASSERT_TRUE(wait_for_request(0, "watch 4\n"));
+  server.peers[0]->stream->write(event_line(5, "s5") + event_line(5, "s5") + "{\"rev\":5}\n5\n" +
+                                 event_line(7, "s7"));
+  ASSERT_TRUE(wait_for_request(1, "watch 5\n"));
+  EXPECT_EQ(received_ids, std::vector<std::string>{"s5"});
+  server.peers[1]->stream->write(event_line(6, "s6") + event_line(7, "s7"));
+  ASSERT_TRUE(wait_for_endpoints(3));
+  EXPECT_EQ(received_ids, (std::vector<std::string>{"s5", "s6", "s7"}));
 }
 
-TEST_F(BoardStory, ABeatAheadOfUsAndAnUnreadableLineBringANewWatch) {
-  ASSERT_TRUE(watching(0, "watch 4\n"));
-  board.peers[0]->stream->write("{\"rev\":9}\n");
-  ASSERT_TRUE(watching(1, "watch 4\n"));
-  board.peers[1]->stream->write("{\"rev\":nonsense\n");
-  ASSERT_TRUE(watching(2, "watch 4\n"));
-  EXPECT_TRUE(names.empty());
+TEST_F(PlatformDiscoveryTest, RestartsTheWatchAfterAHeartbeatAheadOrAnUnreadableLine) {
+  ASSERT_TRUE(wait_for_request(0, "watch 4\n"));
+  server.peers[0]->stream->write("{\"rev\":9}\n");
+  ASSERT_TRUE(wait_for_request(1, "watch 4\n"));
+  server.peers[1]->stream->write("{\"rev\":nonsense\n");
+  ASSERT_TRUE(wait_for_request(2, "watch 4\n"));
+  EXPECT_TRUE(received_ids.empty());
 }
 
-TEST_F(BoardStory, ABoardThatClaimsNonsenseIsAskedMoreAndMoreSeldom) {
-  board.on_bytes = [](RawPeer& peer) { peer.stream->write("{\"rev\":999999}\n"); };
-  ASSERT_TRUE(pump.until([&] { return board.peers.size() == 6; }));
+TEST_F(PlatformDiscoveryTest, BacksOffWhileEveryHeartbeatIsAhead) {
+  server.on_bytes = [](RawPeer& peer) { peer.stream->write("{\"rev\":999999}\n"); };
+  ASSERT_TRUE(driver.until([&] { return server.peers.size() == 6; }));
   const Time before = reactor.now();
-  ASSERT_TRUE(pump.until([&] { return board.peers.size() == 8; }));
-  EXPECT_GE(reactor.now() - before, 4'000) << "two pauses of at least half the longest";
-  EXPECT_TRUE(names.empty());
+  ASSERT_TRUE(driver.until([&] { return server.peers.size() == 8; }));
+  EXPECT_GE(reactor.now() - before, 4'000) << "expected two pauses of at least half the maximum backoff";
+  EXPECT_TRUE(received_ids.empty());
 }
 
-TEST_F(BoardStory, ASilentBoardIsLeftWhileItStaysOpen) {
-  ASSERT_TRUE(watching(0, "watch 4\n"));
-  ASSERT_TRUE(watching(1, "watch 4\n")) << "it never says a word";
+TEST_F(PlatformDiscoveryTest, RestartsTheWatchOnASilentOpenConnection) {
+  ASSERT_TRUE(wait_for_request(0, "watch 4\n"));
+  ASSERT_TRUE(wait_for_request(1, "watch 4\n")) << "the silent watch was not restarted";
 }
 
-// What the board would have told counts as told 4 s after it fell silent, also where the next one that is
-// asked says nothing either. On emulated time, from the last beat.
-TEST(SilentBoard, TwoSilencesInARowAreOverBeforeItsWordCountsAsTold) {
+// An update counts as known to the router 4 s after discovery fell silent, so the client must receive it
+// earlier, even if the next watch is silent too. The time is emulated and counted from the last heartbeat.
+TEST(SilentDiscoveryTest, ReplacesTwoSilentWatchesWithinFourSeconds) {
   emulator::Network network{2};
-  Silent silent;
-  RawServer board{network};
-  std::vector<std::string> names;
+  Silent event_log;
+  RawServer server{network};
+  std::vector<std::string> received_ids;
   BoardClient client{network,
-                     transport::numeric_address(board.address()),
+                     transport::numeric_address(server.address()),
                      4,
                      1,
-                     silent,
+                     event_log,
                      [&](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
-                       for (const auto& entry : entries) names.push_back(entry.endpoint.id);
+                       for (const auto& entry : entries) received_ids.push_back(entry.endpoint.id);
                      }};
   client.watch(true);
   network.run_until(network.now() + 1'000);
-  ASSERT_EQ(board.peers.size(), 1U);
-  board.peers[0]->stream->write("4\n");
-  const Time last_beat = network.now();
-  network.run_until(last_beat + 11'000);
-  EXPECT_EQ(board.peers.size(), 1U) << "a beat that is a little late is no silence";
-  while (board.peers.size() < 3 && network.now() < last_beat + 100'000) network.run_until(network.now() + 10);
-  ASSERT_EQ(board.peers.size(), 3U);
-  board.peers[2]->stream->write(event(5, "s5", "leaving"));
+  ASSERT_EQ(server.peers.size(), 1U);
+  server.peers[0]->stream->write("4\n");
+  const Time last_heartbeat = network.now();
+  network.run_until(last_heartbeat + 11'000);
+  EXPECT_EQ(server.peers.size(), 1U) << "a heartbeat that is a little late must not count as silence";
+  while (server.peers.size() < 3 && network.now() < last_heartbeat + 100'000)
+    network.run_until(network.now() + 10);
+  ASSERT_EQ(server.peers.size(), 3U);
+  server.peers[2]->stream->write(event_line(5, "s5", "leaving"));
   network.run_until(network.now() + 20);
-  EXPECT_EQ(names, std::vector<std::string>{"s5"});
-  EXPECT_LT(network.now(), last_beat + 40'000);
+  EXPECT_EQ(received_ids, std::vector<std::string>{"s5"});
+  EXPECT_LT(network.now(), last_heartbeat + 40'000);
 }
 
-// A list of megabytes takes longer than the silence that is borne; a few bytes now and then are silence.
-TEST(SilentBoard, ALineThatIsStillComingIsNoSilenceButATrickleIs) {
+// A list of megabytes takes longer to arrive than the silence timeout. A few bytes now and then count as
+// silence.
+TEST(SilentDiscoveryTest, CountsALongUnfinishedLineAsActivityButNotSingleBytes) {
   emulator::Network network{2};
-  Silent silent;
-  RawServer board{network};
-  std::vector<std::string> names;
+  Silent event_log;
+  RawServer server{network};
+  std::vector<std::string> received_ids;
   BoardClient client{network,
-                     transport::numeric_address(board.address()),
+                     transport::numeric_address(server.address()),
                      4,
                      1,
-                     silent,
+                     event_log,
                      [&](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
-                       for (const auto& entry : entries) names.push_back(entry.endpoint.id);
+                       for (const auto& entry : entries) received_ids.push_back(entry.endpoint.id);
                      }};
   client.watch(true);
   network.run_until(network.now() + 1'000);
-  ASSERT_EQ(board.peers.size(), 1U);
-  const std::string list = event(5, std::string(150, 's')), blanks(100 * 1024, ' ');
+  ASSERT_EQ(server.peers.size(), 1U);
+  const std::string list = event_line(5, std::string(150, 's')), padding(100 * 1024, ' ');
   const std::size_t cut = list.find(',') + 1;
-  board.peers[0]->stream->write(list.substr(0, cut));
+  server.peers[0]->stream->write(list.substr(0, cut));
   for (int i = 0; i < 5; ++i) {
-    board.peers[0]->stream->write(blanks);
+    server.peers[0]->stream->write(padding);
     network.run_until(network.now() + 10'000);
   }
-  board.peers[0]->stream->write(list.substr(cut));
+  server.peers[0]->stream->write(list.substr(cut));
   network.run_until(network.now() + 1'000);
-  EXPECT_EQ(names.size(), 1U);
-  EXPECT_EQ(board.peers.size(), 1U);
-  for (int i = 0; i < 5 && board.peers.size() == 1; ++i) {
-    board.peers[0]->stream->write("{");
+  EXPECT_EQ(received_ids.size(), 1U);
+  EXPECT_EQ(server.peers.size(), 1U);
+  for (int i = 0; i < 5 && server.peers.size() == 1; ++i) {
+    server.peers[0]->stream->write("{");
     network.run_until(network.now() + 10'000);
   }
-  EXPECT_EQ(board.peers.size(), 2U);
+  EXPECT_EQ(server.peers.size(), 2U);
 }
 
-// A number that falls back tells nothing new, and is no reason to ask again.
-TEST_F(BoardStory, ANumberThatFallsBackIsPassedOver) {
-  ASSERT_TRUE(watching(0, "watch 4\n"));
-  board.peers[0]->stream->write(event(3, "old") + "2\n" + event(5, "s5"));
-  ASSERT_TRUE(heard(1));
-  EXPECT_EQ(names, std::vector<std::string>{"s5"});
-  EXPECT_EQ(board.peers.size(), 1U);
+// A lower revision brings nothing new and must not restart the watch.
+TEST_F(PlatformDiscoveryTest, IgnoresALowerRevision) {
+  ASSERT_TRUE(wait_for_request(0, "watch 4\n"));
+  server.peers[0]->stream->write(event_line(3, "old") + "2\n" + event_line(5, "s5"));
+  ASSERT_TRUE(wait_for_endpoints(1));
+  EXPECT_EQ(received_ids, std::vector<std::string>{"s5"});
+  EXPECT_EQ(server.peers.size(), 1U);
 }
 
-TEST_F(BoardStory, ItGoesToAnotherAddressAndTheNumbersGoOn) {
-  ASSERT_TRUE(watching(0, "watch 4\n"));
-  board.peers[0]->stream->write(event(5, "s5"));
-  ASSERT_TRUE(heard(1));
+TEST_F(PlatformDiscoveryTest, ContinuesFromTheLastRevisionAtAnotherAddress) {
+  ASSERT_TRUE(wait_for_request(0, "watch 4\n"));
+  server.peers[0]->stream->write(event_line(5, "s5"));
+  ASSERT_TRUE(wait_for_endpoints(1));
   RawServer other(reactor);
   client.move_to(transport::numeric_address(other.address()));
-  ASSERT_TRUE(pump.until([&] { return !other.peers.empty() && other.peers[0]->seen == "watch 5\n"; }));
-  other.peers[0]->stream->write(event(6, "s6", "leaving"));
-  ASSERT_TRUE(heard(2));
+  ASSERT_TRUE(driver.until([&] { return !other.peers.empty() && other.peers[0]->seen == "watch 5\n"; }));
+  other.peers[0]->stream->write(event_line(6, "s6", "leaving"));
+  ASSERT_TRUE(wait_for_endpoints(2));
 }
 
-TEST(NoticeStory, AStartInUnixTimeIsTurnedIntoThisClock) {
+TEST(WatchEventTest, SubtractsTheOffsetFromTheStartTime) {
   const auto json = settings::Json::parse(
       R"({"rev":1,"pool":{"whole":true,"hosts":[{"host":"s","dial":"1.2.3.4:5","health":"left","born_ms":2000}]}})");
-  const Notice notice = read_notice(json, 15'000);
-  EXPECT_TRUE(notice.whole);
-  ASSERT_EQ(notice.entries.size(), 1U);
-  EXPECT_EQ(notice.entries[0].endpoint.started, to_timestamp(5'000));
-  EXPECT_EQ(notice.entries[0].endpoint.state, EndpointState::removed);
+  const Notice event = read_event(json, 15'000);
+  EXPECT_TRUE(event.whole);
+  ASSERT_EQ(event.entries.size(), 1U);
+  EXPECT_EQ(event.entries[0].endpoint.started, to_timestamp(5'000));
+  EXPECT_EQ(event.entries[0].endpoint.state, EndpointState::removed);
 }
 
-TEST(NoticeStory, WhatIsMissingIsNamed) {
+TEST(WatchEventTest, ErrorsNameTheField) {
   const auto read = [](const char* text) -> std::string {
     try {
       read_line(text, 0);
-    } catch (const settings::BadField& wrong) {
-      return wrong.what();
+    } catch (const settings::BadField& error) {
+      return error.what();
     }
     return "";
   };
--- a/tests/membership/roster_test.cpp
+++ b/tests/membership/roster_test.cpp
@@ -1,4 +1,6 @@
-// The roster's words, right and wrong, and what a router does when its source breaks.
+// A malformed or contradictory endpoint list message must not damage the list, and a broken, unreachable or
+// vanished discovery must be contacted again. The tests parse messages, and run the client against servers
+// that send wrong messages, close the connection, do not accept it or return late.
 #include <Poco/Net/ServerSocket.h>
 #include <gtest/gtest.h>
 
@@ -15,148 +17,155 @@
 namespace rushhill::membership {
 namespace {
 
-RosterWord word(const std::string& servers) {
+RosterWord read_changes(const std::string& servers) {
   return read_word(R"({"form":"changes","revision":3,"servers":[)" + servers + "]}", 1'000);
 }
-std::string refusal(const std::string& line) {
+std::string read_error(const std::string& line) {
   try {
     read_word(line, 0);
     return "taken";
-  } catch (const std::invalid_argument& wrong) {
-    return wrong.what();
+  } catch (const std::invalid_argument& error) {
+    return error.what();
   }
 }
 
-TEST(RosterWords, AServerNamedTwiceGetsTheStricterCondition) {
-  const RosterWord told = word(R"({"id":"a","address":"127.0.0.1:1","condition":"draining"},
+TEST(EndpointListMessageTest, AServerListedTwiceGetsTheStricterState) {
+  const RosterWord message = read_changes(R"({"id":"a","address":"127.0.0.1:1","condition":"draining"},
                                   {"id":"a","address":"127.0.0.1:1","condition":"active"})");
-  ASSERT_EQ(told.entries.size(), 1U);
-  EXPECT_EQ(told.entries[0].endpoint.state, EndpointState::draining);
-  EXPECT_EQ(told.remarks.size(), 1U);
+  ASSERT_EQ(message.entries.size(), 1U);
+  EXPECT_EQ(message.entries[0].endpoint.state, EndpointState::draining);
+  EXPECT_EQ(message.remarks.size(), 1U);
 }
 
-TEST(RosterWords, ANewerLifeOfTheSameServerCountsAlone) {
-  const RosterWord told = word(R"({"id":"a","address":"127.0.0.1:2","started_ms":900,"condition":"active"},
+TEST(EndpointListMessageTest, OnlyTheNewerIncarnationOfAServerCounts) {
+  const RosterWord message =
+      read_changes(R"({"id":"a","address":"127.0.0.1:2","started_ms":900,"condition":"active"},
                                   {"id":"a","address":"127.0.0.1:1","started_ms":500,"condition":"gone"})");
-  ASSERT_EQ(told.entries.size(), 1U);
-  EXPECT_EQ(told.entries[0].endpoint.state, EndpointState::active);
-  EXPECT_EQ(told.entries[0].address, "127.0.0.1:2");
-  EXPECT_EQ(told.entries[0].endpoint.started, to_timestamp(8'000));  // 9000 tenths less the offset
+  ASSERT_EQ(message.entries.size(), 1U);
+  EXPECT_EQ(message.entries[0].endpoint.state, EndpointState::active);
+  EXPECT_EQ(message.entries[0].address, "127.0.0.1:2");
+  EXPECT_EQ(message.entries[0].endpoint.started, to_timestamp(8'000));  // 9000 tenths less the offset
 }
 
-TEST(RosterWords, AnAddressThatTwoServersClaimBelongsToTheLaterStart) {
-  const RosterWord told = word(R"({"id":"a","address":"127.0.0.1:1","started_ms":500},
+TEST(EndpointListMessageTest, AnAddressClaimedTwiceBelongsToTheLaterStart) {
+  const RosterWord message = read_changes(R"({"id":"a","address":"127.0.0.1:1","started_ms":500},
                                   {"id":"b","address":"127.0.0.1:1","started_ms":900})");
-  ASSERT_EQ(told.entries.size(), 2U);
-  EXPECT_EQ(told.entries[0].endpoint.state, EndpointState::removed);
-  EXPECT_EQ(told.entries[1].endpoint.state, EndpointState::active);
-}
-
-TEST(RosterWords, WhatCannotBeReadNamesTheField) {
-  EXPECT_NE(refusal("nonsense").find("not a JSON object"), std::string::npos);
-  EXPECT_NE(refusal(R"({"form":"all","servers":[]})").find("'form'"), std::string::npos);
-  EXPECT_NE(refusal(R"({"form":"complete"})").find("'servers'"), std::string::npos);
-  EXPECT_NE(refusal(R"({"form":"complete","servers":[{"address":"x"}]})").find("'id'"), std::string::npos);
-  EXPECT_NE(refusal(R"({"form":"complete","servers":[{"id":"a"}]})").find("'address'"), std::string::npos);
-  EXPECT_NE(refusal(R"({"form":"complete","servers":[{"id":"a b","address":"x"}]})").find("'id'"),
+  ASSERT_EQ(message.entries.size(), 2U);
+  EXPECT_EQ(message.entries[0].endpoint.state, EndpointState::removed);
+  EXPECT_EQ(message.entries[1].endpoint.state, EndpointState::active);
+}
+
+TEST(EndpointListMessageTest, ErrorsNameTheField) {
+  EXPECT_NE(read_error("nonsense").find("not a JSON object"), std::string::npos);
+  EXPECT_NE(read_error(R"({"form":"all","servers":[]})").find("'form'"), std::string::npos);
+  EXPECT_NE(read_error(R"({"form":"complete"})").find("'servers'"), std::string::npos);
+  EXPECT_NE(read_error(R"({"form":"complete","servers":[{"address":"x"}]})").find("'id'"), std::string::npos);
+  EXPECT_NE(read_error(R"({"form":"complete","servers":[{"id":"a"}]})").find("'address'"), std::string::npos);
+  EXPECT_NE(read_error(R"({"form":"complete","servers":[{"id":"a b","address":"x"}]})").find("'id'"),
             std::string::npos);
   EXPECT_NE(
-      refusal(R"({"form":"complete","servers":[{"id":"a","address":"x","rating":-1}]})").find("'rating'"),
+      read_error(R"({"form":"complete","servers":[{"id":"a","address":"x","rating":-1}]})").find("'rating'"),
       std::string::npos);
-  EXPECT_NE(refusal(R"({"form":"complete","servers":[{"id":"a","address":"x","condition":"ill"}]})")
+  EXPECT_NE(read_error(R"({"form":"complete","servers":[{"id":"a","address":"x","condition":"ill"}]})")
                 .find("'condition'"),
             std::string::npos);
 }
 
-TEST(RosterWords, WhatIsRememberedIsReadBackTheSame) {
-  Remembered remembered;
-  remembered.hear(word(R"({"id":"a","address":"127.0.0.1:1","started_ms":500,"rating":2.5,"kind":"k",
+TEST(EndpointListMessageTest, AWrittenListIsReadBackUnchanged) {
+  Remembered current_list;
+  current_list.hear(
+      read_changes(R"({"id":"a","address":"127.0.0.1:1","started_ms":500,"rating":2.5,"kind":"k",
                            "location":"l","cell":4},{"id":"b","address":"127.0.0.1:2"})"));
-  remembered.hear(word(R"({"id":"b","condition":"gone"})"));
-  RosterWord whole = remembered.whole();
-  ASSERT_EQ(whole.entries.size(), 1U);
-  whole.form = EndpointListForm::complete;
-  const RosterWord back = read_word(write_word(whole, 1'000), 1'000);
-  EXPECT_EQ(back.entries[0].endpoint.started, whole.entries[0].endpoint.started);
-  EXPECT_EQ(back.entries[0].endpoint.rating, 2.5);
-  EXPECT_EQ(back.entries[0].endpoint.cell, 4);
-  EXPECT_EQ(back.entries[0].address, "127.0.0.1:1");
-}
-
-class Following : public testing::Test {
+  current_list.hear(read_changes(R"({"id":"b","condition":"gone"})"));
+  RosterWord list = current_list.whole();
+  ASSERT_EQ(list.entries.size(), 1U);
+  list.form = EndpointListForm::complete;
+  const RosterWord restored = read_word(write_word(list, 1'000), 1'000);
+  EXPECT_EQ(restored.entries[0].endpoint.started, list.entries[0].endpoint.started);
+  EXPECT_EQ(restored.entries[0].endpoint.rating, 2.5);
+  EXPECT_EQ(restored.entries[0].endpoint.cell, 4);
+  EXPECT_EQ(restored.entries[0].address, "127.0.0.1:1");
+}
+
+class EndpointListClientTest : public testing::Test {
  protected:
-  Following() {
+  EndpointListClientTest() {
     server.on_bytes = [&](RawPeer& peer) {
-      if (!peer.seen.ends_with('\n')) return;  // not the whole question yet
-      ++asked;
-      if (answer.empty()) return;
-      peer.stream->write(answer);
+      if (!peer.seen.ends_with('\n')) return;  // The request is not complete yet.
+      ++request_count;
+      if (response.empty()) return;
+      peer.stream->write(response);
     };
     client.watch(true);
   }
-  int failures() const {
-    return static_cast<int>(std::count(heard.begin(), heard.end(), EndpointListForm::failed));
+  int failure_count() const {
+    return static_cast<int>(
+        std::count(received_forms.begin(), received_forms.end(), EndpointListForm::failed));
   }
 
   transport::Loop reactor;
-  Pump pump{reactor};
-  Silent silent;
+  Pump driver{reactor};
+  Silent event_log;
   RawServer server{reactor};
-  std::string answer = R"({"form":"complete","servers":[{"id":"a","address":"127.0.0.1:1"}]})"
-                       "\n";
-  int asked = 0;
-  std::vector<EndpointListForm> heard;
-  RosterClient client{
-      reactor,
-      transport::numeric_address(server.address()),
-      4,
-      50,
-      1,
-      silent,
-      [this](EndpointListForm form, const std::vector<core::EndpointListEntry>&) { heard.push_back(form); }};
+  std::string response = R"({"form":"complete","servers":[{"id":"a","address":"127.0.0.1:1"}]})"
+                         "\n";
+  int request_count = 0;
+  std::vector<EndpointListForm> received_forms;
+  RosterClient client{reactor,
+                      transport::numeric_address(server.address()),
+                      4,
+                      50,
+                      1,
+                      event_log,
+                      [this](EndpointListForm form, const std::vector<core::EndpointListEntry>&) {
+                        received_forms.push_back(form);
+                      }};
 };
 
-TEST_F(Following, ABreakIsToldAndTheCompleteListAskedForAgain) {
-  ASSERT_TRUE(pump.until([&] { return heard.size() == 1; }));
+TEST_F(EndpointListClientTest, ReportsABrokenConnectionAndRequestsTheCompleteListAgain) {
+  ASSERT_TRUE(driver.until([&] { return received_forms.size() == 1; }));
   EXPECT_NE(server.peers.front()->seen.find("\"router\":4"), std::string::npos);
   server.peers.front()->stream->close();
-  ASSERT_TRUE(pump.until([&] { return heard.size() == 3; }));
-  EXPECT_EQ(heard, (std::vector<EndpointListForm>{EndpointListForm::complete, EndpointListForm::failed,
-                                                  EndpointListForm::complete}));
+  ASSERT_TRUE(driver.until([&] { return received_forms.size() == 3; }));
+  EXPECT_EQ(received_forms,
+            (std::vector<EndpointListForm>{EndpointListForm::complete, EndpointListForm::failed,
+                                           EndpointListForm::complete}));
 }
 
-TEST_F(Following, AWordThatCannotBeReadBreaksTheConnectionAndNotTheList) {
-  ASSERT_TRUE(pump.until([&] { return heard.size() == 1; }));
+TEST_F(EndpointListClientTest, ReconnectsAfterAMessageThatCannotBeRead) {
+  ASSERT_TRUE(driver.until([&] { return received_forms.size() == 1; }));
   server.peers.front()->stream->write("{\"form\":\n");
-  ASSERT_TRUE(pump.until([&] { return failures() == 1 && heard.back() == EndpointListForm::complete; }));
-  EXPECT_TRUE(client.heard_any());
+  ASSERT_TRUE(driver.until(
+      [&] { return failure_count() == 1 && received_forms.back() == EndpointListForm::complete; }));
+  EXPECT_TRUE(client.received_any());
 }
 
-TEST_F(Following, AReloadAsksOnceAndFollowsNothing) {
-  ASSERT_TRUE(pump.until([&] { return heard.size() == 1; }));
-  std::vector<EndpointListForm> told;
-  RosterClient other(
-      reactor, transport::numeric_address(server.address()), 5, 50, 1, silent,
-      [&](EndpointListForm form, const std::vector<core::EndpointListEntry>&) { told.push_back(form); });
+TEST_F(EndpointListClientTest, ResyncRequestsTheListOnceWithoutAWatch) {
+  ASSERT_TRUE(driver.until([&] { return received_forms.size() == 1; }));
+  std::vector<EndpointListForm> other_forms;
+  RosterClient other(reactor, transport::numeric_address(server.address()), 5, 50, 1, event_log,
+                     [&](EndpointListForm form, const std::vector<core::EndpointListEntry>&) {
+                       other_forms.push_back(form);
+                     });
   other.resync();
-  ASSERT_TRUE(pump.until([&] { return told.size() == 1; }));
+  ASSERT_TRUE(driver.until([&] { return other_forms.size() == 1; }));
   EXPECT_EQ(server.peers.back()->seen, "{\"ask\":\"reload\",\"router\":5}\n");
 }
 
-TEST_F(Following, AWordSplitAnywhereIsHeardOnce) {
+TEST_F(EndpointListClientTest, ReceivesAMessageSplitIntoSmallReadsOnce) {
   reactor.most_at_once = 3;
-  ASSERT_TRUE(pump.until([&] { return heard.size() == 1; }));
-  pump.pass(200);
-  EXPECT_EQ(heard.size(), 1U);
+  ASSERT_TRUE(driver.until([&] { return received_forms.size() == 1; }));
+  driver.pass(200);
+  EXPECT_EQ(received_forms.size(), 1U);
 }
 
-// Away for a minute, or there and not opening: it is asked again within 2 s of its return.
-TEST(RosterAway, HoweverLongItWasAwayItIsFollowedSoonAfterItsReturn) {
+// Discovery refuses connections for a minute. The client must request the list within 2 s of its return.
+TEST(EndpointListRecoveryTest, ReconnectsWithinTwoSecondsAfterAMinuteOffline) {
   emulator::Network network{3};
-  Silent silent;
+  Silent event_log;
   auto source = std::make_unique<RawServer>(network);
   const std::string address = source->address();
-  RosterClient client(network, transport::numeric_address(address), 0, 5'000, 1, silent,
+  RosterClient client(network, transport::numeric_address(address), 0, 5'000, 1, event_log,
                       [](EndpointListForm, const std::vector<core::EndpointListEntry>&) {});
   client.watch(true);
   network.run_until(network.now() + 1'000);
@@ -169,65 +178,68 @@
   EXPECT_NE(source->peers[0]->seen.find("follow"), std::string::npos);
 }
 
-// Discovery that cannot be reached for long.
-struct Client {
-  Client(transport::Reactor& reactor, const transport::Address& address, Time retry)
-      : client(reactor, address, 4, retry, 1, silent,
+// A client that has started its watch, and what it has received.
+struct WatchingClient {
+  WatchingClient(transport::Reactor& reactor, const transport::Address& address, Time retry)
+      : client(reactor, address, 4, retry, 1, event_log,
                [this](EndpointListForm form, const std::vector<core::EndpointListEntry>&) {
-                 heard.push_back(form);
+                 received_forms.push_back(form);
                }) {
     client.watch(true);
   }
-  bool told() const { return !heard.empty() && heard.back() == EndpointListForm::complete; }
-  Silent silent;
-  std::vector<EndpointListForm> heard;
+  bool received_list() const {
+    return !received_forms.empty() && received_forms.back() == EndpointListForm::complete;
+  }
+  Silent event_log;
+  std::vector<EndpointListForm> received_forms;
   RosterClient client;
 };
-const std::string list = "{\"form\":\"complete\",\"servers\":[]}\n";
+const std::string empty_list = "{\"form\":\"complete\",\"servers\":[]}\n";
 
-TEST(UnreachableList, AfterAnHourItIsAskedForWithinThreeSecondsOfItsReturn) {
+TEST(UnreachableDiscoveryTest, ReceivesTheListWithinThreeSecondsAfterAnHourOffline) {
   emulator::Network network{2};
-  const auto place = network.reserve(transport::numeric_address("127.0.0.1:0"));
-  Client away(network, place->address(), 5'000);
+  const auto reserved_address = network.reserve(transport::numeric_address("127.0.0.1:0"));
+  WatchingClient client(network, reserved_address->address(), 5'000);
   network.run_until(network.now() + 3'600 * 10'000);
-  EXPECT_GT(away.heard.size(), 1'000U);
+  EXPECT_GT(client.received_forms.size(), 1'000U);
   std::vector<std::unique_ptr<RawPeer>> peers;
-  const transport::Listener back(network, place->address(), true,
-                                 [&](const transport::PendingConnection& arrival) {
-                                   peers.push_back(std::make_unique<RawPeer>(network, arrival));
-                                   peers.back()->stream->write(list);
-                                 });
+  const transport::Listener listener(network, reserved_address->address(), true,
+                                     [&](const transport::PendingConnection& connection) {
+                                       peers.push_back(std::make_unique<RawPeer>(network, connection));
+                                       peers.back()->stream->write(empty_list);
+                                     });
   network.run_until(network.now() + 30'000 + 100);
-  EXPECT_TRUE(away.told());
+  EXPECT_TRUE(client.received_list());
 }
 
-// A connection that never comes up: the system's own tries lie further and further apart, 4 s and more from
-// the seventh second on, and the list may return just after one of these.
-TEST(UnreachableList, AConnectionThatDoesNotComeUpIsGivenUpAndTriedAnew) {
+// The kernel retransmits a connection request at growing intervals, 4 s and more from the seventh second on,
+// and discovery may return just after one of these. The client must therefore start a new connection itself.
+TEST(UnreachableDiscoveryTest, RetriesAConnectionThatIsNeverEstablished) {
   transport::Loop reactor;
-  Pump pump{reactor};
-  Poco::Net::ServerSocket full;  // a queue of one that is taken: further handshakes get no answer
-  full.bind(transport::numeric_address("127.0.0.1:0"));
-  full.listen(0);
-  const Poco::Net::StreamSocket fills(full.address());
-  Client client(reactor, full.address(), 50);
-  pump.pass(75'000);
-  EXPECT_FALSE(client.told());
-  std::vector<Poco::Net::StreamSocket> taken;
-  const bool told = pump.until(
+  Pump driver{reactor};
+  Poco::Net::ServerSocket full_listener;  // Its queue of one is full, so further handshakes get no response.
+  full_listener.bind(transport::numeric_address("127.0.0.1:0"));
+  full_listener.listen(0);
+  const Poco::Net::StreamSocket queued(full_listener.address());
+  WatchingClient client(reactor, full_listener.address(), 50);
+  driver.pass(75'000);
+  EXPECT_FALSE(client.received_list());
+  std::vector<Poco::Net::StreamSocket> accepted;
+  const bool received = driver.until(
       [&] {
-        while (full.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
-          taken.push_back(full.acceptConnection());
-          if (taken.size() > 1) taken.back().sendBytes(list.data(), static_cast<int>(list.size()));
+        while (full_listener.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
+          accepted.push_back(full_listener.acceptConnection());
+          if (accepted.size() > 1)
+            accepted.back().sendBytes(empty_list.data(), static_cast<int>(empty_list.size()));
         }
-        return client.told();
+        return client.received_list();
       },
       25'000);
-  EXPECT_TRUE(told);
+  EXPECT_TRUE(received);
 }
 
-// Whether the system asks on a connection to the port whether its peer is there (timer 2 of /proc/net/tcp).
-bool kept_alive(int port) {
+// Returns whether keepalive is active on a connection to the port (timer 2 in /proc/net/tcp).
+bool has_keepalive(int port) {
   std::ostringstream suffix;
   suffix << ':' << std::uppercase << std::hex << port;
   std::ifstream in("/proc/net/tcp");
@@ -240,11 +252,12 @@
   return false;
 }
 
-// Discovery's machine vanishes and the connection stays open without a word, as a quiet list's does.
-TEST_F(Following, TheSystemAsksWhetherAQuietListIsStillThere) {
-  ASSERT_TRUE(pump.until([&] { return heard.size() == 1; }));
+// If the machine of discovery vanishes, its connection stays open without data, like that of a list without
+// changes. Only keepalive detects this.
+TEST_F(EndpointListClientTest, EnablesKeepaliveOnAnIdleConnection) {
+  ASSERT_TRUE(driver.until([&] { return received_forms.size() == 1; }));
   const int port = transport::numeric_address(server.address()).port();
-  EXPECT_TRUE(pump.until([&] { return kept_alive(port); }, 10'000));
+  EXPECT_TRUE(driver.until([&] { return has_keepalive(port); }, 10'000));
 }
 
 }  // namespace
--- a/tests/membership/start_times_test.cpp
+++ b/tests/membership/start_times_test.cpp
@@ -1,5 +1,6 @@
-// Start times under a wall clock that is stepped: each step, at each moment, at each place where a start is
-// read. A server never passes for older than it is, nor for one that starts later; what proves an age counts.
+// A step of the wall clock must not make a server look older than it is, nor put its start into the future.
+// The tests step the clock forward and back at each point at which a start time is read: in the translation
+// itself, and in both clients of service discovery.
 #include "membership/start_times.h"
 
 #include <gtest/gtest.h>
@@ -15,23 +16,23 @@
 namespace rushhill::membership {
 namespace {
 
-constexpr Time second = 10'000;
+constexpr Time second = 10'000;  // tenths of a millisecond
 constexpr Time steps[] = {0, 5 * second, -5 * second, 3'600 * second, -3'600 * second};
-constexpr Time now = 50'000'000;                // monotonic
-constexpr Time true_wall = 17'000'000'000'000;  // at that moment, without any step
+constexpr Time now = 50'000'000;                // on the monotonic clock
+constexpr Time true_wall = 17'000'000'000'000;  // at the same moment, before any step
 constexpr Time slow_start = 16 * second;
 
-core::EndpointListEntry entry(const std::string& id, Time told) {
-  core::EndpointListEntry made;
-  made.endpoint.id = id;
-  made.endpoint.started = to_timestamp(told);
-  return made;
+core::EndpointListEntry entry_of(const std::string& id, Time reported) {
+  core::EndpointListEntry result;
+  result.endpoint.id = id;
+  result.endpoint.started = to_timestamp(reported);
+  return result;
 }
-Time told_at_age(Time age) { return true_wall - age; }
+Time reported_at_age(Time age) { return true_wall - age; }
 
-struct Snapshot {
+struct SnapshotReader {
   StartTimeTranslator translator{};
-  // The age of each server as the list is read by a process whose wall clock is off by `step`.
+  // Returns the age of a server in a list that is read by a process whose wall clock is off by `step`.
   Time age_of(const std::string& id, Time step, EndpointEntries entries) {
     translator.translate_snapshot({.monotonic = now, .wall = true_wall + step}, latest_start(entries),
                                   EndpointListForm::complete, entries);
@@ -40,54 +41,55 @@
   }
 };
 
-TEST(StartTimes, AServerThatJustStartedNeverPassesForOlderInTheListOfTheStart) {
+TEST(StartTimes, ANewServerNeverLooksOlderInTheInitialList) {
   for (const Time step : steps) {
     for (const Time age : {Time{0}, second / 2, second, 10 * second}) {
-      const Time alone = Snapshot{}.age_of("fresh", step, {entry("fresh", told_at_age(age))});
+      const Time alone = SnapshotReader{}.age_of("fresh", step, {entry_of("fresh", reported_at_age(age))});
       EXPECT_GE(alone, 0) << step << ' ' << age;
       EXPECT_LE(alone, age) << step << ' ' << age;
-      const EndpointEntries among{entry("old", told_at_age(300 * second)), entry("always", 0),
-                                  entry("fresh", told_at_age(age))};
-      const Time beside_others = Snapshot{}.age_of("fresh", step, among);
+      const EndpointEntries mixed{entry_of("old", reported_at_age(300 * second)), entry_of("always", 0),
+                                  entry_of("fresh", reported_at_age(age))};
+      const Time beside_others = SnapshotReader{}.age_of("fresh", step, mixed);
       EXPECT_GE(beside_others, 0) << step << ' ' << age;
       EXPECT_LE(beside_others, age) << step << ' ' << age;
     }
   }
 }
 
-TEST(StartTimes, AServerOlderThanTheLatestByTheSlowStartIsNotHeldBackOnWhateverTheStep) {
+TEST(StartTimes, AServerOlderThanTheLatestOneByTheSlowStartIsOldAfterAnyStep) {
   for (const Time step : steps) {
-    const EndpointEntries entries{entry("old", told_at_age(300 * second)),
-                                  entry("fresh", told_at_age(second))};
-    const Time age = Snapshot{}.age_of("old", step, entries);
+    const EndpointEntries entries{entry_of("old", reported_at_age(300 * second)),
+                                  entry_of("fresh", reported_at_age(second))};
+    const Time age = SnapshotReader{}.age_of("old", step, entries);
     EXPECT_GE(age, slow_start) << step;
     EXPECT_LE(age, 300 * second) << step;
   }
 }
 
-TEST(StartTimes, WhatNoStepExplainsIsOldAlsoWhereNothingElseProvesIt) {
+TEST(StartTimes, AnAgeBeyondTheLongestStepIsProvenByTheWallClock) {
   const Time age = 3 * 3'600 * second;
-  EXPECT_GE(Snapshot{}.age_of("old", 0, {entry("old", told_at_age(age))}), slow_start);
-  EXPECT_GE(Snapshot{}.age_of("old", -3'600 * second, {entry("old", told_at_age(age))}), slow_start);
+  EXPECT_GE(SnapshotReader{}.age_of("old", 0, {entry_of("old", reported_at_age(age))}), slow_start);
+  EXPECT_GE(SnapshotReader{}.age_of("old", -3'600 * second, {entry_of("old", reported_at_age(age))}),
+            slow_start);
 }
 
-// The clock that the starts are told by was set back between two of them, and this process reads the same
-// one.
-TEST(StartTimes, AServerThatStartedAfterTheClockWasSetBackDoesNotPassForAnHourOld) {
-  for (const Time back : {5 * second, 3'600 * second}) {
-    const EndpointEntries entries{entry("before", told_at_age(60 * second)),
-                                  entry("fresh", told_at_age(second) - back)};
-    const Time age = Snapshot{}.age_of("fresh", -back, entries);
-    EXPECT_GE(age, 0) << back;
-    EXPECT_LE(age, second) << back;
+// The clock of the servers was set back between two starts, and this process reads the same clock.
+TEST(StartTimes, AServerStartedAfterTheClockWasSetBackIsNotAnHourOld) {
+  for (const Time step_back : {5 * second, 3'600 * second}) {
+    const EndpointEntries entries{entry_of("before", reported_at_age(60 * second)),
+                                  entry_of("fresh", reported_at_age(second) - step_back)};
+    const Time age = SnapshotReader{}.age_of("fresh", -step_back, entries);
+    EXPECT_GE(age, 0) << step_back;
+    EXPECT_LE(age, second) << step_back;
   }
 }
 
-TEST(StartTimes, WhatWasSeenToArriveStartedThenWhateverTheWallClockWasAtItsStart) {
+TEST(StartTimes, AnObservedStartIsTheTimeOfItsArrivalWhateverTheWallClockShows) {
   for (const Time step : steps) {
-    for (const Time far_off : {Time{0}, 24 * 3'600 * second, -24 * 3'600 * second}) {
+    for (const Time offset : {Time{0}, 24 * 3'600 * second, -24 * 3'600 * second}) {
       StartTimeTranslator translator;
-      EndpointEntries arrived{entry("fresh", told_at_age(second) + step + far_off), entry("always", 0)};
+      EndpointEntries arrived{entry_of("fresh", reported_at_age(second) + step + offset),
+                              entry_of("always", 0)};
       translator.translate_update(now, EndpointListForm::delta, arrived);
       EXPECT_EQ(arrived[0].endpoint.started, to_timestamp(now));
       EXPECT_EQ(arrived[1].endpoint.started, to_timestamp(0));
@@ -95,227 +97,234 @@
   }
 }
 
-TEST(StartTimes, TheSameStartToldAgainStaysAsItWasReadAndAnotherOneIsNew) {
+TEST(StartTimes, ARepeatedStartKeepsItsTranslationAndADifferentOneIsNew) {
   StartTimeTranslator translator;
-  EndpointEntries first{entry("a", told_at_age(60 * second)), entry("b", told_at_age(second))};
+  EndpointEntries first{entry_of("a", reported_at_age(60 * second)), entry_of("b", reported_at_age(second))};
   translator.translate_snapshot({.monotonic = now, .wall = true_wall}, latest_start(first),
                                 EndpointListForm::complete, first);
-  EndpointEntries again{entry("a", told_at_age(60 * second)), entry("b", told_at_age(0))};
-  translator.translate_update(now + second, EndpointListForm::complete, again);
-  EXPECT_EQ(again[0].endpoint.started, first[0].endpoint.started);
-  EXPECT_EQ(again[1].endpoint.started, to_timestamp(now + second));
-  EndpointEntries in_the_same_moment{entry("b", told_at_age(-second))};
-  translator.translate_update(now + second, EndpointListForm::delta, in_the_same_moment);
-  EXPECT_NE(in_the_same_moment[0].endpoint.started, again[1].endpoint.started) << "another incarnation";
+  EndpointEntries repeated{entry_of("a", reported_at_age(60 * second)), entry_of("b", reported_at_age(0))};
+  translator.translate_update(now + second, EndpointListForm::complete, repeated);
+  EXPECT_EQ(repeated[0].endpoint.started, first[0].endpoint.started);
+  EXPECT_EQ(repeated[1].endpoint.started, to_timestamp(now + second));
+  EndpointEntries at_the_same_time{entry_of("b", reported_at_age(-second))};
+  translator.translate_update(now + second, EndpointListForm::delta, at_the_same_time);
+  EXPECT_NE(at_the_same_time[0].endpoint.started, repeated[1].endpoint.started)
+      << "a different start at the same time is another incarnation";
 }
 
-TEST(StartTimes, AServerThatLeftOrWasMissingFromAWholeListIsNewWhenItReturns) {
+TEST(StartTimes, ARemovedOrMissingServerIsNewWhenItReturns) {
   StartTimeTranslator translator;
-  EndpointEntries both{entry("a", told_at_age(second)), entry("b", told_at_age(second))};
+  EndpointEntries both{entry_of("a", reported_at_age(second)), entry_of("b", reported_at_age(second))};
   translator.translate_update(now, EndpointListForm::complete, both);
-  EndpointEntries left{entry("a", told_at_age(second))};
-  left[0].endpoint.state = EndpointState::removed;
-  translator.translate_update(now + 1, EndpointListForm::delta, left);
-  EXPECT_EQ(left[0].endpoint.started, to_timestamp(now)) << "the incarnation that was known";
+  EndpointEntries removed{entry_of("a", reported_at_age(second))};
+  removed[0].endpoint.state = EndpointState::removed;
+  translator.translate_update(now + 1, EndpointListForm::delta, removed);
+  EXPECT_EQ(removed[0].endpoint.started, to_timestamp(now))
+      << "the removed server keeps the start of its incarnation";
   EndpointEntries missing{};
   translator.translate_update(now + 2, EndpointListForm::complete, missing);
-  EndpointEntries back{entry("a", told_at_age(second)), entry("b", told_at_age(second))};
-  translator.translate_update(now + 3, EndpointListForm::delta, back);
-  EXPECT_EQ(back[0].endpoint.started, to_timestamp(now + 3));
-  EXPECT_EQ(back[1].endpoint.started, to_timestamp(now + 3));
+  EndpointEntries returned{entry_of("a", reported_at_age(second)), entry_of("b", reported_at_age(second))};
+  translator.translate_update(now + 3, EndpointListForm::delta, returned);
+  EXPECT_EQ(returned[0].endpoint.started, to_timestamp(now + 3));
+  EXPECT_EQ(returned[1].endpoint.started, to_timestamp(now + 3));
 }
 
-// What follows runs both clients of discovery on the emulated network, whose wall clock is stepped.
-constexpr std::int64_t nanoseconds_a_tenth = 100'000;
+// The following tests run both discovery clients on the emulated network and step its wall clock.
+constexpr std::int64_t nanoseconds_per_tenth = 100'000;
 
-std::string host_told(const std::string& id, Time told) {
+std::string host_json(const std::string& id, Time reported) {
   return R"({"host":")" + id +
          R"(","dial":"10.1.0.9:1","site":"e","class":"s","block":0,"health":"active",)" +
-         R"("share":1,"born_ms":)" + std::to_string(told / 10) + "}";
+         R"("share":1,"born_ms":)" + std::to_string(reported / 10) + "}";
 }
-std::string notice_told(int number, bool whole, const std::string& hosts) {
-  return R"({"rev":)" + std::to_string(number) + R"(,"pool":{"whole":)" + (whole ? "true" : "false") +
+std::string event_json(int revision, bool whole, const std::string& hosts) {
+  return R"({"rev":)" + std::to_string(revision) + R"(,"pool":{"whole":)" + (whole ? "true" : "false") +
          R"(,"hosts":[)" + hosts + "]}}";
 }
 
-class SteppedDiscovery : public testing::TestWithParam<Time> {
+class SteppedClockTest : public testing::TestWithParam<Time> {
  protected:
-  Time wall() const { return network.unix_ns() / nanoseconds_a_tenth; }
-  void step(Time by) { network.step_wall_clock(by * nanoseconds_a_tenth); }
-  void pass(Time span) { network.run_until(network.now() + span); }
-  void hear(const std::vector<core::EndpointListEntry>& entries) {
+  Time wall() const { return network.unix_ns() / nanoseconds_per_tenth; }
+  void step(Time by) { network.step_wall_clock(by * nanoseconds_per_tenth); }
+  void advance_time(Time span) { network.run_until(network.now() + span); }
+  void record_starts(const std::vector<core::EndpointListEntry>& entries) {
     for (const auto& one : entries) started[one.endpoint.id] = to_ticks(one.endpoint.started);
   }
 
   emulator::Network network{2};
-  Silent silent;
-  RawServer source{network};
+  Silent event_log;
+  RawServer server{network};
   std::map<std::string, Time> started;
 };
 
-class SteppedBoard : public SteppedDiscovery {
+class SteppedPlatformDiscoveryTest : public SteppedClockTest {
  protected:
-  Known list_of_the_start(const std::string& hosts) const {
-    const auto json = settings::Json::parse(R"({"rev":1,"notices":[)" + notice_told(1, true, hosts) + "]}");
+  Known initial_list(const std::string& hosts) const {
+    const auto json = settings::Json::parse(R"({"rev":1,"notices":[)" + event_json(1, true, hosts) + "]}");
     return read_known(settings::Fields(json, "known"), as_told);
   }
-  void start(const std::string& hosts) {
-    const Known known = client.translated(list_of_the_start(hosts));
-    for (const Notice& notice : known.notices) hear(notice.entries);
+  void start_client(const std::string& hosts) {
+    const Known known = client.translated(initial_list(hosts));
+    for (const Notice& event : known.notices) record_starts(event.entries);
     client.watch(true);
-    pass(second);
-    ASSERT_EQ(source.peers.size(), 1U);
+    advance_time(second);
+    ASSERT_EQ(server.peers.size(), 1U);
   }
-  void tell(const std::string& line) {
-    source.peers.back()->stream->write(line + "\n");
-    pass(100);
+  void send(const std::string& line) {
+    server.peers.back()->stream->write(line + "\n");
+    advance_time(100);
   }
 
   BoardClient client{network,
-                     transport::numeric_address(source.address()),
+                     transport::numeric_address(server.address()),
                      1,
                      1,
-                     silent,
-                     [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) { hear(entries); }};
+                     event_log,
+                     [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
+                       record_starts(entries);
+                     }};
 };
 
-TEST_P(SteppedBoard, AStepBeforeTheStart) {
-  const Time born = network.now();
-  const std::string hosts = host_told("fresh", wall());
-  pass(second);
+TEST_P(SteppedPlatformDiscoveryTest, StepBeforeStartup) {
+  const Time earliest_start = network.now();
+  const std::string hosts = host_json("fresh", wall());
+  advance_time(second);
   step(GetParam());
-  start(hosts);
-  EXPECT_GE(started["fresh"], born);
+  start_client(hosts);
+  EXPECT_GE(started["fresh"], earliest_start);
   EXPECT_LE(started["fresh"], network.now());
 }
 
-TEST_P(SteppedBoard, AStepBetweenTwoMessages) {
-  start(host_told("first", wall()));
+TEST_P(SteppedPlatformDiscoveryTest, StepBetweenTwoMessages) {
+  start_client(host_json("first", wall()));
   const Time first = started["first"];
   step(GetParam());
-  pass(30 * second);
-  const Time heard = network.now();
-  tell(notice_told(2, false, host_told("second", wall())));
-  EXPECT_GE(started["second"], heard);
+  advance_time(30 * second);
+  const Time sent_at = network.now();
+  send(event_json(2, false, host_json("second", wall())));
+  EXPECT_GE(started["second"], sent_at);
   EXPECT_LE(started["second"], network.now());
   step(GetParam());
-  tell(notice_told(3, false, host_told("third", wall() - GetParam())));
-  EXPECT_GE(started["third"], heard);
+  send(event_json(3, false, host_json("third", wall() - GetParam())));
+  EXPECT_GE(started["third"], sent_at);
   EXPECT_LE(started["third"], network.now());
-  tell(notice_told(4, true, host_told("first", wall() - 3 * GetParam() - 31 * second)));
-  EXPECT_GE(started["first"], first) << "another start, whatever it is told as";
+  send(event_json(4, true, host_json("first", wall() - 3 * GetParam() - 31 * second)));
+  EXPECT_GE(started["first"], first) << "a different start must not look older, whatever its reported time";
 }
 
-TEST_P(SteppedBoard, AStepBeforeAReload) {
-  const Time told = wall();
-  start(host_told("first", told));
+TEST_P(SteppedPlatformDiscoveryTest, StepBeforeAReload) {
+  const Time reported = wall();
+  start_client(host_json("first", reported));
   const Time first = started["first"];
   step(GetParam());
-  pass(30 * second);
-  const Time heard = network.now();
+  advance_time(30 * second);
+  const Time sent_at = network.now();
   const auto json = settings::Json::parse(
       R"({"rev":2,"notices":[)" +
-      notice_told(2, true, host_told("first", told) + "," + host_told("second", wall())) + "]}");
+      event_json(2, true, host_json("first", reported) + "," + host_json("second", wall())) + "]}");
   client.catch_up(read_known(settings::Fields(json, "known"), as_told));
-  EXPECT_EQ(started["first"], first) << "the same incarnation";
-  EXPECT_EQ(started["second"], heard);
+  EXPECT_EQ(started["first"], first) << "the same incarnation must keep its start";
+  EXPECT_EQ(started["second"], sent_at);
 }
 
-INSTANTIATE_TEST_SUITE_P(Steps, SteppedBoard, testing::ValuesIn(steps));
+INSTANTIATE_TEST_SUITE_P(Steps, SteppedPlatformDiscoveryTest, testing::ValuesIn(steps));
 
-class SteppedRoster : public SteppedDiscovery {
+class SteppedEndpointListTest : public SteppedClockTest {
  protected:
-  std::string list(const std::string& form, const std::vector<std::pair<std::string, Time>>& servers) const {
-    RosterWord word{.form = form == "changes" ? EndpointListForm::delta : EndpointListForm::complete,
-                    .revision = 1,
-                    .entries = {},
-                    .remarks = {}};
-    for (const auto& [id, told] : servers) {
-      word.entries.push_back(entry(id, told));
-      word.entries.back().address = id == "first" ? "127.0.0.1:1" : "127.0.0.1:2";
+  std::string list_line(const std::string& form,
+                        const std::vector<std::pair<std::string, Time>>& servers) const {
+    RosterWord message{.form = form == "changes" ? EndpointListForm::delta : EndpointListForm::complete,
+                       .revision = 1,
+                       .entries = {},
+                       .remarks = {}};
+    for (const auto& [id, reported] : servers) {
+      message.entries.push_back(entry_of(id, reported));
+      message.entries.back().address = id == "first" ? "127.0.0.1:1" : "127.0.0.1:2";
     }
-    return write_word(word, 0) + "\n";
+    return write_word(message, 0) + "\n";
   }
-  void follow() {
+  void start_client() {
     client = std::make_unique<RosterClient>(
-        network, transport::numeric_address(source.address()), 0, second, 1, silent,
-        [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) { hear(entries); });
+        network, transport::numeric_address(server.address()), 0, second, 1, event_log,
+        [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
+          record_starts(entries);
+        });
     if (!stored.empty()) {
-      RosterWord recalled = read_word(stored, 0);
-      client->start_times().translate_snapshot(read_clocks(network), latest_start(recalled.entries),
-                                               EndpointListForm::cached, recalled.entries);
-      hear(recalled.entries);
+      RosterWord stored_list = read_word(stored, 0);
+      client->start_times().translate_snapshot(read_clocks(network), latest_start(stored_list.entries),
+                                               EndpointListForm::cached, stored_list.entries);
+      record_starts(stored_list.entries);
     }
     client->watch(true);
-    pass(second);
+    advance_time(second);
   }
-  void tell(const std::string& line) {
-    source.peers.back()->stream->write(line);
-    pass(100);
+  void send(const std::string& line) {
+    server.peers.back()->stream->write(line);
+    advance_time(100);
   }
   void restart() {
-    RosterWord whole = client->remembered().whole();
-    whole.form = EndpointListForm::complete;
-    stored = write_word(whole, 0);
+    RosterWord current_list = client->remembered().whole();
+    current_list.form = EndpointListForm::complete;
+    stored = write_word(current_list, 0);
     client.reset();
-    pass(second);
-    follow();
+    advance_time(second);
+    start_client();
   }
 
   std::unique_ptr<RosterClient> client;
   std::string stored;
 };
 
-TEST_P(SteppedRoster, AStepBeforeTheStartAndOneBetweenTwoMessages) {
-  const Time born = network.now(), told = wall();
+TEST_P(SteppedEndpointListTest, StepBeforeStartupAndStepBetweenTwoMessages) {
+  const Time earliest_start = network.now(), reported = wall();
   step(GetParam());
-  follow();
-  tell(list("complete", {{"first", told}}));
+  start_client();
+  send(list_line("complete", {{"first", reported}}));
   const Time first = started["first"];
-  EXPECT_GE(first, born);
+  EXPECT_GE(first, earliest_start);
   EXPECT_LE(first, network.now());
   step(GetParam());
-  pass(30 * second);
-  const Time heard = network.now();
-  tell(list("changes", {{"second", wall()}}));
-  EXPECT_GE(started["second"], heard);
+  advance_time(30 * second);
+  const Time sent_at = network.now();
+  send(list_line("changes", {{"second", wall()}}));
+  EXPECT_GE(started["second"], sent_at);
   EXPECT_LE(started["second"], network.now());
-  tell(list("complete", {{"first", told}, {"third", wall()}}));
-  EXPECT_EQ(started["first"], first) << "the same incarnation";
-  EXPECT_GE(started["third"], heard);
+  send(list_line("complete", {{"first", reported}, {"third", wall()}}));
+  EXPECT_EQ(started["first"], first) << "the same incarnation must keep its start";
+  EXPECT_GE(started["third"], sent_at);
   EXPECT_LE(started["third"], network.now());
 }
 
-TEST_P(SteppedRoster, AStepBeforeARestart) {
-  follow();
-  const Time told_old = wall();
-  pass(30 * second);
-  const Time born = network.now(), told = wall();
-  tell(list("complete", {{"first", told_old}, {"second", told}}));
+TEST_P(SteppedEndpointListTest, StepBeforeARestart) {
+  start_client();
+  const Time reported_old = wall();
+  advance_time(30 * second);
+  const Time earliest_start = network.now(), reported = wall();
+  send(list_line("complete", {{"first", reported_old}, {"second", reported}}));
   step(GetParam());
   restart();
   const Time first = started["first"], second_start = started["second"];
-  EXPECT_GE(second_start, born) << "an age read back";
+  EXPECT_GE(second_start, earliest_start) << "the stored server looks older than it is";
   EXPECT_LE(second_start, network.now());
-  EXPECT_LE(first, network.now() - slow_start) << "older than the other by 30 s";
-  tell(list("complete", {{"first", told_old}, {"second", told}}));
-  EXPECT_EQ(started["first"], first) << "the list confirms what was remembered";
+  EXPECT_LE(first, network.now() - slow_start) << "the list proves that it is 30 s older than the other";
+  send(list_line("complete", {{"first", reported_old}, {"second", reported}}));
+  EXPECT_EQ(started["first"], first) << "the same start in the new list must keep its translation";
   EXPECT_EQ(started["second"], second_start);
 }
 
-TEST_P(SteppedRoster, AStepBetweenTwoStartsAndThenARestart) {
-  follow();
-  tell(list("complete", {{"first", wall()}}));
+TEST_P(SteppedEndpointListTest, StepBetweenTwoServerStartsThenRestart) {
+  start_client();
+  send(list_line("complete", {{"first", wall()}}));
   step(GetParam());
-  pass(30 * second);
-  const Time born = network.now();
-  tell(list("changes", {{"second", wall()}}));
+  advance_time(30 * second);
+  const Time earliest_start = network.now();
+  send(list_line("changes", {{"second", wall()}}));
   restart();
-  EXPECT_GE(started["second"], born);
+  EXPECT_GE(started["second"], earliest_start);
   EXPECT_LE(started["second"], network.now());
 }
 
-INSTANTIATE_TEST_SUITE_P(Steps, SteppedRoster, testing::ValuesIn(steps));
+INSTANTIATE_TEST_SUITE_P(Steps, SteppedEndpointListTest, testing::ValuesIn(steps));
 
 }  // namespace
 }  // namespace rushhill::membership
