--- a/src/membership/board_client.cpp
+++ b/src/membership/board_client.cpp
@@ -113,7 +113,7 @@
   timer_ = reactor_.at(reactor_.now() + span, [this] { on_timeout(); });
 }
 
-// Keeps the oldest silent watch for a while beside the new ones, until one of them receives a line: discovery
+// Keeps the oldest silent watch for a while beside the new ones, until one of them receives data: discovery
 // may only be slow. If every watch were closed on its timeout, an answer that takes longer than the timeout
 // would never be received.
 void BoardClient::on_timeout() {
@@ -186,8 +186,8 @@
   return initial;
 }
 
-void BoardClient::catch_up(const Known& known) {
-  for (const Notice& event : known.notices) {
+void BoardClient::catch_up(const Known& list) {
+  for (const Notice& event : list.notices) {
     if (event.revision <= last_revision_) continue;
     if (!is_next(event)) return;  // The watch will bring the missing events.
     apply_event(event);
--- a/src/membership/board_client.h
+++ b/src/membership/board_client.h
@@ -33,7 +33,7 @@
   Known translated(Known initial);
   // Applies the events of a reloaded configuration that are newer than the last one received, up to the first
   // gap in their revisions.
-  void catch_up(const Known& known);
+  void catch_up(const Known& list);
   std::int64_t last_revision() const { return last_revision_; }
 
  private:
--- a/src/membership/board_words.cpp
+++ b/src/membership/board_words.cpp
@@ -45,11 +45,11 @@
   return read_event(json, wall_offset);
 }
 
-Known read_known(const settings::Fields& known, Time wall_offset) {
-  Known read{.revision = known.whole("rev")};
-  for (const settings::Json& event : known.list("notices"))
-    read.notices.push_back(read_event(event, wall_offset));
-  return read;
+Known read_known(const settings::Fields& fields, Time wall_offset) {
+  Known list{.revision = fields.whole("rev")};
+  for (const settings::Json& event : fields.list("notices"))
+    list.notices.push_back(read_event(event, wall_offset));
+  return list;
 }
 
 }  // namespace rushhill::membership
--- a/src/membership/board_words.h
+++ b/src/membership/board_words.h
@@ -28,6 +28,6 @@
   std::int64_t revision = 0;  // of the last event
   std::vector<Notice> notices{};
 };
-Known read_known(const settings::Fields& known, Time wall_offset);
+Known read_known(const settings::Fields& fields, Time wall_offset);
 
 }  // namespace rushhill::membership
--- a/src/membership/start_times.h
+++ b/src/membership/start_times.h
@@ -36,8 +36,8 @@
 // counts, because the clock of the servers was set back between the two starts. A larger age does not count,
 // because the wall clock may have been stepped forward after the server started; only the part beyond the
 // longest step is proven. A start in the future shows that the wall clock was set back, and its reading is
-// ignored. The latest start in a list thus counts as the present, and of servers that started one after
-// another only the latest are treated as new.
+// ignored. The latest start in a list thus counts as the present, unless it lies further back than the
+// longest step, and of servers that started one after another only the latest are treated as new.
 class StartTimeTranslator {
  public:
   // Translates a list from before this process: the configured or stored one, or the first that discovery
--- a/tests/membership/silence_test.cpp
+++ b/tests/membership/silence_test.cpp
@@ -39,9 +39,9 @@
   // Sends each new watch the event that the old one did not receive. Returns how long after the beginning of
   // the silence the client received it.
   Time wait_for_event_on_a_new_watch() {
-    const std::size_t known_watches = discovery.peers.size(), received_before = received_ids.size();
+    const std::size_t watches_before = discovery.peers.size(), received_before = received_ids.size();
     const std::string message = node::notice(last_revision + 1, node::host("late", "10.1.0.9:1", "leaving"));
-    std::size_t answered = known_watches;
+    std::size_t answered = watches_before;
     while (received_ids.size() == received_before && network.now() < silent_since + 10 * update_deadline) {
       for (; answered < discovery.peers.size(); ++answered) write(answered, message);
       advance_time(10);
--- a/tests/membership/start_times_test.cpp
+++ b/tests/membership/start_times_test.cpp
@@ -32,7 +32,7 @@
 
 struct SnapshotReader {
   StartTimeTranslator translator{};
-  // Returns the age of a server in a list that is read by a process whose wall clock is off by `step`.
+  // Returns the age of a server in a list. The process that reads it has a wall clock that is off by `step`.
   Time age_of(const std::string& id, Time step, EndpointEntries entries) {
     translator.translate_snapshot({.monotonic = now, .wall = true_wall + step}, latest_start(entries),
                                   EndpointListForm::complete, entries);
@@ -44,14 +44,15 @@
 TEST(StartTimes, ANewServerNeverLooksOlderInTheInitialList) {
   for (const Time step : steps) {
     for (const Time age : {Time{0}, second / 2, second, 10 * second}) {
-      const Time alone = SnapshotReader{}.age_of("fresh", step, {entry_of("fresh", reported_at_age(age))});
-      EXPECT_GE(alone, 0) << step << ' ' << age;
-      EXPECT_LE(alone, age) << step << ' ' << age;
+      const Time age_alone =
+          SnapshotReader{}.age_of("fresh", step, {entry_of("fresh", reported_at_age(age))});
+      EXPECT_GE(age_alone, 0) << step << ' ' << age;
+      EXPECT_LE(age_alone, age) << step << ' ' << age;
       const EndpointEntries mixed{entry_of("old", reported_at_age(300 * second)), entry_of("always", 0),
                                   entry_of("fresh", reported_at_age(age))};
-      const Time beside_others = SnapshotReader{}.age_of("fresh", step, mixed);
-      EXPECT_GE(beside_others, 0) << step << ' ' << age;
-      EXPECT_LE(beside_others, age) << step << ' ' << age;
+      const Time age_among_others = SnapshotReader{}.age_of("fresh", step, mixed);
+      EXPECT_GE(age_among_others, 0) << step << ' ' << age;
+      EXPECT_LE(age_among_others, age) << step << ' ' << age;
     }
   }
 }
@@ -164,8 +165,8 @@
     return read_known(settings::Fields(json, "known"), as_told);
   }
   void start_client(const std::string& hosts) {
-    const Known known = client.translated(initial_list(hosts));
-    for (const Notice& event : known.notices) record_starts(event.entries);
+    const Known list = client.translated(initial_list(hosts));
+    for (const Notice& event : list.notices) record_starts(event.entries);
     client.watch(true);
     advance_time(second);
     ASSERT_EQ(server.peers.size(), 1U);
