--- a/src/replica/conversation.h
+++ b/src/replica/conversation.h
@@ -1,8 +1,10 @@
-// Two routers that tell each other what the other's copy lacks, over one connection whose bytes come in order
-// or not at all. After a hello each tells where it stands; then each tells, turn by turn and a bounded part
-// at a time, what the other lacks, counting on what it has told; what was taken is acknowledged by points.
-// Now and then all points are told, so that what was never told, or differs, is found. Free of I/O; time is
-// handed in.
+// Replicates the state between two routers over one connection that delivers bytes in order or not at all.
+//
+// After a hello, each side sends the versions of all its streams. Each side then sends the records that the
+// other one lacks, a bounded number in each iteration of the loop, and takes what it has sent as received;
+// the other side acknowledges it with the versions of those streams. At intervals the versions of all streams
+// are sent again, so that records that were never sent and replicas that diverge are found. Does no I/O; the
+// time is passed in.
 #pragma once
 
 #include <string>
@@ -14,7 +16,7 @@
 
 namespace rushhill::replica {
 
-// The connection, as far as a conversation needs it.
+// The sending side of the connection to the peer.
 class Line {
  public:
   Line() = default;
@@ -26,55 +28,62 @@
   virtual std::size_t unsent() const = 0;  // bytes
 };
 
-struct Pace {
-  std::size_t words = 500;          // a turn, so that neither side's events wait
-  std::size_t unsent = 256 * 1024;  // bytes on the line beyond which a turn is passed over
-  Time points_every = 10'000;       // all points; bounds how long a difference stands unfound
+struct SyncLimits {
+  std::size_t records_per_iteration = 500;    // limits the time that client requests wait for an iteration
+  std::size_t max_unsent_bytes = 256 * 1024;  // on the connection; with more, an iteration sends nothing
+  // Tenths of a millisecond between reports of all versions; a divergence is found within that time.
+  Time full_report_interval = 10'000;
 };
 
 class Conversation {
  public:
-  Conversation(const Hello& ours, Replica& copy, Line& line, const Pace& pace)
-      : ours_(ours), copy_(copy), line_(line), pace_(pace) {}
+  Conversation(const Hello& own_hello, Replica& replica, Line& connection, const SyncLimits& limits)
+      : own_hello_(own_hello), replica_(replica), connection_(connection), limits_(limits) {}
 
+  // Sends the hello once the connection is established.
   void opened();
-  // False: the connection is to be closed; `reason` says why, and the other has been told where that helps.
+  // Processes bytes received from the peer. Returns false if the connection has to be closed; `close_reason`
+  // then says why, and the peer has been sent the reason unless it closed the conversation itself.
   bool arrived(Time now, std::string_view bytes);
-  // Every turn of the loop or few: tells what is due.
+  // Sends the records that the peer lacks and, when it is due, a report of all versions. Called in each
+  // iteration of the loop, or every few.
   void turn(Time now);
 
-  bool greeted() const { return greeted_; }
-  std::size_t streams_told() const { return told_.size(); }
-  // The other is known and has told where it stands, and this copy lacks nothing of that.
-  bool caught_up() const { return heard_points_ && behind() == 0; }
-  // This copy has all that the other held when it was first heard to vouch; or, while it does not, all that
-  // it held when it was last heard.
-  bool learnt() const { return heard_points_ && copy_.behind(first_) == 0; }
-  bool other_vouches() const { return other_vouches_; }
-  const Hello& other() const { return theirs_; }
+  bool handshake_done() const { return handshake_done_; }
+  std::size_t peer_stream_count() const { return peer_versions_.size(); }
+  // Whether the peer has reported its versions and this replica lacks no record of them.
+  bool caught_up() const { return received_full_report_ && missing_records() == 0; }
+  // Whether this replica has all records that the peer had when it first reported to have recovered or, as
+  // long as the peer has not recovered, when it last reported all its versions.
+  bool has_initial_records() const {
+    return received_full_report_ && replica_.missing_records(initial_peer_versions_) == 0;
+  }
+  bool peer_recovered() const { return peer_recovered_; }
+  const Hello& peer_hello() const { return peer_hello_; }
   const std::string& reason() const { return reason_; }
-  // Words that the other was last known to have and this copy lacks; nothing known: none.
-  std::uint64_t behind() const { return copy_.behind(told_); }
+  // Returns how many record numbers the peer has reported and this replica lacks; 0 before the first report.
+  std::uint64_t missing_records() const { return replica_.missing_records(peer_versions_); }
 
  private:
-  bool meet(const Hello& theirs);
-  void hear(Time now, const Points& points);
-  void take(Time now, const Batch& batch);
-  Points points(const Summary& of, bool all);
-  bool hang_up(const std::string& reason, bool say);
+  bool on_hello(const Hello& peer_hello);
+  void on_version_report(Time now, const VersionReport& report);
+  void on_deltas(Time now, const DeltaBatch& batch);
+  VersionReport make_report(const VersionVector& versions, bool all_streams);
+  bool close_with(const std::string& reason, bool notify_peer);
 
-  Hello ours_, theirs_{};
-  Replica& copy_;
-  Line& line_;
-  Pace pace_;
+  Hello own_hello_, peer_hello_{};
+  Replica& replica_;
+  Line& connection_;
+  SyncLimits limits_;
   FrameReader reader_;
-  Summary told_;     // where the other said that it stands
-  Summary counted_;  // with what has been told to it since
-  Summary first_;
-  std::uint64_t vouched_ = 0;  // of the other's marks: through here it has been told what met another's
-  bool other_vouches_ = false;
-  bool greeted_ = false, heard_points_ = false;
-  Time points_due_ = 0;
+  VersionVector peer_versions_;       // as the peer reported them
+  VersionVector projected_versions_;  // the same, with the records sent since taken as received
+  VersionVector initial_peer_versions_;
+  // The peer has been told which of its deduplication records up to this number are contested.
+  std::uint64_t contested_reported_through_ = 0;
+  bool peer_recovered_ = false;
+  bool handshake_done_ = false, received_full_report_ = false;
+  Time full_report_due_ = 0;
   std::string reason_;
 };
 
--- a/src/replica/marks.cpp
+++ b/src/replica/marks.cpp
@@ -7,73 +7,75 @@
 namespace rushhill::replica {
 namespace {
 
-constexpr std::size_t hash_digits = 32;  // of 128 bits; two long names never meet by chance
+constexpr std::size_t hash_digits = 32;  // of a 128-bit hash, so that long keys do not collide
 
 }  // namespace
 
-// A source is a URI and has no line break, so that no two pairs make one key.
+// A source is a URI and contains no line break, so two different pairs never give the same joined text.
 std::string mark_of(std::string_view source, std::string_view id) {
   std::string key = std::string(source) + "\n" + std::string(id);
-  if (key.size() <= longest_key) return key;
+  if (key.size() <= max_key_bytes) return key;
   const XXH128_hash_t hash = XXH3_128bits(key.data(), key.size());
-  key.resize(longest_key - hash_digits);
+  key.resize(max_key_bytes - hash_digits);
   for (const std::uint64_t half : {hash.high64, hash.low64}) {
     for (int shift = 60; shift >= 0; shift -= 4) key += "0123456789abcdef"[half >> shift & 0xfU];
   }
   return key;
 }
 
-Taking Marks::take(Time now, std::int64_t event, const std::string& mark, MarkLevel level, Time by) {
+Taking Marks::take(Time now, std::int64_t request, const std::string& key, MarkLevel level, Time deadline) {
   if (level == MarkLevel::none) return Taking::go;
-  if (copy_.stage(mark) >= Stage::taken) return Taking::known;
-  const std::uint64_t number = copy_.take_event(now, mark);
+  if (replica_.stage(key) >= Stage::admitted) return Taking::known;
+  const std::uint64_t number = replica_.admit_request(now, key);
   if (number == 0) return Taking::full;
-  if (level == MarkLevel::announced || others_ <= 0) return Taking::go;
-  // A copy that forgets (the tests' build has one) may take the same again under the same number.
-  if (!waiting_.emplace(number, Waiting{event, by}).second) return Taking::known;
-  by_.emplace(by, number);
+  if (level == MarkLevel::announced || required_holders_ <= 0) return Taking::go;
+  // A replica with the fault that tests can plant may admit the same request again under the same number.
+  if (!pending_.emplace(number, Pending{request, deadline}).second) return Taking::known;
+  deadlines_.emplace(deadline, number);
   return Taking::wait;
 }
 
 void Marks::heard() {
-  const std::uint64_t held = copy_.held_through(Kind::mark, others_);
-  std::vector<std::uint64_t> ripe;
-  for (auto it = waiting_.begin(); it != waiting_.end() && it->first <= held; ++it) ripe.push_back(it->first);
-  for (const auto& [number, routers] : copy_.contested()) {
-    if (number > held && waiting_.contains(number)) ripe.push_back(number);
+  const std::uint64_t replicated_through = replica_.replicated_through(Kind::mark, required_holders_);
+  std::vector<std::uint64_t> decidable;
+  for (auto it = pending_.begin(); it != pending_.end() && it->first <= replicated_through; ++it)
+    decidable.push_back(it->first);
+  for (const auto& [number, routers] : replica_.contested_by_peers()) {
+    if (number > replicated_through && pending_.contains(number)) decidable.push_back(number);
   }
-  for (const std::uint64_t number : ripe) decide(number);
+  for (const std::uint64_t number : decidable) decide(number);
 }
 
-// A holder that had another's mark first does not count; where too few others are left, there is no way on.
+// A peer at which the record is contested does not count as a holder. If too few other peers are left, the
+// request cannot be admitted any more.
 void Marks::decide(std::uint64_t number) {
-  const auto it = waiting_.find(number);
-  if (it == waiting_.end()) return;
-  const int contesting = copy_.contesting(number);
-  const bool goes = copy_.holders(Kind::mark, number) >= others_;
-  if (!goes && routers_ - 1 - contesting >= others_) return;
-  const Waiting waiting = it->second;
-  waiting_.erase(it);
-  const auto [from, to] = by_.equal_range(waiting.by);
-  by_.erase(std::find_if(from, to, [&](const auto& item) { return item.second == number; }));
-  if (goes) {
-    taker_.may_go(waiting.event);
+  const auto it = pending_.find(number);
+  if (it == pending_.end()) return;
+  const int contesting_peers = replica_.contesting_peer_count(number);
+  const bool replicated = replica_.holder_count(Kind::mark, number) >= required_holders_;
+  if (!replicated && routers_ - 1 - contesting_peers >= required_holders_) return;
+  const Pending pending = it->second;
+  pending_.erase(it);
+  const auto [from, to] = deadlines_.equal_range(pending.deadline);
+  deadlines_.erase(std::find_if(from, to, [&](const auto& item) { return item.second == number; }));
+  if (replicated) {
+    observer_.may_go(pending.request);
   } else {
-    taker_.taken_elsewhere(waiting.event);
+    observer_.taken_elsewhere(pending.request);
   }
 }
 
 void Marks::pass(Time now) {
-  while (!by_.empty() && by_.begin()->first <= now) {
-    const std::uint64_t number = by_.begin()->second;
-    by_.erase(by_.begin());
-    const auto it = waiting_.find(number);
-    const std::int64_t event = it->second.event;
-    waiting_.erase(it);
-    if (copy_.contesting(number) > 0) {
-      taker_.taken_elsewhere(event);
+  while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
+    const std::uint64_t number = deadlines_.begin()->second;
+    deadlines_.erase(deadlines_.begin());
+    const auto it = pending_.find(number);
+    const std::int64_t request = it->second.request;
+    pending_.erase(it);
+    if (replica_.contesting_peer_count(number) > 0) {
+      observer_.taken_elsewhere(request);
     } else {
-      taker_.not_held(event);
+      observer_.not_held(request);
     }
   }
 }
--- a/src/replica/marks.h
+++ b/src/replica/marks.h
@@ -1,7 +1,7 @@
-// Which events this router may run: an event is taken by a mark in the copy that all routers hold together,
-// and where its marks are to be held, its first shot waits until so many others have the mark and had no
-// other's of the same event before it. Free of I/O; time is handed in. docs/replication.md says what each
-// level promises.
+// Decides which requests this router may execute. Admitting a request writes a deduplication record to the
+// replicated state. Where the records of a request class have to be replicated first, the first attempt waits
+// until enough other routers have the record and none of these had another router's record of the same
+// request before. Does no I/O; the time is passed in. docs/replication.md states what each level guarantees.
 #pragma once
 
 #include <cstdint>
@@ -14,20 +14,25 @@
 
 namespace rushhill::replica {
 
-// The key of a CloudEvent's mark; a long one is cut and told apart by a hash.
+// Returns the key of a CloudEvent's deduplication record. A key that is too long is cut, and ends in a hash
+// of the whole.
 std::string mark_of(std::string_view source, std::string_view id);
 
-// Whether two takings of one event, each held by so many others, always have a router in common.
-constexpr bool every_two_meet(int routers, int others) { return 2 * (others + 1) > routers; }
-// Whether a router that has started holds again whatever it held before: it has learnt from all others, or
-// from so many that vouch that one of them shares each mark that it ever helped to hold.
-constexpr bool settled(int routers, int others, int learnt_from, int of_them_vouching) {
-  return learnt_from >= routers - 1 || of_them_vouching >= routers - others;
+// Whether any two quorums, each of an admitting router and `required_holders` others, have a router in
+// common.
+constexpr bool every_two_meet(int routers, int required_holders) {
+  return 2 * (required_holders + 1) > routers;
+}
+// Whether a restarted router has all deduplication records again that it held before. It has received those
+// of all others, or of so many recovered ones that each record for which it counted as a holder is held by
+// one of them.
+constexpr bool settled(int routers, int required_holders, int synchronized, int recovered_among_them) {
+  return synchronized >= routers - 1 || recovered_among_them >= routers - required_holders;
 }
 
 enum class Taking { go, wait, known, full };
 
-// Told how each taking that had to wait came out, once, and never from within `take`.
+// Is notified once of the decision on each admission that was pending, never from within `admit`.
 class Taker {
  public:
   Taker() = default;
@@ -35,40 +40,45 @@
   Taker& operator=(const Taker&) = delete;
   virtual ~Taker() = default;
 
-  virtual void may_go(std::int64_t event) = 0;
-  virtual void taken_elsewhere(std::int64_t event) = 0;  // or may have been; it never ran here
-  virtual void not_held(std::int64_t event) = 0;         // in time; it never ran here
+  virtual void may_go(std::int64_t request) = 0;
+  // Another router admitted the request or may have; it was not executed here.
+  virtual void taken_elsewhere(std::int64_t request) = 0;
+  // Too few routers had the record before the deadline; the request was not executed here.
+  virtual void not_held(std::int64_t request) = 0;
 };
 
 class Marks {
  public:
-  // `others`: how many must have a mark that is to be held.
-  Marks(Replica& copy, int routers, int others, Taker& taker)
-      : copy_(copy), routers_(routers), others_(others), taker_(taker) {}
+  // `routers` are all routers; `required_holders` is how many others must have a record that has to be
+  // replicated.
+  Marks(Replica& replica, int routers, int required_holders, Taker& observer)
+      : replica_(replica), routers_(routers), required_holders_(required_holders), observer_(observer) {}
 
-  // `by`: held by then, or not taken. `event` names the taking to the taker, `mark` to all routers.
-  Taking take(Time now, std::int64_t event, const std::string& mark, MarkLevel level, Time by);
-  // What has become of an event that was taken; shed only where it provably never ran.
-  void ended(Time now, const std::string& mark, Stage how) { copy_.end_event(now, mark, how); }
+  // Admits a request unless it was admitted before. `request` identifies it to the observer, `key` to all
+  // routers. If its record has to be replicated and is not by the deadline, the request is not admitted.
+  Taking take(Time now, std::int64_t request, const std::string& key, MarkLevel level, Time deadline);
+  // Records how an admitted request ended. `stage` is `not_executed` only if it was certainly never executed.
+  void ended(Time now, const std::string& key, Stage stage) { replica_.finish_request(now, key, stage); }
 
-  // Others have told where they stand.
+  // Decides on pending admissions after peers have reported new versions.
   void heard();
-  // Time has passed; `next`: when it must be told again, 0: not before something waits.
+  // Decides on the pending admissions whose deadline has passed.
   void pass(Time now);
-  Time next() const { return by_.empty() ? 0 : by_.begin()->first; }
+  // Returns the earliest deadline of a pending admission, or 0 if none is pending.
+  Time next() const { return deadlines_.empty() ? 0 : deadlines_.begin()->first; }
 
  private:
-  struct Waiting {
-    std::int64_t event = 0;
-    Time by = 0;
+  struct Pending {
+    std::int64_t request = 0;
+    Time deadline = 0;
   };
   void decide(std::uint64_t number);
 
-  Replica& copy_;
-  int routers_, others_;
-  Taker& taker_;
-  std::map<std::uint64_t, Waiting> waiting_;  // by the mark's number
-  std::multimap<Time, std::uint64_t> by_;
+  Replica& replica_;
+  int routers_, required_holders_;
+  Taker& observer_;
+  std::map<std::uint64_t, Pending> pending_;      // by the number of the record
+  std::multimap<Time, std::uint64_t> deadlines_;  // to the number of the record
 };
 
 }  // namespace rushhill::replica
--- a/src/replica/neighbours.cpp
+++ b/src/replica/neighbours.cpp
@@ -4,11 +4,11 @@
 
 namespace rushhill::replica {
 
-std::set<int> neighbours(int me, const std::set<int>& there) {
-  // The ring is of those that are there, from the one after us round to the one before.
+std::set<int> select_neighbours(int self, const std::set<int>& reachable) {
+  // From the next higher number around to the next lower one.
   std::vector<int> ring;
-  for (auto it = there.upper_bound(me); it != there.end(); ++it) ring.push_back(*it);
-  for (auto it = there.begin(); it != there.end() && *it < me; ++it) ring.push_back(*it);
+  for (auto it = reachable.upper_bound(self); it != reachable.end(); ++it) ring.push_back(*it);
+  for (auto it = reachable.begin(); it != reachable.end() && *it < self; ++it) ring.push_back(*it);
   std::set<int> chosen;
   for (std::size_t distance = 1; distance <= ring.size(); distance *= 2) chosen.insert(ring[distance - 1]);
   return chosen;
--- a/src/replica/neighbours.h
+++ b/src/replica/neighbours.h
@@ -1,13 +1,13 @@
-// Whom a router exchanges its copy with: a bounded number of others, so that what it costs a router grows
-// with the logarithm of the fleet, and every word reaches all in as many rounds.
+// Selects the routers with which a router exchanges its state. Their number, and the number of rounds in
+// which a record reaches all routers, grow with the logarithm of the number of routers.
 #pragma once
 
 #include <set>
 
 namespace rushhill::replica {
 
-// The routers at distances of 1, 2, 4, ... around the ring of numbers, each replaced by the next one on where
-// it is not there. `there` are the numbers believed alive, `me` among them or not; never `me`.
-std::set<int> neighbours(int me, const std::set<int>& there);
+// Returns the routers at distances of 1, 2, 4, ... from `self` around the ring of the reachable router
+// numbers. `reachable` may contain `self`; the result never does.
+std::set<int> select_neighbours(int self, const std::set<int>& reachable);
 
 }  // namespace rushhill::replica
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -1,9 +1,13 @@
-// One router's copy of what all routers hold together. Each router writes streams of its own and passes on
-// everybody's; a copy is told how far another is and answers with what that one lacks, be it the last word or
-// all of them, so that catching up, also from a second giver after the first died, is the same as keeping up.
-// Merging commutes, associates and repeats harmlessly. Free of I/O; time is handed in and orders nothing.
-// Source: Almeida, Shoker, Baquero, "Delta state replicated data types" (2018), with one writer a stream, so
-// that a number a stream says all that a hash tree would; docs/replication.md.
+// One router's replica of the state that all routers share: a delta-state CRDT with anti-entropy.
+//
+// Each router writes its own streams and forwards the streams of all. A replica is given the versions of
+// another one and answers with the records that it lacks, whether that is the last record or all of them. So
+// a router that catches up, also from a second peer after the first one died, does the same as one that keeps
+// up. Merging is commutative, associative and idempotent. Does no I/O; the time is passed in and does not
+// order records.
+//
+// Source: Almeida, Shoker, Baquero, "Delta state replicated data types" (2018). Each stream has one writer,
+// so one number per stream tells what a hash tree would; docs/replication.md.
 #pragma once
 
 #include <array>
@@ -16,16 +20,17 @@
 namespace rushhill::replica {
 
 struct Bounds {
-  std::array<Time, kinds> life{};             // from when a word was last written; with a margin for drift
-  std::array<std::size_t, kinds> own{};       // words of this router
-  std::array<std::size_t, kinds> together{};  // words of all routers
-  std::size_t streams = 0;                    // of all routers and kinds; empty ones are kept for the horizon
-  // Above any life. What others wrote has lapsed for who heard nobody so long; no frame may come later than
-  // the horizon is beyond the life of what it tells, or what has lapsed could come back.
+  std::array<Time, kinds> life{};             // from the last write; includes a margin for clock drift
+  std::array<std::size_t, kinds> own{};       // max. records of this router
+  std::array<std::size_t, kinds> together{};  // max. records of all routers
+  std::size_t streams = 0;                    // max. streams of all routers and kinds
+  // How long an empty stream of another router is kept after its last delta arrived; longer than any
+  // lifetime. A frame may arrive late by at most the difference to its records' lifetime: if it arrived
+  // later, expired records could come back.
   Time horizon = 0;
 };
 
-// What should be known of the copy; counted by the owner for its metrics.
+// Is notified of limits reached and of violated assumptions.
 class Findings {
  public:
   Findings() = default;
@@ -33,122 +38,141 @@
   Findings& operator=(const Findings&) = delete;
   virtual ~Findings() = default;
 
-  virtual void full(Kind kind) = 0;  // a word was not taken
-  // Two words under one number: the stricter stands.
-  virtual void copies_differed(const StreamId& stream, const Word& stands, const Word& gone) = 0;
-  // Somebody tells words of this router's incarnation that it never wrote.
+  // A record or a stream was not stored because a limit is reached, or a record because its key is too long.
+  virtual void full(Kind kind) = 0;
+  // Two replicas have different records under one number; the greater one by rank, count and key is kept.
+  virtual void copies_differed(const StreamId& stream, const Word& kept, const Word& dropped) = 0;
+  // Another router has records of this router's incarnation that this router never wrote.
   virtual void second_of_us(const Writer& writer) = 0;
-  // Two lives of routers concluded one event as honoured, which no level permits.
-  virtual void honoured_twice(const std::string& event, const Writer& one, const Writer& other) = 0;
+  // Two incarnations both recorded the request as executed, which no deduplication level permits.
+  virtual void honoured_twice(const std::string& request, const Writer& one, const Writer& other) = 0;
 };
 
 class Replica {
  public:
-  // Throws std::invalid_argument where the horizon is not above every life, or a bound is 0.
-  Replica(Writer me, const Bounds& bounds, Findings& findings);
+  // Throws std::invalid_argument if the bounds contradict each other or one is too small.
+  Replica(Writer writer, const Bounds& bounds, Findings& observer);
 
-  // The word's number; 0: the bound is reached and nothing may be lost, so that whatever hangs on it must be
-  // shed. Rank and count under a key never fall; the same again costs nothing. Hints push out the oldest.
+  // Writes a record and returns its number. Returns 0 if a limit is reached or the key is too long; the
+  // caller must then reject what depends on the record. The rank and count of a key never decrease, and
+  // nothing is written if neither increases. When the limit is reached, a new hint replaces this router's
+  // oldest one.
   std::uint64_t write(Time now, Kind kind, const std::string& key, std::uint32_t rank,
                       std::uint64_t count = 0);
 
-  // Over all routers: the highest rank, the sum of the counts.
+  // The highest rank, and the sum of the counts, of a key over all routers.
   std::uint32_t strictest(Kind kind, const std::string& key) const;
-  std::uint64_t sum(Kind kind, const std::string& key) const;
-  // Of an event over all routers, each at its latest taking of it.
-  Stage stage(const std::string& event) const;
-  // This router takes an event, or ends one that it took; as `write`.
-  std::uint64_t take_event(Time now, const std::string& event);
-  std::uint64_t end_event(Time now, const std::string& event, Stage how);
-  // Of this router's earlier lives, over all keys.
+  std::uint64_t total_count(Kind kind, const std::string& key) const;
+  // The highest stage of a request over all routers, each at its latest admission.
+  Stage stage(const std::string& request) const;
+  // Record that this router admits a request, or how one that it admitted ended. Both return what `write`
+  // does.
+  std::uint64_t admit_request(Time now, const std::string& request);
+  std::uint64_t finish_request(Time now, const std::string& request, Stage stage);
+  // The sum of the counts, over all keys, that earlier incarnations of this router wrote.
   std::uint64_t written_before(Kind kind) const;
 
-  Summary summary() const;
-  // What the other lacks, oldest first, `most` words at the most; of copies that differ a part at a time.
-  Batch lacking(Time now, const Summary& theirs, std::size_t most);
-  // How many words told by these points are not here.
-  std::uint64_t behind(const Summary& theirs) const;
-  // 0: nothing of that stream.
+  VersionVector versions() const;
+  // Returns the records that a peer with these versions lacks, at most `max_records`, the oldest of each
+  // stream first. A stream that diverges is sent again from the start, a part with each call.
+  DeltaBatch deltas_for(Time now, const VersionVector& peer_versions, std::size_t max_records);
+  // Returns how many record numbers these versions cover that this replica has not received.
+  std::uint64_t missing_records(const VersionVector& peer_versions) const;
+  // Returns 0 if nothing of that stream is known.
   std::uint64_t known_through(const StreamId& stream) const;
-  // Takes what is new; pieces that begin beyond what is known, or break a bound, are passed over whole or
-  // from there on, and will be told again.
-  void apply(Time now, const Batch& batch);
-
-  // What the other router is known to have; forgotten with it. One that does not vouch, since it started not
-  // long ago and may have forgotten, holds nothing. `contested`: this router's marks that came there after
-  // another's of the same event.
-  void heard_from(int router, const Summary& theirs, bool vouches = true,
-                  const std::vector<std::uint64_t>& contested = {});
-  void forget(int router);
-  // Others that have this router's word, a mark before any other of its event; and the number through which
-  // so many have them.
-  int holders(Kind kind, std::uint64_t number) const;
-  std::uint64_t held_through(Kind kind, int others) const;
-  // Others at which this router's mark came after another's of the same event; and all such marks.
-  int contesting(std::uint64_t number) const;
-  const std::map<std::uint64_t, std::set<int>>& contested() const { return contested_by_; }
-  // A writer's marks beyond `after` that came here after another's. Of two that both came before this copy
-  // vouched, nobody knows which was first: both.
-  std::vector<std::uint64_t> contested_of(const Writer& writer, std::uint64_t after) const;
-  // Whether this copy may stand for what its router held before it was started; as told by the owner.
-  void vouch(bool on) { vouches_ = on; }
-  bool vouches() const { return vouches_; }
-
-  // Drops what has lapsed.
-  void pass(Time now);
-  std::size_t size(Kind kind) const { return sizes_[static_cast<std::size_t>(kind)]; }
-  std::size_t streams() const { return streams_.size(); }
-  Writer me() const { return me_; }
+  // Applies the records that are new. Skips a delta that starts beyond the known records, and the rest of a
+  // delta from a record on that is invalid or exceeds a limit; the sender sends those again later.
+  void apply(Time now, const DeltaBatch& batch);
+
+  // Sets which records a peer has, until `forget_peer`. A peer that restarted and has not recovered does not
+  // count as a holder. `contested` are this router's deduplication records that reached the peer after
+  // another router's record of the same request.
+  void set_peer_versions(int router, const VersionVector& versions, bool recovered = true,
+                         const std::vector<std::uint64_t>& contested = {});
+  void forget_peer(int router);
+  // Returns how many recovered peers have this router's record; a peer at which it is contested does not
+  // count.
+  int holder_count(Kind kind, std::uint64_t number) const;
+  // Returns the number through which `required_holders` recovered peers have this router's records, contested
+  // or not.
+  std::uint64_t replicated_through(Kind kind, int required_holders) const;
+  // Returns at how many peers this router's deduplication record is contested.
+  int contesting_peer_count(std::uint64_t number) const;
+  // This router's contested deduplication records by number, and the peers at which they are contested; these
+  // may all have been forgotten since.
+  const std::map<std::uint64_t, std::set<int>>& contested_by_peers() const { return contested_by_peers_; }
+  // Returns the numbers above `after` of a writer's deduplication records that arrived here after another
+  // writer's record of the same request. Of two that arrived before this replica had recovered, the order is
+  // not known, and both are contested.
+  std::vector<std::uint64_t> contested_records(const Writer& writer, std::uint64_t after) const;
+  // Whether this replica has all records again that its router had before its restart. The owner sets it.
+  void vouch(bool on) { recovered_ = on; }
+  bool recovered() const { return recovered_; }
+
+  // Drops expired records and the streams that have been empty for longer than their retention.
+  void expire_records(Time now);
+  std::size_t size(Kind kind) const { return record_counts_[static_cast<std::size_t>(kind)]; }
+  std::size_t stream_count() const { return streams_.size(); }
+  Writer me() const { return writer_; }
 
  private:
-  struct Row {
-    const std::string* key = nullptr;  // in the index
+  struct StoredRecord {
+    const std::string* key = nullptr;  // points into the index
     std::uint32_t rank = 0;
     std::uint64_t count = 0;
-    Time written = 0;  // on this machine's clock
+    Time written = 0;  // by the local clock
   };
   struct Stream {
-    Point point;
-    std::map<std::uint64_t, Row> rows;
-    std::uint64_t whole_from = 0;  // where the tellers of what is here stood
-    Time heard = 0;
-    bool whole() const { return point.through >= whole_from; }
+    StreamVersion version;
+    std::map<std::uint64_t, StoredRecord> records;
+    std::uint64_t complete_from = 0;  // the stream is complete once all records up to this number are known
+    Time last_received = 0;
+    bool complete() const { return version.known_through >= complete_from; }
   };
-  struct Holder {
+  struct RecordLocation {
     StreamId stream{};
     std::uint64_t number = 0;
   };
-  // Every word under its key, so that reading does not walk all routers. Ordered: a hash table would now and
-  // then stand still to grow.
-  using Index = std::map<std::string, std::vector<Holder>, std::less<>>;
+  // All records by key, so that a lookup does not visit every stream. The map is ordered because a hash table
+  // would at times pause to rehash.
+  using Index = std::map<std::string, std::vector<RecordLocation>, std::less<>>;
 
   static std::size_t at(Kind kind) { return static_cast<std::size_t>(kind); }
-  // 0: no word of that stream.
-  std::uint64_t number_of(const StreamId& id, const std::string& key) const;
-  void put(const StreamId& id, Stream& stream, const std::string& key, std::uint64_t number, Row row);
-  void drop(const StreamId& id, Stream& stream, std::map<std::uint64_t, Row>::iterator row);
-  void end_through(const StreamId& id, Stream& stream, std::uint64_t number);
-  bool take(Time now, const StreamId& id, Stream& stream, const Word& word);
-  void settle(Time now, const StreamId& id, Stream& stream, const Word& word);
-  void meet(const StreamId& id, const std::vector<Holder>& holders, std::uint64_t number, const Row& row);
+  // Returns the number of the key's record in the stream, or 0 if there is none.
+  std::uint64_t find_number(const StreamId& id, const std::string& key) const;
+  void insert_record(const StreamId& id, Stream& stream, const std::string& key, std::uint64_t number,
+                     StoredRecord record);
+  void erase_record(const StreamId& id, Stream& stream,
+                    std::map<std::uint64_t, StoredRecord>::iterator record);
+  void expire_through(const StreamId& id, Stream& stream, std::uint64_t number);
+  // Returns false if a limit is reached or the record is invalid; the records after it are then not applied.
+  bool apply_record(Time now, const StreamId& id, Stream& stream, const Word& received);
+  // Handles a record whose number is known already: it is the same record, or it was replaced since, or the
+  // replicas diverge.
+  void resolve_conflict(Time now, const StreamId& id, Stream& stream, const Word& received);
+  // Marks a deduplication record as contested if another writer admitted the same request before. Its writer
+  // has to learn of that before it counts this replica as a holder of the record.
+  void note_contested(const StreamId& id, const std::vector<RecordLocation>& same_key, std::uint64_t number,
+                      const StoredRecord& record);
   template <typename Visit>
-  void each_holder(Kind kind, const std::string& key, Visit visit) const;
+  void for_each_record(Kind kind, const std::string& key, Visit visit) const;
 
-  Writer me_;
+  Writer writer_;
   Bounds bounds_;
-  Findings& findings_;
+  Findings& observer_;
   std::map<StreamId, Stream> streams_;
   std::array<Index, kinds> index_;
-  std::array<std::size_t, kinds> sizes_{};
-  struct Theirs {
-    Summary summary;
-    bool vouches = true;
+  std::array<std::size_t, kinds> record_counts_{};
+  struct Peer {
+    VersionVector versions;
+    bool recovered = true;
   };
-  std::map<int, Theirs> theirs_;
-  std::map<StreamId, std::set<std::uint64_t>> contested_;  // of rows that stand
-  std::map<std::uint64_t, std::set<int>> contested_by_;    // of rows of this router's
-  bool vouches_ = true;
-  std::map<StreamId, std::uint64_t> repaired_;  // of copies that differ: told again through here
+  std::map<int, Peer> peers_;
+  std::map<StreamId, std::set<std::uint64_t>> contested_records_;  // numbers by stream
+  std::map<std::uint64_t, std::set<int>> contested_by_peers_;      // peers by this router's record number
+  bool recovered_ = true;
+  // For each diverging stream, the number up to which its records have been sent again.
+  std::map<StreamId, std::uint64_t> resent_through_;
 };
 
 }  // namespace rushhill::replica
--- a/src/replica/state.h
+++ b/src/replica/state.h
@@ -1,5 +1,6 @@
-// The shapes of what routers hold together: who wrote what, in which order, and what is told of it. Nothing
-// here sends, reads a clock or orders by one: each writer numbers its own words, and only it writes them.
+// The data types of the replicated state: records, the streams that they belong to, and the deltas that
+// routers exchange. Records are never ordered by a clock: each writer numbers its own records, and no other
+// router writes them.
 #pragma once
 
 #include <compare>
@@ -12,36 +13,42 @@
 
 namespace rushhill::replica {
 
-// Its merging rule, bound and life by kind: docs/replication.md.
+// What a record is about. docs/replication.md gives the merge rule, the bounds and the lifetime of each kind.
 enum class Kind { mark, ration, quota, departure, hint };
 constexpr int kinds = 5;
 
-// How far an event came at one router; from `taken` on a shot may have run. Across routers the strictest
-// counts: what may have run is never outvoted by a router at which it did not.
-enum class Stage : std::uint32_t { none, shed, taken, abandoned, honoured };
+// How far one router has processed a request. From `admitted` on, an attempt may have been executed. Over all
+// routers the highest stage counts, so a router that never executed the request cannot hide that another one
+// may have.
+enum class Stage : std::uint32_t { none, shed, admitted, abandoned, honoured };
 
-// A mark's rank: a router that shed an event, unrun, may take it once more, and its rank still never falls.
-constexpr std::uint32_t ranks_a_taking = 8;
-constexpr Stage stage_of(std::uint32_t rank) { return static_cast<Stage>(rank % ranks_a_taking); }
+// The rank of a deduplication record is its stage plus this number for each admission that ended without
+// execution. A router that rejected a request without executing it may admit it again, and the rank still
+// never decreases.
+constexpr std::uint32_t ranks_per_admission = 8;
+constexpr Stage stage_of(std::uint32_t rank) { return static_cast<Stage>(rank % ranks_per_admission); }
 
-// How a traffic type's marks are kept; docs/replication.md says what each promises.
+// How the requests of a request class are deduplicated; docs/replication.md states what each level
+// guarantees.
 enum class MarkLevel {
   none,
-  announced,  // sent to the others before the first shot, not waited for
-  held        // so many others have it before the first shot
+  announced,  // the record is sent before the first attempt, which does not wait for an answer
+  held        // the first attempt waits until enough other routers have the record
 };
 
-// Routers that all exchange their copies with one another, so that a mark can be held by more than half.
+// Up to this number of routers, each one is linked to all others, so that a record can be replicated to more
+// than half of them.
 constexpr int most_meeting = 16;
 
-// One life of one router. Incarnations are drawn at random at each start; they are told apart, never ordered.
+// One incarnation of one router. Incarnation numbers are drawn at random at each start; they are compared for
+// equality and have no order in time.
 struct Writer {
   int router = 0;
   std::uint64_t incarnation = 0;
   auto operator<=>(const Writer&) const = default;
 };
 
-// One writer's words of one kind, numbered from 1.
+// All records of one kind by one writer, numbered from 1.
 struct StreamId {
   Kind kind = Kind::mark;
   Writer writer{};
@@ -50,34 +57,40 @@
 
 struct Word {
   std::uint64_t number = 0;
-  std::string key{};        // event, customer and bucket, server, ...; at most `longest_key` bytes
-  std::uint32_t rank = 0;   // the kind's own order; never falls under one key
-  std::uint64_t count = 0;  // likewise
-  Time age = 0;             // since it was written, as far as the teller knows
+  std::string key{};        // of a request, a tenant and time bucket, a server, ...; at most `max_key_bytes`
+  std::uint32_t rank = 0;   // ordered within the kind; never decreases for one writer and key
+  std::uint64_t count = 0;  // never decreases for one writer and key
+  Time age = 0;             // since the record was written, as far as the sender knows
 };
 
-constexpr std::size_t longest_key = 512;  // bytes; source and id of a CloudEvent in ordinary use
-
-// How far somebody is with a stream: all words up to `through` are known, those up to `ended` have lapsed.
-struct Point {
-  std::uint64_t ended = 0, through = 0;
-  std::uint64_t digest =
-      0;              // of the words between; equal whole points with unequal digests: copies that differ
-  bool whole = true;  // false on the way through a longer telling: what overwrote a word may be missing
-  bool operator==(const Point&) const = default;
+constexpr std::size_t max_key_bytes = 512;  // enough for the source and id of an ordinary CloudEvent
+
+// The state of a stream at one router: it knows all records up to `known_through`, and those up to
+// `expired_through` have expired.
+struct StreamVersion {
+  std::uint64_t expired_through = 0, known_through = 0;
+  // Of the records in between. If two complete versions are equal except for the digest, the replicas
+  // diverge.
+  std::uint64_t digest = 0;
+  // False while a transfer in several parts is under way: a record that replaces an earlier one may be
+  // missing.
+  bool complete = true;
+  bool operator==(const StreamVersion&) const = default;
 };
 
-using Summary = std::map<StreamId, Point>;
+// The versions of several streams. A router that sends all its versions knows no record of a stream without
+// an entry.
+using VersionVector = std::map<StreamId, StreamVersion>;
 
-// Words of one stream for somebody who knows it through `after`. Numbers that are left out were overwritten
-// by later words or have lapsed.
+// The records of one stream that follow number `after`, up to `through`. Numbers that are left out were
+// replaced by later records or have expired.
 struct Piece {
   StreamId stream{};
-  std::uint64_t after = 0, ended = 0, through = 0;
-  std::uint64_t of = 0;  // where the teller stands; whole from there on
+  std::uint64_t after = 0, expired_through = 0, through = 0;
+  std::uint64_t of = 0;  // the receiver's stream is complete once it has all records up to this number
   std::vector<Word> words{};
 };
 
-using Batch = std::vector<Piece>;
+using DeltaBatch = std::vector<Piece>;
 
 }  // namespace rushhill::replica
--- a/src/replicating/replica_links.h
+++ b/src/replicating/replica_links.h
@@ -1,6 +1,6 @@
-// The ways between routers on which their copies are exchanged: TCP to a few neighbours, and from whoever has
-// us for one. A way that is silent, garbled or of another deployment is closed, and the next router on asked
-// in its place; it is tried again after a pause.
+// The TCP links on which routers exchange their replicated state: to a few neighbours, and from the routers
+// whose neighbour this one is. A link to a router that is silent, sends invalid data or belongs to another
+// deployment is closed and retried after a backoff; meanwhile the next router takes its place.
 #pragma once
 
 #include <functional>
@@ -17,41 +17,45 @@
 
 namespace rushhill::replicating {
 
-struct Ways {
+struct ReplicaLinksConfig {
   std::string listen{};                  // an address with a port
-  std::vector<std::string> addresses{};  // by router number; empty: cannot be reached
-  replica::Hello hello{};                // who we are
-  replica::Pace pace{};
-  bool everybody = false;            // asked, not some neighbours only: for few routers
-  std::size_t most_links = 256;      // two in three of them for routers that come to us
-  std::function<void()> heard = {};  // another has told something; may be empty
+  std::vector<std::string> addresses{};  // by router number; an empty one is never connected to
+  replica::Hello hello{};                // identifies this router
+  replica::SyncLimits limits{};
+  bool everybody = false;            // connects to all routers instead of a few neighbours
+  std::size_t most_links = 256;      // at most two thirds of them accepted
+  std::function<void()> heard = {};  // called after data from a peer; may be empty
 };
 
-// As many links as a router has of its own, twice over from those that have it for a neighbour: one that
-// comes back may stand beside its earlier self.
+// Returns the limit of links for a router: those that it opens itself, and twice as many accepted ones, since
+// a restarted router may connect while the link of its earlier incarnation is still open.
 std::size_t most_links(int routers, bool everybody);
 
 class ReplicaLinks {
  public:
-  // Listens at once; throws where an address cannot be had.
-  ReplicaLinks(transport::Reactor& reactor, const Ways& ways, replica::Replica& copy, core::EventLog& diary);
+  // Listens at once; throws if an address is invalid or cannot be listened on.
+  ReplicaLinks(transport::Reactor& reactor, const ReplicaLinksConfig& config, replica::Replica& replica,
+               core::EventLog& event_log);
   ~ReplicaLinks();
   ReplicaLinks(const ReplicaLinks&) = delete;
   ReplicaLinks& operator=(const ReplicaLinks&) = delete;
 
   transport::Address address() const { return listener_.address(); }
-  // A word was written here: it is told when the present call has returned, not with the next turn.
+  // Sends a record that was written here as soon as the present call has returned, not with the next
+  // iteration.
   void written();
-  // The same at once: the bytes are the system's when this returns, where it takes them.
+  // Sends the records that peers lack at once. When this returns, the bytes have been handed to the system as
+  // far as it takes them.
   void tell_now();
-  // Routers with which words are being exchanged.
+  // Returns the routers with which records are being exchanged.
   std::set<int> met() const;
-  // The most words that any of them is known to have and this copy lacks.
+  // Returns the largest number of records that one of them has reported and this replica lacks.
   std::uint64_t behind() const;
-  // Everybody that is asked has answered, at least one, and this copy lacks nothing that they have.
+  // Whether there is a link, and each link's peer has reported its versions and has no record that this
+  // replica lacks.
   bool caught_up() const;
-  // Of how many other routers this copy has all that they held when they were first heard: all, and those of
-  // them that vouch for it.
+  // The number of other routers whose initial records this replica has, and how many of those have recovered.
+  // See Conversation::has_initial_records.
   struct Learnt {
     int all = 0, vouching = 0;
   };
@@ -60,28 +64,28 @@
 
  private:
   class Link;
-  struct Far {
-    Time pause = 0, again_at = 0;  // while it could not be reached
+  struct Backoff {
+    Time delay = 0, retry_at = 0;
   };
 
   void accept(const transport::PendingConnection& arrival);
-  bool make_room();
-  void turn();
-  void look(Time now);
-  void end(Link& link, const std::string& why);
-  void greeted(Link& link);
+  bool evict_unidentified_link();
+  void run_iteration();
+  void check_links(Time now);
+  void close_link(Link& link, const std::string& reason);
+  void on_handshake(Link& link);
   bool linked_to(int router) const;
 
   transport::Reactor& reactor_;
-  Ways ways_;
-  replica::Replica& copy_;
-  core::EventLog& diary_;
+  ReplicaLinksConfig config_;
+  replica::Replica& replica_;
+  core::EventLog& event_log_;
   std::map<Link*, std::shared_ptr<Link>, transport::ByNumber> links_;
-  std::map<int, Far> far_;
-  core::Timer alarm_;
-  Time look_at_ = 0;
-  bool telling_soon_ = false;
-  std::shared_ptr<int> life_ = std::make_shared<int>(0);
+  std::map<int, Backoff> backoffs_;  // by router
+  core::Timer timer_;
+  Time next_check_ = 0;
+  bool send_scheduled_ = false;
+  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
   transport::Listener listener_;
 };
 
--- a/tests/replica/marks_test.cpp
+++ b/tests/replica/marks_test.cpp
@@ -1,6 +1,7 @@
-// Several routers take events, some of them the same, over ways that carry bytes in pieces, break, and
-// routers that start again having forgotten everything. Who may run an event is judged by the test's own
-// plain list.
+// Guards against a request that is executed twice because two routers admit it, or because a restarted router
+// has lost its records. Several routers admit requests, some of them the same, over links that deliver bytes
+// in pieces, break or are blocked, while routers restart without their records. A plain count of the
+// executions of each request is the judge.
 #include "replica/marks.h"
 
 #include <gtest/gtest.h>
@@ -17,334 +18,351 @@
 
 constexpr Time second = 10'000;
 
-struct Quiet final : Findings {
+struct IgnoringObserver final : Findings {
   void full(Kind) override {}
   void copies_differed(const StreamId&, const Word&, const Word&) override {}
   void second_of_us(const Writer&) override {}
   void honoured_twice(const std::string&, const Writer&, const Writer&) override {}
 };
 
-Bounds bounds(std::size_t marks = 1'000) {
-  Bounds told{.streams = 4'000, .horizon = 600 * second};
-  told.life.fill(300 * second);
-  told.own.fill(marks);
-  told.together.fill(20 * marks);
-  return told;
+Bounds bounds(std::size_t own_records = 1'000) {
+  Bounds result{.streams = 4'000, .horizon = 600 * second};
+  result.life.fill(300 * second);
+  result.own.fill(own_records);
+  result.together.fill(20 * own_records);
+  return result;
 }
 
-class MemoryLine final : public Line {
+class BufferedConnection final : public Line {
  public:
-  void send(const std::string& bytes) override { out += bytes; }
-  std::size_t unsent() const override { return out.size(); }
-  std::string take(std::size_t most) {
-    std::string bytes = out.substr(0, most);
-    out.erase(0, bytes.size());
+  void send(const std::string& bytes) override { buffer += bytes; }
+  std::size_t unsent() const override { return buffer.size(); }
+  std::string take_bytes(std::size_t max_bytes) {
+    std::string bytes = buffer.substr(0, max_bytes);
+    buffer.erase(0, bytes.size());
     return bytes;
   }
-  std::string out;
+  std::string buffer;
 };
 
-struct Plan {
-  int routers = 5, others = 2;
+struct FleetConfig {
+  int routers = 5, required_holders = 2;
   MarkLevel level = MarkLevel::held;
-  bool trusts_at_once = false;  // planted: a router that has forgotten counts as a holder
+  bool counts_as_holder_at_start = false;  // a planted fault
 };
 
-// Events that went at some router, and have not been said unrun since.
-struct Ran {
-  std::map<std::string, int> times;
-  bool twice = false;
-  void went(const std::string& mark) { twice |= ++times[mark] > 1; }
+// Counts the executions of each request over all routers.
+struct ExecutionCheck {
+  std::map<std::string, int> counts;
+  bool any_twice = false;
+  void on_executed(const std::string& key) { any_twice |= ++counts[key] > 1; }
 };
 
-class Node final : Taker {
+class Router final : Taker {
  public:
-  Node(int number, std::uint64_t life, const Plan& plan, Ran& ran)
-      : copy({number, life}, bounds(), quiet), marks(copy, plan.routers, plan.others, *this), ran_(ran) {
-    copy.vouch(plan.trusts_at_once);
+  Router(int number, std::uint64_t incarnation, const FleetConfig& config, ExecutionCheck& executions)
+      : replica({number, incarnation}, bounds(), observer),
+        marks(replica, config.routers, config.required_holders, *this), executions_(executions) {
+    replica.vouch(config.counts_as_holder_at_start);
     hello.name = "n" + std::to_string(number);
-    hello.writer = copy.me();
+    hello.writer = replica.me();
   }
-  Taking take(const std::string& mark, MarkLevel level, Time now = 0) {
-    names_[++last_] = mark;
-    const Taking how = marks.take(now, last_, mark, level, now + second);
-    if (how == Taking::go) ran_.went(mark);
-    return how;
+  Taking admit(const std::string& key, MarkLevel level, Time now = 0) {
+    keys_[++last_request_] = key;
+    const Taking result = marks.take(now, last_request_, key, level, now + second);
+    if (result == Taking::go) executions_.on_executed(key);
+    return result;
   }
-  Quiet quiet;
-  Replica copy;
+  IgnoringObserver observer;
+  Replica replica;
   Marks marks;
   Hello hello;
-  std::vector<std::string> gone, elsewhere, dropped;
+  std::vector<std::string> admitted, duplicates, timed_out;
 
  private:
-  void may_go(std::int64_t event) override { gone.push_back(names_.at(event)), ran_.went(names_.at(event)); }
-  void taken_elsewhere(std::int64_t event) override {
-    elsewhere.push_back(names_.at(event));
-    marks.ended(0, names_.at(event), Stage::shed);
+  void may_go(std::int64_t request) override {
+    admitted.push_back(keys_.at(request)), executions_.on_executed(keys_.at(request));
   }
-  void not_held(std::int64_t event) override {
-    dropped.push_back(names_.at(event));
-    marks.ended(0, names_.at(event), Stage::shed);
+  void taken_elsewhere(std::int64_t request) override {
+    duplicates.push_back(keys_.at(request));
+    marks.ended(0, keys_.at(request), Stage::shed);
   }
-  Ran& ran_;
-  std::map<std::int64_t, std::string> names_;
-  std::int64_t last_ = 0;
+  void not_held(std::int64_t request) override {
+    timed_out.push_back(keys_.at(request));
+    marks.ended(0, keys_.at(request), Stage::shed);
+  }
+  ExecutionCheck& executions_;
+  std::map<std::int64_t, std::string> keys_;
+  std::int64_t last_request_ = 0;
 };
 
-// All routers, and a way between every two.
+// All routers, and a link between any two of them.
 class Fleet {
  public:
-  explicit Fleet(const Plan& of, bool long_up = true) : plan(of) {
-    for (int i = 0; i < plan.routers; ++i) nodes.push_back(std::make_unique<Node>(i, ++lives_, plan, ran));
-    for (int i = 0; i < plan.routers; ++i) {
-      if (long_up) nodes[static_cast<std::size_t>(i)]->copy.vouch(true);
-      for (int k = 0; k < i; ++k) join(k, i);
+  explicit Fleet(const FleetConfig& fleet_config, bool recovered_at_start = true) : config(fleet_config) {
+    for (int i = 0; i < config.routers; ++i)
+      routers.push_back(std::make_unique<Router>(i, ++last_incarnation_, config, executions));
+    for (int i = 0; i < config.routers; ++i) {
+      if (recovered_at_start) routers[static_cast<std::size_t>(i)]->replica.vouch(true);
+      for (int k = 0; k < i; ++k) connect(k, i);
     }
   }
-  Node& operator[](int i) { return *nodes[static_cast<std::size_t>(i)]; }
+  Router& operator[](int i) { return *routers[static_cast<std::size_t>(i)]; }
 
-  void join(int a, int b) {
-    Way& way = ways_[{std::min(a, b), std::max(a, b)}];
-    way = {};
-    (*this)[a].copy.forget(b), (*this)[b].copy.forget(a);
-    way.talks[0] = std::make_unique<Conversation>((*this)[std::min(a, b)].hello, (*this)[std::min(a, b)].copy,
-                                                  *way.lines[0], Pace{});
-    way.talks[1] = std::make_unique<Conversation>((*this)[std::max(a, b)].hello, (*this)[std::max(a, b)].copy,
-                                                  *way.lines[1], Pace{});
-    for (const auto& talk : way.talks) talk->opened();
+  void connect(int a, int b) {
+    Link& link = links_[{std::min(a, b), std::max(a, b)}];
+    link = {};
+    (*this)[a].replica.forget_peer(b), (*this)[b].replica.forget_peer(a);
+    link.conversations[0] = std::make_unique<Conversation>(
+        (*this)[std::min(a, b)].hello, (*this)[std::min(a, b)].replica, *link.connections[0], SyncLimits{});
+    link.conversations[1] = std::make_unique<Conversation>(
+        (*this)[std::max(a, b)].hello, (*this)[std::max(a, b)].replica, *link.connections[1], SyncLimits{});
+    for (const auto& conversation : link.conversations) conversation->opened();
   }
-  // At most so many bytes each way; what they bring about follows.
-  void carry(int a, int b, std::size_t most = 1'000'000) {
-    Way& way = ways_.at({std::min(a, b), std::max(a, b)});
-    if (way.held) return;
-    const std::string there = way.lines[0]->take(most), back = way.lines[1]->take(most);
-    ASSERT_TRUE(way.talks[1]->arrived(now, there)) << way.talks[1]->reason();
-    ASSERT_TRUE(way.talks[0]->arrived(now, back)) << way.talks[0]->reason();
-    for (const int one : {a, b}) {
-      (*this)[one].marks.heard();
-      settle(one);
+  // Delivers at most `max_bytes` in each direction and lets both routers act on them.
+  void deliver(int a, int b, std::size_t max_bytes = 1'000'000) {
+    Link& link = links_.at({std::min(a, b), std::max(a, b)});
+    if (link.blocked) return;
+    const std::string to_second = link.connections[0]->take_bytes(max_bytes),
+                      to_first = link.connections[1]->take_bytes(max_bytes);
+    ASSERT_TRUE(link.conversations[1]->arrived(now, to_second)) << link.conversations[1]->reason();
+    ASSERT_TRUE(link.conversations[0]->arrived(now, to_first)) << link.conversations[0]->reason();
+    for (const int router : {a, b}) {
+      (*this)[router].marks.heard();
+      update_recovered(router);
     }
-    for (const auto& talk : way.talks) talk->turn(now);
+    for (const auto& conversation : link.conversations) conversation->turn(now);
+  }
+  void set_blocked(int a, int b, bool blocked) {
+    links_.at({std::min(a, b), std::max(a, b)}).blocked = blocked;
   }
-  void hold(int a, int b, bool on) { ways_.at({std::min(a, b), std::max(a, b)}).held = on; }
-  void carry_all(int times = 12) {
-    for (int i = 0; i < times; ++i) {
+  void deliver_all(int rounds = 12) {
+    for (int i = 0; i < rounds; ++i) {
       now += 1'000;
-      for (const auto& [pair, way] : ways_) carry(pair.first, pair.second);
+      for (const auto& [pair, link] : links_) deliver(pair.first, pair.second);
     }
   }
   void restart(int i) {
-    nodes[static_cast<std::size_t>(i)] = nullptr;
-    for (int k = 0; k < plan.routers; ++k) {
-      if (k != i) ways_.erase({std::min(i, k), std::max(i, k)});
+    routers[static_cast<std::size_t>(i)] = nullptr;
+    for (int k = 0; k < config.routers; ++k) {
+      if (k != i) links_.erase({std::min(i, k), std::max(i, k)});
     }
-    nodes[static_cast<std::size_t>(i)] = std::make_unique<Node>(i, ++lives_, plan, ran);
-    for (int k = 0; k < plan.routers; ++k) {
-      if (k != i) join(i, k);
+    routers[static_cast<std::size_t>(i)] =
+        std::make_unique<Router>(i, ++last_incarnation_, config, executions);
+    for (int k = 0; k < config.routers; ++k) {
+      if (k != i) connect(i, k);
     }
   }
-  void settle(int i) {
-    int all = 0, vouching = 0;
-    for (const auto& [pair, way] : ways_) {
+  void update_recovered(int i) {
+    int synchronized = 0, recovered = 0;
+    for (const auto& [pair, link] : links_) {
       if (pair.first != i && pair.second != i) continue;
-      const Conversation& talk = *way.talks[pair.first == i ? 0 : 1];
-      all += talk.learnt() ? 1 : 0;
-      vouching += talk.learnt() && talk.other_vouches() ? 1 : 0;
+      const Conversation& conversation = *link.conversations[pair.first == i ? 0 : 1];
+      synchronized += conversation.has_initial_records() ? 1 : 0;
+      recovered += conversation.has_initial_records() && conversation.peer_recovered() ? 1 : 0;
     }
-    if (settled(plan.routers, plan.others, all, vouching)) (*this)[i].copy.vouch(true);
+    if (settled(config.routers, config.required_holders, synchronized, recovered))
+      (*this)[i].replica.vouch(true);
   }
-  bool all_vouch() const {
-    return std::ranges::all_of(nodes, [](const auto& node) { return node->copy.vouches(); });
+  bool all_recovered() const {
+    return std::ranges::all_of(routers, [](const auto& router) { return router->replica.recovered(); });
   }
 
-  Plan plan;
-  Ran ran;
-  std::vector<std::unique_ptr<Node>> nodes;
+  FleetConfig config;
+  ExecutionCheck executions;
+  std::vector<std::unique_ptr<Router>> routers;
   Time now = 1;
 
  private:
-  struct Way {
-    std::array<std::unique_ptr<MemoryLine>, 2> lines{std::make_unique<MemoryLine>(),
-                                                     std::make_unique<MemoryLine>()};
-    std::array<std::unique_ptr<Conversation>, 2> talks;
-    bool held = false;
+  struct Link {
+    std::array<std::unique_ptr<BufferedConnection>, 2> connections{std::make_unique<BufferedConnection>(),
+                                                                   std::make_unique<BufferedConnection>()};
+    std::array<std::unique_ptr<Conversation>, 2> conversations;
+    bool blocked = false;
   };
-  std::map<std::pair<int, int>, Way> ways_;
-  std::uint64_t lives_ = 0;
+  std::map<std::pair<int, int>, Link> links_;
+  std::uint64_t last_incarnation_ = 0;
 };
 
-TEST(MarksStory, AnEventGoesOnceEnoughOthersHaveItsMarkAndNowhereElseAfter) {
+TEST(DeduplicationRecordsTest, AdmitsARequestOnceEnoughOthersHaveItsRecordAndNowhereAfterwards) {
   Fleet fleet({});
-  fleet.carry_all();
-  EXPECT_EQ(fleet[0].take("e", MarkLevel::held), Taking::wait);
-  EXPECT_TRUE(fleet[0].gone.empty());
-  fleet.carry_all(3);
-  EXPECT_EQ(fleet[0].gone, std::vector<std::string>{"e"});
-  EXPECT_EQ(fleet[3].take("e", MarkLevel::held), Taking::known);
-  EXPECT_EQ(fleet[0].take("e", MarkLevel::held), Taking::known) << "sent twice to one router, too";
+  fleet.deliver_all();
+  EXPECT_EQ(fleet[0].admit("e", MarkLevel::held), Taking::wait);
+  EXPECT_TRUE(fleet[0].admitted.empty());
+  fleet.deliver_all(3);
+  EXPECT_EQ(fleet[0].admitted, std::vector<std::string>{"e"});
+  EXPECT_EQ(fleet[3].admit("e", MarkLevel::held), Taking::known);
+  EXPECT_EQ(fleet[0].admit("e", MarkLevel::held), Taking::known)
+      << "a duplicate that the same router receives is rejected, too";
 }
 
-TEST(MarksStory, TheRouterThatDiedBetweenShotAndAnswerIsSpokenForByTheOthers) {
+TEST(DeduplicationRecordsTest, EveryRouterRejectsADuplicateAfterTheAdmittingRouterRestarted) {
   Fleet fleet({});
-  fleet.carry_all();
-  fleet[0].take("e", MarkLevel::held);
-  fleet.carry_all(3);
+  fleet.deliver_all();
+  fleet[0].admit("e", MarkLevel::held);
+  fleet.deliver_all(3);
   fleet.restart(0);
-  fleet.carry_all();
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(fleet[i].take("e", MarkLevel::held), Taking::known) << i;
+  fleet.deliver_all();
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(fleet[i].admit("e", MarkLevel::held), Taking::known) << i;
 }
 
-TEST(MarksStory, OfTwoThatTakeOneEventAtOnceTheOneThatReachedMoreFirstGoes) {
+TEST(DeduplicationRecordsTest, OfTwoConcurrentAdmissionsExactlyOneSucceeds) {
   Fleet fleet({});
-  fleet.carry_all();
-  fleet[0].take("e", MarkLevel::held);
-  fleet[4].take("e", MarkLevel::held);
-  fleet.carry_all();
-  EXPECT_EQ(fleet[0].gone.size() + fleet[4].gone.size(), 1U);
-  EXPECT_EQ(fleet[0].gone.size() + fleet[0].elsewhere.size(), 1U) << "each has its answer";
-  EXPECT_EQ(fleet[4].gone.size() + fleet[4].elsewhere.size(), 1U);
+  fleet.deliver_all();
+  fleet[0].admit("e", MarkLevel::held);
+  fleet[4].admit("e", MarkLevel::held);
+  fleet.deliver_all();
+  EXPECT_EQ(fleet[0].admitted.size() + fleet[4].admitted.size(), 1U);
+  EXPECT_EQ(fleet[0].admitted.size() + fleet[0].duplicates.size(), 1U) << "each admission was decided";
+  EXPECT_EQ(fleet[4].admitted.size() + fleet[4].duplicates.size(), 1U);
 }
 
-TEST(MarksStory, AMarkThatNobodyTakesInTimeEndsUnrunAndTheEventIsFreeAgain) {
+TEST(DeduplicationRecordsTest, RejectsARequestWhoseRecordIsNotReplicatedInTimeAndAdmitsItLater) {
   Fleet fleet({});
-  fleet.carry_all();
-  for (int i = 1; i < 5; ++i) fleet.hold(0, i, true);
-  fleet[0].take("e", MarkLevel::held, fleet.now);
-  fleet.carry_all();
+  fleet.deliver_all();
+  for (int i = 1; i < 5; ++i) fleet.set_blocked(0, i, true);
+  fleet[0].admit("e", MarkLevel::held, fleet.now);
+  fleet.deliver_all();
   fleet[0].marks.pass(fleet.now + second);
-  EXPECT_EQ(fleet[0].dropped, std::vector<std::string>{"e"});
+  EXPECT_EQ(fleet[0].timed_out, std::vector<std::string>{"e"});
   EXPECT_EQ(fleet[0].marks.next(), 0);
-  for (int i = 1; i < 5; ++i) fleet.hold(0, i, false);
-  fleet.carry_all();
-  EXPECT_TRUE(fleet[0].gone.empty()) << "its time was up";
-  EXPECT_EQ(fleet[2].take("e", MarkLevel::held), Taking::wait);
-  fleet.carry_all();
-  EXPECT_EQ(fleet[2].gone, std::vector<std::string>{"e"});
+  for (int i = 1; i < 5; ++i) fleet.set_blocked(0, i, false);
+  fleet.deliver_all();
+  EXPECT_TRUE(fleet[0].admitted.empty()) << "the deadline had passed";
+  EXPECT_EQ(fleet[2].admit("e", MarkLevel::held), Taking::wait);
+  fleet.deliver_all();
+  EXPECT_EQ(fleet[2].admitted, std::vector<std::string>{"e"});
   fleet[2].marks.ended(fleet.now, "e", Stage::shed);
-  EXPECT_EQ(fleet[2].take("e", MarkLevel::held), Taking::wait) << "shed here, unrun: it may come once more";
+  EXPECT_EQ(fleet[2].admit("e", MarkLevel::held), Taking::wait)
+      << "this router rejected the request without executing it, so it may be admitted again";
 }
 
-TEST(MarksStory, ARouterThatStartedHoldsNothingUntilItHasLearntWhatItMayHaveForgotten) {
+TEST(DeduplicationRecordsTest, ARestartedRouterIsNoHolderBeforeItHasRecoveredItsRecords) {
   Fleet fleet({});
-  fleet.carry_all();
-  // 0 takes it, held by 1 and 2 alone; then 0 dies for good, and 1 forgets.
-  for (const int far : {3, 4}) fleet.hold(0, far, true);
+  fleet.deliver_all();
+  // Router 0 admits the request, and only routers 1 and 2 hold its record. Then router 0 is cut off for good,
+  // and router 1 restarts without its records.
+  for (const int other : {3, 4}) fleet.set_blocked(0, other, true);
   for (const int holder : {1, 2}) {
-    for (const int far : {3, 4}) fleet.hold(holder, far, true);
+    for (const int other : {3, 4}) fleet.set_blocked(holder, other, true);
   }
-  fleet[0].take("e", MarkLevel::held);
-  fleet.carry_all();
-  ASSERT_EQ(fleet[0].gone.size(), 1U);
+  fleet[0].admit("e", MarkLevel::held);
+  fleet.deliver_all();
+  ASSERT_EQ(fleet[0].admitted.size(), 1U);
   fleet.restart(1);
-  for (int i = 1; i < 5; ++i) fleet.hold(0, i, true);
-  fleet.hold(1, 2, true);  // and cannot ask 2
-  fleet.carry_all();
-  EXPECT_FALSE(fleet[1].copy.vouches()) << "two of three that it needs";
-  EXPECT_EQ(fleet[3].take("e", MarkLevel::held), Taking::wait);
-  fleet.carry_all();
-  EXPECT_TRUE(fleet[3].gone.empty()) << "4 holds it, 1 does not count";
-  fleet.hold(1, 2, false);
-  fleet.carry_all();
-  EXPECT_TRUE(fleet[1].copy.vouches());
-  EXPECT_TRUE(fleet[3].gone.empty()) << "1 has heard of it again, and says so";
+  for (int i = 1; i < 5; ++i) fleet.set_blocked(0, i, true);
+  fleet.set_blocked(1, 2, true);  // so it cannot recover the record from router 2
+  fleet.deliver_all();
+  EXPECT_FALSE(fleet[1].replica.recovered())
+      << "it has synchronized with two of the three routers that it needs";
+  EXPECT_EQ(fleet[3].admit("e", MarkLevel::held), Taking::wait);
+  fleet.deliver_all();
+  EXPECT_TRUE(fleet[3].admitted.empty())
+      << "router 4 holds the record, but router 1 does not count as a holder";
+  fleet.set_blocked(1, 2, false);
+  fleet.deliver_all();
+  EXPECT_TRUE(fleet[1].replica.recovered());
+  EXPECT_TRUE(fleet[3].admitted.empty())
+      << "router 1 has recovered the record of router 0 and reports the new one as contested";
   fleet[3].marks.pass(fleet.now + second);
-  EXPECT_EQ(fleet[3].elsewhere, std::vector<std::string>{"e"});
+  EXPECT_EQ(fleet[3].duplicates, std::vector<std::string>{"e"});
 }
 
-TEST(MarksStory, AFleetThatStartsAllAtOnceSettlesByHearingEverybody) {
+TEST(DeduplicationRecordsTest, AFleetThatStartsAtOnceRecoversBySynchronizingWithAllRouters) {
   Fleet fleet({}, false);
-  EXPECT_FALSE(fleet.all_vouch());
-  fleet.carry_all();
-  EXPECT_TRUE(fleet.all_vouch());
+  EXPECT_FALSE(fleet.all_recovered());
+  fleet.deliver_all();
+  EXPECT_TRUE(fleet.all_recovered());
 }
 
-TEST(MarksStory, AtTheBoundNothingIsTakenAndALongNameIsStillTold) {
-  Quiet quiet;
-  Replica copy({1, 1}, bounds(2), quiet);
-  Ran ran;
-  struct Nobody final : Taker {
+TEST(DeduplicationRecordsTest, AdmitsNothingAboveTheLimitAndDistinguishesLongKeys) {
+  IgnoringObserver observer;
+  Replica replica({1, 1}, bounds(2), observer);
+  ExecutionCheck executions;
+  struct UnusedObserver final : Taker {
     void may_go(std::int64_t) override {}
     void taken_elsewhere(std::int64_t) override {}
     void not_held(std::int64_t) override {}
-  } nobody;
-  Marks marks(copy, 1, 0, nobody);
-  const std::string endless(5'000, 'x');
-  EXPECT_EQ(marks.take(0, 1, mark_of(endless, "1"), MarkLevel::held, second), Taking::go)
-      << "nobody is asked";
-  EXPECT_EQ(marks.take(0, 2, mark_of(endless, "2"), MarkLevel::announced, second), Taking::go);
-  EXPECT_EQ(marks.take(0, 3, mark_of(endless, "1"), MarkLevel::announced, second), Taking::known);
+  } unused_observer;
+  Marks marks(replica, 1, 0, unused_observer);
+  const std::string long_source(5'000, 'x');
+  EXPECT_EQ(marks.take(0, 1, mark_of(long_source, "1"), MarkLevel::held, second), Taking::go)
+      << "no other router has to hold the record";
+  EXPECT_EQ(marks.take(0, 2, mark_of(long_source, "2"), MarkLevel::announced, second), Taking::go);
+  EXPECT_EQ(marks.take(0, 3, mark_of(long_source, "1"), MarkLevel::announced, second), Taking::known);
   EXPECT_EQ(marks.take(0, 4, mark_of("/shop", "17"), MarkLevel::announced, second), Taking::full);
   EXPECT_NE(mark_of("a", "b c"), mark_of("a b", "c"));
 }
 
-// Any history of takings, pieces carried, ways that break, and routers that forget one at a time.
-bool ran_twice(const Plan& plan, const std::vector<std::uint32_t>& steps) {
-  Fleet fleet(plan);
-  fleet.carry_all(4);
+// Returns whether a request was executed twice in a history of admissions, deliveries of bytes, broken and
+// blocked links, and restarts of one router at a time.
+bool executes_twice(const FleetConfig& config, const std::vector<std::uint32_t>& steps) {
+  Fleet fleet(config);
+  fleet.deliver_all(4);
   for (const std::uint32_t step : steps) {
-    auto draw = [left = step / 16](std::uint32_t of) mutable {
-      const std::uint32_t chosen = left % of;
-      left /= of;
+    auto draw = [rest = step / 16](std::uint32_t choices) mutable {
+      const std::uint32_t chosen = rest % choices;
+      rest /= choices;
       return static_cast<int>(chosen);
     };
-    const auto routers = static_cast<std::uint32_t>(plan.routers);
-    const int one = draw(routers), other = (one + 1 + draw(routers - 1)) % plan.routers;
+    const auto routers = static_cast<std::uint32_t>(config.routers);
+    const int first = draw(routers), other = (first + 1 + draw(routers - 1)) % config.routers;
     fleet.now += 100;
     switch (step % 16) {
       case 0:
-        if (fleet.all_vouch()) fleet.restart(one);
+        if (fleet.all_recovered()) fleet.restart(first);
         break;
       case 1:
-        fleet.join(one, other);
+        fleet.connect(first, other);
         break;
       case 2:
-        fleet.hold(one, other, draw(2) == 0);
+        fleet.set_blocked(first, other, draw(2) == 0);
         break;
       case 3:
       case 4:
       case 5:
-        if (fleet[one].copy.vouches()) fleet[one].take("e" + std::to_string(draw(4)), plan.level, fleet.now);
+        if (fleet[first].replica.recovered())
+          fleet[first].admit("e" + std::to_string(draw(4)), config.level, fleet.now);
         break;
       case 6:
-        fleet[one].marks.pass(fleet.now - second);
+        fleet[first].marks.pass(fleet.now - second);
         break;
       default:
-        fleet.carry(one, other, draw(3) == 0 ? 40 : 100'000);
+        fleet.deliver(first, other, draw(3) == 0 ? 40 : 100'000);
     }
   }
-  return fleet.ran.twice;
+  return fleet.executions.any_twice;
 }
 
-// The first of so many histories in which an event ran twice, drawn here from one seed so that a planted
-// fault is looked for in the same ones everywhere; -1: none.
-int first_run_twice(const Plan& plan, int histories) {
-  std::mt19937 chance(20261201);
+// Returns the index of the first history in which a request was executed twice, or -1 if there is none. The
+// seed is fixed, so that every planted fault is looked for in the same histories on all machines.
+int first_history_with_double_execution(const FleetConfig& config, int histories) {
+  std::mt19937 generator(20261201);
   for (int i = 0; i < histories; ++i) {
     std::vector<std::uint32_t> steps(400);
-    for (std::uint32_t& step : steps) step = static_cast<std::uint32_t>(chance());
-    if (ran_twice(plan, steps)) return i;
+    for (std::uint32_t& step : steps) step = static_cast<std::uint32_t>(generator());
+    if (executes_twice(config, steps)) return i;
   }
   return -1;
 }
 
-TEST(MarksLaw, NoHistoryRunsAHeldEventTwice) {
-  rc::check("held by more than half, one forgets at a time",
-            [](const std::vector<std::uint32_t>& steps) { RC_ASSERT(!ran_twice({}, steps)); });
-  EXPECT_EQ(first_run_twice({}, 60), -1);
-  EXPECT_EQ(first_run_twice({.routers = 3, .others = 1}, 60), -1);
-  EXPECT_EQ(first_run_twice({.routers = 4, .others = 2}, 60), -1);
+TEST(DeduplicationRecordsPropertyTest, NoHistoryExecutesARequestWithAReplicatedRecordTwice) {
+  rc::check("more than half of the routers hold each record, and one restarts at a time",
+            [](const std::vector<std::uint32_t>& steps) { RC_ASSERT(!executes_twice({}, steps)); });
+  EXPECT_EQ(first_history_with_double_execution({}, 60), -1);
+  EXPECT_EQ(first_history_with_double_execution({.routers = 3, .required_holders = 1}, 60), -1);
+  EXPECT_EQ(first_history_with_double_execution({.routers = 4, .required_holders = 2}, 60), -1);
 }
 
-TEST(MarksLaw, EachPlantedFaultRunsSomeEventTwice) {
-  const auto found = [](const char* what, const Plan& plan) {
-    const int at = first_run_twice(plan, 300);
-    EXPECT_GE(at, 0) << what;
-    testing::Test::RecordProperty(what, at);
+TEST(DeduplicationRecordsPropertyTest, EachPlantedFaultExecutesSomeRequestTwice) {
+  const auto expect_found = [](const char* fault, const FleetConfig& config) {
+    const int history = first_history_with_double_execution(config, 300);
+    EXPECT_GE(history, 0) << fault;
+    testing::Test::RecordProperty(fault, history);
   };
-  found("nobody_is_waited_for", {.level = MarkLevel::announced});
-  found("held_by_too_few", {.others = 1});
-  found("who_forgot_counts_as_a_holder", {.trusts_at_once = true});
+  expect_found("nobody_is_waited_for", {.level = MarkLevel::announced});
+  expect_found("held_by_too_few", {.required_holders = 1});
+  expect_found("who_forgot_counts_as_a_holder", {.counts_as_holder_at_start = true});
 }
 
 }  // namespace
