--- a/src/replica/marks.h
+++ b/src/replica/marks.h
@@ -1,7 +1,8 @@
 // Decides which requests this router may execute. Admitting a request writes a deduplication record to the
 // replicated state. Where the records of a request class have to be replicated first, the first attempt waits
-// until enough other routers have the record and none of these had another router's record of the same
-// request before. Does no I/O; the time is passed in. docs/replication.md states what each level guarantees.
+// until enough other routers have the record, not counting those that another router's record of the same
+// request reached first. Does no I/O; the time is passed in. docs/replication.md states what each level
+// guarantees.
 #pragma once
 
 #include <cstdint>
@@ -55,7 +56,8 @@
       : replica_(replica), routers_(routers), required_holders_(required_holders), observer_(observer) {}
 
   // Admits a request unless it was admitted before. `request` identifies it to the observer, `key` to all
-  // routers. If its record has to be replicated and is not by the deadline, the request is not admitted.
+  // routers. A request whose record has to be replicated is not admitted if that does not happen by the
+  // deadline.
   Taking take(Time now, std::int64_t request, const std::string& key, MarkLevel level, Time deadline);
   // Records how an admitted request ended. `stage` is `not_executed` only if it was certainly never executed.
   void ended(Time now, const std::string& key, Stage stage) { replica_.finish_request(now, key, stage); }
--- a/src/replicating/replica_links.cpp
+++ b/src/replicating/replica_links.cpp
@@ -61,7 +61,7 @@
   std::size_t unsent() const override { return stream_->pending_bytes(); }
 
   void close() { stream_->close(); }
-  int dialled() const { return dialled_; }  // -1 for an accepted link
+  int dialled() const { return dialled_; }  // the router connected to, or -1 for an accepted link
   int router() const {
     return conversation_.handshake_done() ? conversation_.peer_hello().writer.router : dialled_;
   }
@@ -140,7 +140,8 @@
   tell_now();
 }
 
-// Closes stalled links, and opens links to the neighbours among the routers that are not backing off.
+// Expires records, closes stalled links, and opens links to the neighbours, chosen among the routers that
+// have a link or may be connected to now.
 void ReplicaLinks::check_links(Time now) {
   next_check_ = now + check_interval;
   replica_.expire_records(now);
@@ -181,8 +182,9 @@
   const auto links = links_;
   for (const auto& [other, owner] : links) {
     if (other == &link || other->router() != router) continue;
-    // Of two links that the same side opened, the newer one stays: the older one is stalled or belongs to an
-    // earlier incarnation. So does any link to another incarnation of that router, whichever side opened it.
+    // Of two links that the same side opened, the newer one stays, since the older one is stalled or belongs
+    // to an earlier incarnation. A link to another incarnation of that router is closed as well, whichever
+    // side opened it.
     const bool same_side = (other->dialled() >= 0) == (link.dialled() >= 0);
     const bool other_incarnation =
         other->conversation().handshake_done() &&
--- a/src/replicating/replica_links.h
+++ b/src/replicating/replica_links.h
@@ -1,6 +1,7 @@
-// The TCP links on which routers exchange their replicated state: to a few neighbours, and from the routers
-// whose neighbour this one is. A link to a router that is silent, sends invalid data or belongs to another
-// deployment is closed and retried after a backoff; meanwhile the next router takes its place.
+// The TCP links on which routers exchange their replicated state. A router connects to a few neighbours, or
+// to all routers if there are few, and accepts the links of those that connect to it. A link to a router that
+// is silent, sends invalid data or belongs to another deployment is closed and retried after a backoff;
+// meanwhile the next router takes its place.
 #pragma once
 
 #include <functional>
