--- a/src/events/cloudevent.h
+++ b/src/events/cloudevent.h
@@ -1,4 +1,5 @@
-// CloudEvents 1.0.2 without any transport: the attributes, their rules, and the JSON and header forms.
+// CloudEvents 1.0.2, independent of any transport: attributes, their validation, and the JSON and header
+// encodings.
 #pragma once
 
 #include <map>
@@ -12,7 +13,8 @@
 
 using Headers = std::vector<std::pair<std::string, std::string>>;  // names in lower case
 
-// What breaks the specification: names the attribute and the fault, in words for the sender.
+// Thrown for an event that violates the specification. Names the attribute and describes the error for the
+// sender.
 class BadEvent : public std::runtime_error {
  public:
   BadEvent(std::string attribute, const std::string& fault)
@@ -23,14 +25,14 @@
   std::string attribute_;
 };
 
-// Attribute values are held in their canonical string form, whatever JSON type they came in.
+// An event. Attribute values are kept in their canonical string form, whatever their JSON type was.
 struct CloudEvent {
   std::string id{};
   std::string source{};  // a URI reference
   std::string type{};
-  std::string data_content_type{};              // empty: not told
+  std::string data_content_type{};              // empty if the event has none
   std::map<std::string, std::string> others{};  // subject, time, dataschema and the extensions
-  std::string data{};                           // the payload's bytes
+  std::string data{};                           // payload bytes
 
   const std::string* other(const std::string& name) const {
     const auto it = others.find(name);
@@ -38,24 +40,27 @@
   }
 };
 
+// The content modes of the CloudEvents HTTP and MQTT bindings.
 enum class Mode { binary, structured, batched, unknown_format };
 
-// By the content type: application/cloudevents+json, application/cloudevents-batch+json, any other format of
-// CloudEvents (unknown here), or none of these.
+// Returns the content mode for a Content-Type: structured for application/cloudevents+json, batched for
+// application/cloudevents-batch+json, unknown_format for any other type that starts with
+// application/cloudevents, and binary for the rest.
 Mode mode_of(std::string_view content_type);
 
-CloudEvent from_headers(const Headers& headers, std::string body);  // throws BadEvent
-CloudEvent from_json(std::string_view text);                        // throws BadEvent
-std::vector<CloudEvent> batch_from_json(std::string_view text,
-                                        std::size_t most);  // throws BadEvent
-Headers to_headers(const CloudEvent& event);                // with content-type where told
+// All three throw BadEvent.
+CloudEvent from_headers(const Headers& headers, std::string body);
+CloudEvent from_json(std::string_view text);
+std::vector<CloudEvent> batch_from_json(std::string_view text, std::size_t max_events);
+
+Headers to_headers(const CloudEvent& event);  // with content-type if the event has one
 std::string to_json(const CloudEvent& event);
 
-// The percent-coding of attribute values in headers.
+// Percent-encode and decode an attribute value in a header. Decoding also unquotes a quoted value.
 std::string header_encoded(std::string_view value);
-std::string header_decoded(const std::string& attribute, std::string_view value);  // throws BadEvent
+std::string decode_header_value(const std::string& attribute, std::string_view value);  // throws BadEvent
 
-// Whether the bytes are UTF-8 in shortest form without control characters or noncharacters.
-bool proper_text(std::string_view text);
+// Returns whether the bytes are shortest-form UTF-8 without control characters and noncharacters.
+bool is_valid_text(std::string_view text);
 
 }  // namespace rushhill::events
--- a/src/mqtt/packets.h
+++ b/src/mqtt/packets.h
@@ -1,4 +1,4 @@
-// MQTT 3.1.1 and 5 control packets on bytes alone, from the public specifications.
+// Encodes and decodes the control packets of MQTT 3.1.1 and 5, without sockets.
 #pragma once
 
 #include <cstdint>
@@ -10,6 +10,7 @@
 
 namespace rushhill::mqtt {
 
+// Control packet types.
 enum class Type : std::uint8_t {
   connect = 1,
   connack,
@@ -28,13 +29,13 @@
   auth
 };
 
-// Reason codes that this program gives or acts on.
+// The reason codes of MQTT 5 that are sent or acted on.
 constexpr std::uint8_t success = 0x00, unspecified_error = 0x80, malformed = 0x81, protocol_error = 0x82,
                        server_unavailable = 0x88, server_busy = 0x89, session_taken_over = 0x8E,
                        packet_id_not_found = 0x92, receive_maximum_exceeded = 0x93, packet_too_large = 0x95,
                        quota_exceeded = 0x97, payload_format_invalid = 0x99;
 
-// Of version 5; what is not there was not told.
+// Properties of an MQTT 5 packet. A property that the packet lacks is empty.
 struct Properties {
   std::optional<std::uint32_t> message_expiry{};  // seconds
   std::optional<std::uint32_t> session_expiry{};  // seconds
@@ -61,33 +62,37 @@
   std::optional<Will> will{};
   bool session_present = false;  // connack
   std::uint8_t reason = success;
-  std::vector<std::pair<std::string, int>> filters{};  // subscribe, unsubscribe: filter and most QoS
+  std::vector<std::pair<std::string, int>> filters{};  // subscribe, unsubscribe: topic filter and maximum QoS
   std::vector<std::uint8_t> reasons{};                 // suback, unsuback
   Properties properties{};
 };
 
-std::string encode(const Packet& packet, int version);  // 4: 3.1.1, 5
+// Encodes a packet in the protocol version 4 (MQTT 3.1.1) or 5. Throws std::length_error if a string is
+// longer than 65,535 bytes.
+std::string encode(const Packet& packet, int version);
 
 enum class Progress { more, done, bad };
 
-// Takes one packet after another off the front of a growing buffer. A broker's reader learns the version from
-// the client's CONNECT.
+// Removes one packet after another from the front of a growing buffer. A broker's reader starts with version
+// 0 and takes the version from the client's CONNECT.
 class Reader {
  public:
-  Reader(int version, std::size_t longest) : version_(version), longest_(longest) {}
+  // `max_size`: bytes of a packet after its fixed header.
+  Reader(int version, std::size_t max_size) : version_(version), max_size_(max_size) {}
   Progress put(std::string& buffer, Packet& packet);
   int version() const { return version_; }
   const std::string& fault() const { return fault_; }
 
  private:
-  int version_;  // 0: not known yet
-  std::size_t longest_;
+  int version_;  // 0 until it is known
+  std::size_t max_size_;
   std::string fault_;
 };
 
 bool filter_valid(std::string_view filter);
 bool topic_valid(std::string_view topic);
-// Whether the topic fits; `levels` gets what each wildcard stood for, # as one.
+// Returns whether the filter matches the topic. Appends to `levels` the part of the topic that each wildcard
+// matched; the levels that # matched are one part.
 bool matches(std::string_view filter, std::string_view topic, std::vector<std::string>* levels = nullptr);
 
 }  // namespace rushhill::mqtt
--- a/tests/mqtt/packets_test.cpp
+++ b/tests/mqtt/packets_test.cpp
@@ -1,4 +1,5 @@
-// Packets: what is written is read back, at any split; what breaks the standard is refused with its fault.
+// Guards against losing packets that arrive in parts and against accepting malformed ones. The tests split
+// encoded packets into pieces of several sizes, and read packets that each violate one rule of the standard.
 #include "mqtt/packets.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +7,7 @@
 namespace rushhill::mqtt {
 namespace {
 
-std::vector<Packet> some_packets() {
+std::vector<Packet> sample_packets() {
   std::vector<Packet> all;
   Packet connect{.type = Type::connect, .client_id = "c", .clean_start = false, .keep_alive = 30};
   connect.will = Will{"w/t", "gone", 1, true};
@@ -28,22 +29,22 @@
   return all;
 }
 
-TEST(Packets, EveryPacketIsReadBackAtEverySplit) {
+TEST(PacketReader, ReadsEncodedPacketsWhereverTheBytesAreSplit) {
   std::string bytes;
-  for (const Packet& packet : some_packets()) bytes += encode(packet, 5);
+  for (const Packet& packet : sample_packets()) bytes += encode(packet, 5);
   for (const std::size_t step : {std::size_t{1}, std::size_t{2}, std::size_t{7}, bytes.size()}) {
     Reader reader(0, 10'000);
-    std::string in, again;
+    std::string buffer, reencoded;
     std::size_t count = 0;
-    for (std::size_t at = 0; at < bytes.size(); at += step) {
-      in += bytes.substr(at, step);
+    for (std::size_t offset = 0; offset < bytes.size(); offset += step) {
+      buffer += bytes.substr(offset, step);
       Packet packet;
       Progress progress;
-      while ((progress = reader.put(in, packet)) == Progress::done)
-        again += encode(packet, 5), ++count, packet = {};
+      while ((progress = reader.put(buffer, packet)) == Progress::done)
+        reencoded += encode(packet, 5), ++count, packet = {};
       ASSERT_EQ(progress, Progress::more) << reader.fault();
     }
-    EXPECT_EQ(again, bytes);
+    EXPECT_EQ(reencoded, bytes);
     EXPECT_EQ(count, 8U);
   }
 }
@@ -54,28 +55,29 @@
   return reader.put(bytes, packet) == Progress::bad ? reader.fault() : "taken";
 }
 
-TEST(Packets, WhatBreaksTheStandardIsRefusedWithItsFault) {
+TEST(PacketReader, NamesTheFaultOfAMalformedPacket) {
   using namespace std::string_literals;
-  EXPECT_NE(fault_of("\x36\x05\x00\x01t\x00\x01"s).find("QoS of 3"), std::string::npos);
-  EXPECT_NE(fault_of("\x32\x06\x00\x01t\x00\x00\x00"s).find("identifier of 0"), std::string::npos);
+  EXPECT_NE(fault_of("\x36\x05\x00\x01t\x00\x01"s).find("QoS is 3"), std::string::npos);
+  EXPECT_NE(fault_of("\x32\x06\x00\x01t\x00\x00\x00"s).find("identifier is 0"), std::string::npos);
   EXPECT_NE(fault_of("\x30\x04\x00\x01#\x00"s).find("topic"), std::string::npos);
   EXPECT_NE(fault_of("\x30\x04\x00\x01\xFF\x00"s).find("UTF-8"), std::string::npos);
   EXPECT_NE(fault_of("\x30\x02\x00\x09"s).find("too early"), std::string::npos);
   EXPECT_NE(fault_of("\x30\xFF\xFF\xFF\xFF\x01"s).find("longer than four bytes"), std::string::npos);
   EXPECT_NE(fault_of("\x30\xFF\x7F"s).find("longer than 1000"), std::string::npos);
   EXPECT_NE(fault_of("\x41\x02\x00\x01"s).find("reserved flags"), std::string::npos);
-  EXPECT_NE(fault_of("\x30\x06\x00\x01t\x02\x7F\x00"s).find("unknown number"), std::string::npos);
+  EXPECT_NE(fault_of("\x30\x06\x00\x01t\x02\x7F\x00"s).find("unknown identifier"), std::string::npos);
   EXPECT_NE(fault_of("\x30\x0E\x00\x01t\x0A\x02\x00\x00\x00\x01\x02\x00\x00\x00\x01"s).find("twice"),
             std::string::npos);
-  EXPECT_NE(fault_of("\x20\x06\x00\x00\x03\x21\x00\x00"s).find("receive maximum of 0"), std::string::npos);
-  EXPECT_NE(fault_of("\xC0\x00"s, 0).find("no CONNECT"), std::string::npos);
+  EXPECT_NE(fault_of("\x20\x06\x00\x00\x03\x21\x00\x00"s).find("receive maximum is 0"), std::string::npos);
+  EXPECT_NE(fault_of("\xC0\x00"s, 0).find("not CONNECT"), std::string::npos);
   EXPECT_NE(fault_of("\x00\x00"s).find("type 0"), std::string::npos);
-  EXPECT_NE(fault_of("\xD0\x01x"s).find("after the packet's end"), std::string::npos);
+  EXPECT_NE(fault_of("\xD0\x01x"s).find("after its last field"), std::string::npos);
 }
 
-TEST(Topics, FiltersFitAsTheStandardSays) {
-  for (const char* bad : {"", "a/#/b", "a+", "a/b#", "#/"}) EXPECT_FALSE(filter_valid(bad)) << bad;
-  for (const char* good : {"#", "+", "a/+/#", "/", "+/+"}) EXPECT_TRUE(filter_valid(good)) << good;
+TEST(TopicFilters, MatchTopicsAsTheStandardSpecifies) {
+  for (const char* invalid : {"", "a/#/b", "a+", "a/b#", "#/"})
+    EXPECT_FALSE(filter_valid(invalid)) << invalid;
+  for (const char* valid : {"#", "+", "a/+/#", "/", "+/+"}) EXPECT_TRUE(filter_valid(valid)) << valid;
   EXPECT_TRUE(matches("a/#", "a"));
   EXPECT_TRUE(matches("a/#", "a/b/c"));
   EXPECT_TRUE(matches("+/b", "/b"));
