--- a/src/fastcgi/records.cpp
+++ b/src/fastcgi/records.cpp
@@ -5,72 +5,73 @@
 namespace rushhill::fastcgi {
 namespace {
 
-constexpr std::size_t header_size = 8;        // bytes, by the specification
-constexpr std::size_t most_content = 65'528;  // bytes a record; below 65,535 and a multiple of 8
-constexpr std::size_t most_control = 1024;    // bytes of a management record; far above the names it may ask
+constexpr std::size_t header_size = 8;       // bytes
+constexpr std::size_t max_content = 65'528;  // bytes per record; the largest multiple of 8 below 65,535
+// Bytes of a FCGI_GET_VALUES record. The names of the variables that it may ask for need far less.
+constexpr std::size_t max_control = 1024;
 constexpr std::uint8_t version = 1;
-constexpr std::uint8_t responder = 1;
-constexpr std::uint8_t keep_connection = 1;  // flag of BEGIN_REQUEST
+constexpr std::uint8_t responder_role = 1;
+constexpr std::uint8_t keep_connection_flag = 1;  // FCGI_KEEP_CONN in FCGI_BEGIN_REQUEST
 
-enum Type : std::uint8_t {
-  begin_type = 1,
-  abort_type = 2,
-  end_type = 3,
+enum RecordType : std::uint8_t {
+  begin_request_type = 1,
+  abort_request_type = 2,
+  end_request_type = 3,
   params_type = 4,
-  input_type = 5,
-  output_type = 6,
-  errors_type = 7,
+  stdin_type = 5,
+  stdout_type = 6,
+  stderr_type = 7,
   data_type = 8,
-  values_type = 9,
-  values_result_type = 10,
+  get_values_type = 9,
+  get_values_result_type = 10,
   unknown_type_type = 11,
 };
 
-std::uint8_t byte(char c) { return static_cast<std::uint8_t>(c); }
-void put_byte(std::string& out, std::size_t value) { out += static_cast<char>(value & 0xFFU); }
+std::uint8_t to_byte(char c) { return static_cast<std::uint8_t>(c); }
+void append_byte(std::string& out, std::size_t value) { out += static_cast<char>(value & 0xFFU); }
 
-void put_header(std::string& out, std::uint8_t type, Number number, std::size_t size) {
-  put_byte(out, version);
-  put_byte(out, type);
-  put_byte(out, number >> 8U);
-  put_byte(out, number);
-  put_byte(out, size >> 8U);
-  put_byte(out, size);
-  put_byte(out, 0);
-  put_byte(out, 0);
+void append_header(std::string& out, std::uint8_t type, Number number, std::size_t size) {
+  append_byte(out, version);
+  append_byte(out, type);
+  append_byte(out, number >> 8U);
+  append_byte(out, number);
+  append_byte(out, size >> 8U);
+  append_byte(out, size);
+  append_byte(out, 0);
+  append_byte(out, 0);
 }
 
-// A stream: as many records as it needs, then the empty one that ends it.
-void put_stream(std::string& out, std::uint8_t type, Number number, std::string_view bytes) {
+// Appends a stream: the bytes in as many records as needed, then the empty record that ends it.
+void append_stream(std::string& out, std::uint8_t type, Number number, std::string_view bytes) {
   while (!bytes.empty()) {
-    const std::size_t size = std::min(bytes.size(), most_content);
-    put_header(out, type, number, size);
+    const std::size_t size = std::min(bytes.size(), max_content);
+    append_header(out, type, number, size);
     out += bytes.substr(0, size);
     bytes.remove_prefix(size);
   }
-  put_header(out, type, number, 0);
+  append_header(out, type, number, 0);
 }
 
-std::optional<std::size_t> take_length(std::string_view& bytes) {
+std::optional<std::size_t> read_length(std::string_view& bytes) {
   if (bytes.empty()) return std::nullopt;
-  const std::size_t first = byte(bytes[0]);
+  const std::size_t first = to_byte(bytes[0]);
   if (first < 0x80U) {
     bytes.remove_prefix(1);
     return first;
   }
   if (bytes.size() < 4) return std::nullopt;
-  const std::size_t length = (first & 0x7FU) << 24U | static_cast<std::size_t>(byte(bytes[1])) << 16U |
-                             static_cast<std::size_t>(byte(bytes[2])) << 8U | byte(bytes[3]);
+  const std::size_t length = (first & 0x7FU) << 24U | static_cast<std::size_t>(to_byte(bytes[1])) << 16U |
+                             static_cast<std::size_t>(to_byte(bytes[2])) << 8U | to_byte(bytes[3]);
   bytes.remove_prefix(4);
   return length;
 }
 
-void put_length(std::string& out, std::size_t length) {
-  if (length < 0x80U) return put_byte(out, length);
-  put_byte(out, length >> 24U | 0x80U);
-  put_byte(out, length >> 16U);
-  put_byte(out, length >> 8U);
-  put_byte(out, length);
+void append_length(std::string& out, std::size_t length) {
+  if (length < 0x80U) return append_byte(out, length);
+  append_byte(out, length >> 24U | 0x80U);
+  append_byte(out, length >> 16U);
+  append_byte(out, length >> 8U);
+  append_byte(out, length);
 }
 
 }  // namespace
@@ -86,8 +87,8 @@
 std::optional<std::vector<std::pair<std::string, std::string>>> read_pairs(std::string_view bytes) {
   std::vector<std::pair<std::string, std::string>> pairs;
   while (!bytes.empty()) {
-    const auto name = take_length(bytes);
-    const auto value = name ? take_length(bytes) : std::nullopt;
+    const auto name = read_length(bytes);
+    const auto value = name ? read_length(bytes) : std::nullopt;
     if (!value || *name > bytes.size() || *value > bytes.size() - *name) return std::nullopt;
     pairs.emplace_back(bytes.substr(0, *name), bytes.substr(*name, *value));
     bytes.remove_prefix(*name + *value);
@@ -98,8 +99,8 @@
 std::string write_pairs(const std::vector<std::pair<std::string, std::string>>& pairs) {
   std::string out;
   for (const auto& [name, value] : pairs) {
-    put_length(out, name.size());
-    put_length(out, value.size());
+    append_length(out, name.size());
+    append_length(out, value.size());
     out += name;
     out += value;
   }
@@ -109,175 +110,184 @@
 std::optional<Time> Reader::unfinished_since() const {
   std::optional<Time> since;
   const auto note = [&](Time one) { since = since ? std::min(*since, one) : one; };
-  if (in_record_ || !header_.empty()) note(record_since_);
-  for (const auto& [number, making] : making_) note(making.since);
+  if (in_record_ || !header_.empty()) note(record_started_);
+  for (const auto& [number, partial] : incomplete_) note(partial.since);
   return since;
 }
 
 void Reader::put(std::string_view bytes, Time now) {
-  while (!bytes.empty() && !over_) {
+  while (!bytes.empty() && !stopped_) {
     if (!in_record_) {
-      if (header_.empty()) record_since_ = now;
-      const std::size_t wanted = std::min(header_size - header_.size(), bytes.size());
-      header_ += bytes.substr(0, wanted);
-      bytes.remove_prefix(wanted);
+      if (header_.empty()) record_started_ = now;
+      const std::size_t header_part = std::min(header_size - header_.size(), bytes.size());
+      header_ += bytes.substr(0, header_part);
+      bytes.remove_prefix(header_part);
       if (header_.size() < header_size) return;
-      record_begins(now);
+      start_record(now);
       continue;
     }
     const std::size_t part = std::min(content_left_, bytes.size());
     if (part > 0) {
       content_left_ -= part;
-      content(bytes.substr(0, part));
+      read_content(bytes.substr(0, part));
       bytes.remove_prefix(part);
     }
     const std::size_t padding = std::min(padding_left_, content_left_ == 0 ? bytes.size() : 0);
     padding_left_ -= padding;
     bytes.remove_prefix(padding);
-    if (!over_ && content_left_ == 0 && padding_left_ == 0) record_ends(now);
+    if (!stopped_ && content_left_ == 0 && padding_left_ == 0) finish_record(now);
   }
 }
 
-void Reader::record_begins(Time now) {
-  if (byte(header_[0]) != version) return break_off("a record of another version");
-  type_ = byte(header_[1]);
-  number_ = static_cast<Number>(byte(header_[2]) << 8U | byte(header_[3]));
-  content_left_ = content_size_ = static_cast<std::size_t>(byte(header_[4]) << 8U | byte(header_[5]));
-  padding_left_ = byte(header_[6]);
+void Reader::start_record(Time now) {
+  if (to_byte(header_[0]) != version) return stop_reading("record has an unsupported FastCGI version");
+  type_ = to_byte(header_[1]);
+  number_ = static_cast<Number>(to_byte(header_[2]) << 8U | to_byte(header_[3]));
+  content_left_ = content_size_ = static_cast<std::size_t>(to_byte(header_[4]) << 8U | to_byte(header_[5]));
+  padding_left_ = to_byte(header_[6]);
   header_.clear();
-  control_.clear();
+  control_content_.clear();
   in_record_ = true;
-  const bool of_request = type_ == begin_type || type_ == abort_type || type_ == params_type ||
-                          type_ == input_type || type_ == data_type;
-  if (of_request && number_ == 0) return break_off("a request's record without a number");
-  if (type_ == begin_type && content_size_ != 8) return break_off("a beginning of the wrong length");
-  if (type_ == values_type && content_size_ > most_control) return break_off("too many values asked for");
-  if (content_left_ == 0 && padding_left_ == 0) record_ends(now);
+  const bool needs_number = type_ == begin_request_type || type_ == abort_request_type ||
+                            type_ == params_type || type_ == stdin_type || type_ == data_type;
+  if (needs_number && number_ == 0) return stop_reading("request record has request id 0");
+  if (type_ == begin_request_type && content_size_ != 8)
+    return stop_reading("a beginning of the wrong length");
+  if (type_ == get_values_type && content_size_ > max_control)
+    return stop_reading("FCGI_GET_VALUES record is longer than 1024 bytes");
+  if (content_left_ == 0 && padding_left_ == 0) finish_record(now);
 }
 
-void Reader::content(std::string_view part) {
-  if (type_ == begin_type || type_ == values_type) {
-    control_ += part;
+void Reader::read_content(std::string_view part) {
+  if (type_ == begin_request_type || type_ == get_values_type) {
+    control_content_ += part;
   } else if (type_ == params_type) {
-    params(part);
-  } else if (type_ == input_type) {
-    input(part);
+    append_params(part);
+  } else if (type_ == stdin_type) {
+    append_body(part);
   } else {
-    stray(part.size());
+    count_ignored(part.size());
   }
 }
 
-void Reader::record_ends(Time now) {
+void Reader::finish_record(Time now) {
   in_record_ = false;
   switch (type_) {
-    case begin_type:
-      return begin(now);
-    case abort_type: {
-      if (whole_.contains(number_)) return taker_.aborted(number_, true);
-      if (making_.erase(number_) > 0) taker_.aborted(number_, false);
+    case begin_request_type:
+      return begin_request(now);
+    case abort_request_type: {
+      if (complete_.contains(number_)) return observer_.aborted(number_, true);
+      if (incomplete_.erase(number_) > 0) observer_.aborted(number_, false);
       return;
     }
     case params_type: {
-      const auto it = making_.find(number_);
-      if (it == making_.end() || content_size_ > 0) return;
-      if (it->second.params_over) return break_off("parameters after their end");
-      it->second.params_over = true;
+      const auto it = incomplete_.find(number_);
+      if (it == incomplete_.end() || content_size_ > 0) return;
+      if (it->second.params_ended)
+        return stop_reading("FCGI_PARAMS record arrived after the end of the parameters");
+      it->second.params_ended = true;
       return;
     }
-    case input_type: {
-      const auto it = making_.find(number_);
-      if (it == making_.end() || content_size_ > 0) return;
-      if (!it->second.params_over) return break_off("a body before the parameters' end");
+    case stdin_type: {
+      const auto it = incomplete_.find(number_);
+      if (it == incomplete_.end() || content_size_ > 0) return;
+      if (!it->second.params_ended)
+        return stop_reading("FCGI_STDIN record arrived before the end of the parameters");
       auto pairs = read_pairs(it->second.params);
-      if (!pairs) return refuse(number_, Refusal::params_unreadable);
+      if (!pairs) return refuse_request(number_, Refusal::params_unreadable);
       Request request{std::move(*pairs), std::move(it->second.body), it->second.keep};
-      making_.erase(it);
-      whole_.insert(number_);
-      stray_ = 0;
-      return taker_.request(number_, std::move(request));
+      incomplete_.erase(it);
+      complete_.insert(number_);
+      ignored_bytes_ = 0;
+      return observer_.request(number_, std::move(request));
     }
     case data_type:
       return;
-    case values_type: {
-      const auto pairs = read_pairs(control_);
-      if (!pairs) return break_off("values that cannot be read");
+    case get_values_type: {
+      const auto pairs = read_pairs(control_content_);
+      if (!pairs) return stop_reading("FCGI_GET_VALUES record has malformed name-value pairs");
       std::vector<std::string> names;
       for (const auto& [name, value] : *pairs) names.push_back(name);
-      return taker_.values_asked(names);
+      return observer_.values_asked(names);
     }
     default:
-      return taker_.type_unknown(type_);
+      return observer_.type_unknown(type_);
   }
 }
 
-void Reader::begin(Time now) {
-  if (making_.contains(number_) || whole_.contains(number_))
-    return break_off("a second request under one number");
-  const bool keep = (byte(control_[2]) & keep_connection) != 0;
-  if (byte(control_[0]) != 0 || byte(control_[1]) != responder)
-    return taker_.refused(number_, Refusal::unknown_role, keep);
-  if (making_.size() + whole_.size() >= bounds_.open) return taker_.refused(number_, Refusal::too_many, keep);
-  making_.emplace(number_, Making{.since = now, .keep = keep});
+void Reader::begin_request(Time now) {
+  if (incomplete_.contains(number_) || complete_.contains(number_))
+    return stop_reading("request id is already in use on the connection");
+  const bool keep = (to_byte(control_content_[2]) & keep_connection_flag) != 0;
+  if (to_byte(control_content_[0]) != 0 || to_byte(control_content_[1]) != responder_role)
+    return observer_.refused(number_, Refusal::unknown_role, keep);
+  if (incomplete_.size() + complete_.size() >= bounds_.open)
+    return observer_.refused(number_, Refusal::too_many, keep);
+  incomplete_.emplace(number_, IncompleteRequest{.since = now, .keep = keep});
 }
 
-void Reader::params(std::string_view part) {
-  const auto it = making_.find(number_);
-  if (it == making_.end()) return stray(part.size());
-  if (it->second.params_over) return break_off("parameters after their end");
-  if (it->second.params.size() + part.size() > bounds_.params || !room_for(part.size()))
-    return refuse(number_, Refusal::params_too_large);
+void Reader::append_params(std::string_view part) {
+  const auto it = incomplete_.find(number_);
+  if (it == incomplete_.end()) return count_ignored(part.size());
+  if (it->second.params_ended)
+    return stop_reading("FCGI_PARAMS record arrived after the end of the parameters");
+  if (it->second.params.size() + part.size() > bounds_.params || !has_room_for(part.size()))
+    return refuse_request(number_, Refusal::params_too_large);
   it->second.params += part;
 }
 
-void Reader::input(std::string_view part) {
-  const auto it = making_.find(number_);
-  if (it == making_.end()) return stray(part.size());
-  if (!it->second.params_over) return break_off("a body before the parameters' end");
-  if (it->second.body.size() + part.size() > bounds_.body || !room_for(part.size()))
-    return refuse(number_, Refusal::body_too_large);
+void Reader::append_body(std::string_view part) {
+  const auto it = incomplete_.find(number_);
+  if (it == incomplete_.end()) return count_ignored(part.size());
+  if (!it->second.params_ended)
+    return stop_reading("FCGI_STDIN record arrived before the end of the parameters");
+  if (it->second.body.size() + part.size() > bounds_.body || !has_room_for(part.size()))
+    return refuse_request(number_, Refusal::body_too_large);
   it->second.body += part;
 }
 
-// What is sent for requests that are over is passed over, within a bound.
-void Reader::stray(std::size_t bytes) {
-  stray_ += bytes;
-  if (stray_ > bounds_.stray) break_off("too much for requests that are over");
+// Counts ignored content and stops reading once it exceeds the limit.
+void Reader::count_ignored(std::size_t bytes) {
+  ignored_bytes_ += bytes;
+  if (ignored_bytes_ > bounds_.stray)
+    stop_reading("client sent too much data that belongs to no incomplete request");
 }
 
-// Many half requests on one connection hold no more than a few whole ones.
-bool Reader::room_for(std::size_t bytes) const {
-  for (const auto& [number, making] : making_) bytes += making.params.size() + making.body.size();
-  return bytes <= bounds_.making;
+// Returns whether so many more bytes fit into the limit for all incomplete requests of the connection.
+// Without it, a client could fill every open request up to its own limits.
+bool Reader::has_room_for(std::size_t bytes) const {
+  for (const auto& [number, partial] : incomplete_) bytes += partial.params.size() + partial.body.size();
+  return bytes <= bounds_.incomplete;
 }
 
-void Reader::refuse(Number number, Refusal why) {
-  const bool keep = making_.at(number).keep;
-  making_.erase(number);
-  taker_.refused(number, why, keep);
+void Reader::refuse_request(Number number, Refusal reason) {
+  const bool keep = incomplete_.at(number).keep;
+  incomplete_.erase(number);
+  observer_.refused(number, reason, keep);
 }
 
-void Reader::break_off(const char* why) {
-  if (over_) return;
-  over_ = true;
-  taker_.broken(why);
+void Reader::stop_reading(const char* reason) {
+  if (stopped_) return;
+  stopped_ = true;
+  observer_.broken(reason);
 }
 
 std::string answer(Number number, std::string_view output) {
   const std::string end = end_request(number, Ended::complete, 0);
-  // Of the output, with the empty one at its end.
-  const std::size_t records = output.size() / most_content + 2;
+  // At most this many records carry the output, including the empty one that ends the stream.
+  const std::size_t records = output.size() / max_content + 2;
   std::string out;
   out.reserve(output.size() + records * header_size + end.size());
-  put_stream(out, output_type, number, output);
+  append_stream(out, stdout_type, number, output);
   out.append(end);
   return out;
 }
 
-std::string end_request(Number number, Ended how, std::uint32_t application_status) {
+std::string end_request(Number number, Ended status, std::uint32_t application_status) {
   std::string out;
-  put_header(out, end_type, number, 8);
-  for (const unsigned shift : {24U, 16U, 8U, 0U}) put_byte(out, application_status >> shift);
-  put_byte(out, static_cast<std::size_t>(how));
+  append_header(out, end_request_type, number, 8);
+  for (const unsigned shift : {24U, 16U, 8U, 0U}) append_byte(out, application_status >> shift);
+  append_byte(out, static_cast<std::size_t>(status));
   out.append(3, '\0');
   return out;
 }
@@ -285,27 +295,27 @@
 std::string values_result(const std::vector<std::pair<std::string, std::string>>& values) {
   const std::string content = write_pairs(values);
   std::string out;
-  put_header(out, values_result_type, 0, content.size());
+  append_header(out, get_values_result_type, 0, content.size());
   return out + content;
 }
 
 std::string unknown_type(std::uint8_t type) {
   std::string out;
-  put_header(out, unknown_type_type, 0, 8);
-  put_byte(out, type);
+  append_header(out, unknown_type_type, 0, 8);
+  append_byte(out, type);
   out.append(7, '\0');
   return out;
 }
 
 std::string write_request(Number number, const Request& request) {
   std::string out;
-  put_header(out, begin_type, number, 8);
-  put_byte(out, 0);
-  put_byte(out, responder);
-  put_byte(out, request.keep ? keep_connection : 0U);
+  append_header(out, begin_request_type, number, 8);
+  append_byte(out, 0);
+  append_byte(out, responder_role);
+  append_byte(out, request.keep ? keep_connection_flag : 0U);
   out.append(5, '\0');
-  put_stream(out, params_type, number, write_pairs(request.params));
-  put_stream(out, input_type, number, request.body);
+  append_stream(out, params_type, number, write_pairs(request.params));
+  append_stream(out, stdin_type, number, request.body);
   return out;
 }
 
--- a/src/fastcgi/records.h
+++ b/src/fastcgi/records.h
@@ -1,5 +1,5 @@
-// FastCGI 1.0 on bytes alone, in the application's role: records read into whole requests, answers written
-// as records. Free of sockets and of any clock but the one handed in.
+// FastCGI 1.0 for an application server: reads requests from records and encodes answers as records. Uses no
+// sockets and no clock; the caller passes the time.
 #pragma once
 
 #include <cstdint>
@@ -15,93 +15,108 @@
 
 namespace rushhill::fastcgi {
 
-using Number = std::uint16_t;  // of a request on its connection
+using Number = std::uint16_t;  // FastCGI request id, unique among the open requests of a connection
 
+// Limits of a reader.
 struct Bounds {
-  std::size_t params = 16 * 1024;   // bytes of one request's parameters
-  std::size_t body = 16 * 1024;     // bytes
-  std::size_t open = 32;            // requests at once on a connection
-  std::size_t making = 128 * 1024;  // bytes of all that have begun and are not whole, on a connection
-  std::size_t stray = 128 * 1024;   // bytes sent for requests that are over, while nothing else is sent
+  std::size_t params = 16 * 1024;       // bytes of a request's parameters
+  std::size_t body = 16 * 1024;         // bytes of a request's body
+  std::size_t open = 32;                // open requests of a connection
+  std::size_t incomplete = 128 * 1024;  // bytes of all incomplete requests of a connection
+  // Bytes of ignored content between two complete requests: data for requests that are not being received,
+  // and records of other types.
+  std::size_t stray = 128 * 1024;
 };
 
 struct Request {
   std::vector<std::pair<std::string, std::string>> params{};
   std::string body{};
-  bool keep = false;  // the connection is wanted after the answer
-  // Nothing: not there, or there more than once.
+  bool keep = false;  // whether the connection stays open after the answer (FCGI_KEEP_CONN)
+  // Returns the first parameter of that name, or nullptr if there is none.
   const std::string* param(std::string_view name) const;
+  // Returns whether several parameters have that name.
   bool repeats(std::string_view name) const;
 };
 
 enum class Refusal { unknown_role, too_many, params_too_large, params_unreadable, body_too_large };
 
-// Who is told what has been read; calls come from within Reader::put.
+// Receives what a reader has read. All calls are made from within the call that passes bytes to the reader.
 class Taker {
  public:
   Taker() = default;
   Taker(const Taker&) = delete;
   Taker& operator=(const Taker&) = delete;
   virtual ~Taker() = default;
-  virtual void request(Number number, Request request) = 0;         // whole; open until Reader::ended
-  virtual void refused(Number number, Refusal why, bool keep) = 0;  // and no longer open
-  virtual void aborted(Number number, bool whole) = 0;              // taken back; still open if it was whole
+  // Called with a complete request, which stays open until the reader releases its number.
+  virtual void request(Number number, Request request) = 0;
+  // Called when a request has been refused; it is not open.
+  virtual void refused(Number number, Refusal reason, bool keep) = 0;
+  // Called when the client aborts a request. A complete one is still open; an incomplete one has been
+  // discarded.
+  virtual void aborted(Number number, bool complete) = 0;
+  // Called when the client asks for the values of these variables (FCGI_GET_VALUES).
   virtual void values_asked(const std::vector<std::string>& names) = 0;
+  // Called for a record of a type that the reader does not handle.
   virtual void type_unknown(std::uint8_t type) = 0;
-  virtual void broken(const char* why) = 0;  // nothing more is read from here on
+  // Called once, when the client violates the protocol. The reader ignores all further bytes.
+  virtual void broken(const char* reason) = 0;
 };
 
+// Reads the records of one connection.
 class Reader {
  public:
-  Reader(Taker& taker, const Bounds& bounds) : taker_(taker), bounds_(bounds) {}
+  Reader(Taker& observer, const Bounds& bounds) : observer_(observer), bounds_(bounds) {}
 
   void put(std::string_view bytes, Time now);
-  void ended(Number number) { whole_.erase(number); }  // a whole request has been answered
-  bool over() const { return over_; }
-  // Since when something stands that has begun and is not whole.
+  // Releases the number of a complete request, which has been answered or cancelled.
+  void ended(Number number) { complete_.erase(number); }
+  bool is_stopped() const { return stopped_; }
+  // Returns when the oldest incomplete record or request began, or nullopt if there is none.
   std::optional<Time> unfinished_since() const;
 
  private:
-  struct Making {
+  struct IncompleteRequest {
     Time since = 0;
-    bool keep = false, params_over = false;
+    bool keep = false, params_ended = false;
     std::string params{}, body{};
   };
-  void record_begins(Time now);
-  void content(std::string_view part);
-  void record_ends(Time now);
-  void begin(Time now);
-  void params(std::string_view part);
-  void input(std::string_view part);
-  void stray(std::size_t bytes);
-  bool room_for(std::size_t bytes) const;
-  void refuse(Number number, Refusal why);
-  void break_off(const char* why);
-
-  Taker& taker_;
+  void start_record(Time now);
+  void read_content(std::string_view part);
+  void finish_record(Time now);
+  void begin_request(Time now);
+  void append_params(std::string_view part);
+  void append_body(std::string_view part);
+  void count_ignored(std::size_t bytes);
+  bool has_room_for(std::size_t bytes) const;
+  void refuse_request(Number number, Refusal reason);
+  void stop_reading(const char* reason);
+
+  Taker& observer_;
   Bounds bounds_;
-  std::string header_, control_;
+  std::string header_, control_content_;
   std::uint8_t type_ = 0;
   Number number_ = 0;
-  std::size_t content_left_ = 0, padding_left_ = 0, content_size_ = 0, stray_ = 0;
-  bool in_record_ = false, over_ = false;
-  Time record_since_ = 0;
-  std::map<Number, Making> making_;
-  std::set<Number> whole_;
+  std::size_t content_left_ = 0, padding_left_ = 0, content_size_ = 0, ignored_bytes_ = 0;
+  bool in_record_ = false, stopped_ = false;
+  Time record_started_ = 0;
+  std::map<Number, IncompleteRequest> incomplete_;
+  std::set<Number> complete_;
 };
 
+// The protocol status in FCGI_END_REQUEST.
 enum class Ended : std::uint8_t { complete = 0, cannot_multiplex = 1, overloaded = 2, unknown_role = 3 };
 
-// An answer: the output's bytes, its end, and the request's.
+// Encodes an answer: the output, the end of the output stream and the end of the request.
 std::string answer(Number number, std::string_view output);
-std::string end_request(Number number, Ended how, std::uint32_t application_status);
+// Encodes FCGI_END_REQUEST, FCGI_GET_VALUES_RESULT and FCGI_UNKNOWN_TYPE.
+std::string end_request(Number number, Ended status, std::uint32_t application_status);
 std::string values_result(const std::vector<std::pair<std::string, std::string>>& values);
 std::string unknown_type(std::uint8_t type);
 
-// Name-value pairs in either form of length; nothing: they cannot be read.
+// Reads name-value pairs with lengths of one or four bytes. Returns nullopt if they are malformed.
 std::optional<std::vector<std::pair<std::string, std::string>>> read_pairs(std::string_view bytes);
 std::string write_pairs(const std::vector<std::pair<std::string, std::string>>& pairs);
-// The front's side of one request, for stand-ins and tests.
+// Encodes a request as a web server sends it; used by the simulation and by tests.
 std::string write_request(Number number, const Request& request);
 
 }  // namespace rushhill::fastcgi
