--- a/src/line_protocol/answers.h
+++ b/src/line_protocol/answers.h
@@ -1,5 +1,5 @@
-// The model servers' line protocol on bytes alone: commands written, answers read. `docs/platform.md` is what
-// is spoken. Free of sockets.
+// The model servers' line protocol, without sockets: encodes commands and parses answers. `docs/platform.md`
+// specifies it.
 #pragma once
 
 #include <optional>
@@ -10,64 +10,66 @@
 
 namespace rushhill::line_protocol {
 
+// The status word of an answer.
 enum class Word { hit, none, shed, fault, late, pong, sick };
 
 struct Answer {
   std::string id{};
   Word word = Word::hit;
-  CopyState warmth = CopyState::unknown;  // load_failed also with none and fault
-  int crowd = 0;
-  int copies = 0;
+  CopyState copy_state = CopyState::unknown;  // A NONE or FAULT answer can also report load_failed.
+  int crowd = 0;                              // requests of the same function at the endpoint
+  int copies = 0;                             // copies of the function at the endpoint
   LoadReport report{};
   std::string body{};
 };
 
 struct Bounds {
-  std::size_t line = 4 * 1024;     // bytes of an answer's line; far above all its fields
-  std::size_t body = 1024 * 1024;  // bytes
+  std::size_t line = 4 * 1024;     // bytes of an answer's line; far more than all its fields need
+  std::size_t body = 1024 * 1024;  // bytes of an answer's body
 };
 
 enum class Progress { more, answer, bad };
 
-// Takes bytes as they come and gives whole answers. Once bad, it stays so.
+// Extracts answers from a stream of bytes. After malformed input it reads nothing more.
 class Reader {
  public:
   explicit Reader(const Bounds& bounds) : bounds_(bounds) {}
   void put(std::string_view bytes);
   Progress next(Answer& answer);
-  bool clean() const { return at_ >= in_.size() && !head_; }  // nothing has begun
-  // Of what was bad: the id that its line began with, where it could be read.
-  const std::string& suspect() const { return suspect_; }
+  // Returns whether no part of a further answer has been received.
+  bool is_between_answers() const { return offset_ >= input_.size() && !answer_; }
+  // Returns the id of the malformed answer, or an empty string if its id could not be read.
+  const std::string& suspect() const { return malformed_id_; }
 
  private:
   bool read_line(std::string_view line);
 
   Bounds bounds_;
-  std::string in_;
-  std::size_t at_ = 0;          // bytes of `in_` that are used up
-  std::optional<Answer> head_;  // its line has been read, its body has not come whole
-  std::size_t length_ = 0;
-  std::string suspect_;
-  bool bad_ = false;
+  std::string input_;
+  std::size_t offset_ = 0;        // bytes of `input_` that have been parsed
+  std::optional<Answer> answer_;  // an answer whose body is incomplete
+  std::size_t body_length_ = 0;
+  std::string malformed_id_;
+  bool malformed_ = false;
 };
 
-// A command to run a request, whole but for the deadline, which is told when it leaves.
+// A command to run a request. The time left until the deadline is inserted when the command is sent.
 struct Invocation {
   std::string before_deadline{};
   std::string after_deadline{};
-  std::string text(Time left) const;
+  std::string text(Time left) const;  // `left` in tenths of a millisecond
 };
 
-// `number`: an event's own, by which a server runs it once; empty where it has none.
+// `idempotency_key` lets a server run the request only once; it is empty if the request has none.
 Invocation invocation(std::string_view id, std::string_view type, std::string_view function,
-                      std::string_view number, std::string_view body);
+                      std::string_view idempotency_key, std::string_view body);
 std::string abort(std::string_view id);
 std::string gauges(std::string_view tag);
 std::string alive(std::string_view tag);
 std::string prewarm(std::string_view tag, std::string_view function, int copies);
 std::string evict(std::string_view function);
 
-// What an answer to a shot says; nothing: it is no answer to a shot.
+// Converts an answer to the result of an attempt. Returns nullopt for PONG and SICK, which answer no attempt.
 std::optional<core::AttemptResult> attempt_result(Answer answer);
 
 }  // namespace rushhill::line_protocol
