--- a/src/log/event_log.cpp
+++ b/src/log/event_log.cpp
@@ -13,7 +13,8 @@
 namespace rushhill::log {
 namespace {
 
-constexpr int lines_a_second = 20;  // of one kind; enough to see a fault, too few to flood a disk
+// Limit for each event text: enough lines to notice a fault, too few to fill a disk.
+constexpr int max_lines_per_second = 20;
 
 spdlog::level::level_enum level_of(core::Level level) {
   switch (level) {
@@ -33,20 +34,20 @@
   return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// A log that nobody reads must not stall the loop.
-bool would_wait() {
+// Returns whether a write to standard error would block; a full pipe must not stall the event loop.
+bool write_would_block() {
   pollfd out{.fd = STDERR_FILENO, .events = POLLOUT, .revents = 0};
   return poll(&out, 1, 0) == 0;
 }
 
 }  // namespace
 
-EventLog::EventLog(Form form, core::Level least, std::string who)
-    : form_(form), least_(least), who_(std::move(who)),
+EventLog::EventLog(Form form, core::Level min_level, std::string source)
+    : form_(form), min_level_(min_level), source_(std::move(source)),
       logger_(
           std::make_shared<spdlog::logger>("rushhill", std::make_shared<spdlog::sinks::stderr_sink_mt>())) {
-  logger_->set_level(level_of(least));
-  // In UTC with milliseconds; the JSON form's message is the rest of the object.
+  logger_->set_level(level_of(min_level));
+  // Times are in UTC with milliseconds. In JSON, the message is the remainder of the object.
   logger_->set_formatter(std::make_unique<spdlog::pattern_formatter>(
       form == Form::json ? R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})"
                          : "%Y-%m-%d %H:%M:%S.%e %L %v",
@@ -56,31 +57,31 @@
 
 void EventLog::write(core::Level level, const char* what, Fields fields) {
   if (!wants(level)) return;
-  int left_out = 0;
+  int suppressed = 0;
   if (level != core::Level::debug) {
     const auto now = std::chrono::steady_clock::now().time_since_epoch();
     const std::int64_t second = std::chrono::duration_cast<std::chrono::seconds>(now).count();
-    Kind& kind = kinds_[what];
-    if (std::exchange(kind.second, second) != second) {
-      left_out = std::exchange(kind.left_out, 0);
-      kind.lines = 0;
+    EventCount& count = event_counts_[what];
+    if (std::exchange(count.second, second) != second) {
+      suppressed = std::exchange(count.suppressed, 0);
+      count.lines = 0;
     }
-    if (++kind.lines > lines_a_second || would_wait()) {
-      ++kind.left_out;
+    if (++count.lines > max_lines_per_second || write_would_block()) {
+      ++count.suppressed;
       return;
     }
-  } else if (would_wait()) {
+  } else if (write_would_block()) {
     return;
   }
   std::string text;
   if (form_ == Form::json) {
-    text = "\"who\":" + json_text(who_) + ",\"what\":" + json_text(what);
+    text = "\"who\":" + json_text(source_) + ",\"what\":" + json_text(what);
     for (const auto& [name, value] : fields) text += "," + json_text(name) + ":" + json_text(value);
-    if (left_out > 0) text += ",\"left_out\":" + std::to_string(left_out);
+    if (suppressed > 0) text += ",\"left_out\":" + std::to_string(suppressed);
   } else {
-    text = who_ + ": " + what;
+    text = source_ + ": " + what;
     for (const auto& [name, value] : fields) text += std::string("  ") + name + "=" + value;
-    if (left_out > 0) text += "  (" + std::to_string(left_out) + " more of these left out)";
+    if (suppressed > 0) text += "  (" + std::to_string(suppressed) + " similar lines suppressed)";
     for (char& c : text) {
       if (static_cast<unsigned char>(c) < 0x20) c = '?';
     }
--- a/src/log/event_log.h
+++ b/src/log/event_log.h
@@ -1,4 +1,4 @@
-// Structured logging on spdlog: one line a happening, as JSON or for people, on standard error.
+// Structured event log on standard error, written with spdlog: one line per event, as JSON or as plain text.
 #pragma once
 
 #include <map>
@@ -17,22 +17,24 @@
 
 class EventLog final : public core::EventLog {
  public:
-  EventLog(Form form, core::Level least, std::string who);
+  // `source` names the writing process in every line.
+  EventLog(Form form, core::Level min_level, std::string source);
   ~EventLog() override;
-  bool wants(core::Level level) const override { return level >= least_; }
+  bool wants(core::Level level) const override { return level >= min_level_; }
   void write(core::Level level, const char* what, Fields fields) override;
 
  private:
-  // Lines of one kind are few a second above debug; the rest is counted and told with the next.
-  struct Kind {
+  // Rate limit for the lines of one event text; debug lines are not limited. The number of suppressed lines
+  // is written with the event's first line in a later second.
+  struct EventCount {
     std::int64_t second = 0;
-    int lines = 0, left_out = 0;
+    int lines = 0, suppressed = 0;
   };
   Form form_;
-  core::Level least_;
-  std::string who_;
+  core::Level min_level_;
+  std::string source_;
   std::shared_ptr<spdlog::logger> logger_;
-  std::map<std::string, Kind> kinds_;
+  std::map<std::string, EventCount> event_counts_;  // by event text
 };
 
 }  // namespace rushhill::log
--- a/src/settings/deployment.h
+++ b/src/settings/deployment.h
@@ -1,5 +1,5 @@
-// The settings that a router is told at its start, and the entries of a list of model servers, by the names
-// of the simulator's wire. The adapter and the node read them with this one text, so that they cannot drift.
+// Readers for a router's start settings and for the entries of an endpoint list, under the field names of the
+// simulator's wire format. The simulator's adapter and the node share them, so that the two cannot diverge.
 #pragma once
 
 #include <vector>
@@ -9,7 +9,7 @@
 
 namespace rushhill::settings {
 
-// Times come in nanoseconds. Throws BadField.
+// Both read times in nanoseconds and throw BadField if a field is missing or invalid.
 RoutingConfiguration read_deployment(const Fields& info);
 Endpoint read_server(const Json& entry);
 
--- a/src/settings/fields.h
+++ b/src/settings/fields.h
@@ -1,5 +1,5 @@
-// Named fields of JSON objects that a router is told from outside, and their times: what is missing or of the
-// wrong kind is named in the error.
+// Typed access to the fields of JSON objects that a router receives, and conversion of their times. Errors
+// name the field that is missing or has the wrong type.
 #pragma once
 
 #include <array>
@@ -17,24 +17,27 @@
 
 using Json = nlohmann::json;
 
-// What was told is not as it is described: names the field.
+// Thrown for a field that is missing, of the wrong type or of an unknown value, and for a value that is not
+// an object.
 class BadField : public std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-inline constexpr std::int64_t ns_per_tenth = 100'000;
+inline constexpr std::int64_t ns_per_tick = 100'000;  // a tick of Time is a tenth of a millisecond
 
-// Rounding keeps promises: what limits us is rounded down, what others need from us is rounded up.
+// Times that limit the router are rounded down and times that others need from it are rounded up, so that
+// rounding never breaks a guarantee.
 inline Time floor_time(std::int64_t ns) {
-  const Time whole = ns / ns_per_tenth;
-  return ns % ns_per_tenth < 0 ? whole - 1 : whole;
+  const Time truncated = ns / ns_per_tick;
+  return ns % ns_per_tick < 0 ? truncated - 1 : truncated;
 }
 inline Time ceil_time(std::int64_t ns) { return -floor_time(-ns); }
 inline Duration floor_duration(std::int64_t ns) { return to_duration(floor_time(ns)); }
 inline Duration ceil_duration(std::int64_t ns) { return to_duration(ceil_time(ns)); }
-inline std::int64_t to_ns(Time time) { return time * ns_per_tenth; }
+inline std::int64_t to_ns(Time time) { return time * ns_per_tick; }
 
-// Fields of one object; a missing or mistyped one is named in the error.
+// The fields of one JSON object. A field that is null counts as missing. Functions with a parameter
+// `default_value` return it for a missing field.
 class Fields {
  public:
   explicit Fields(const Json& object, std::string where = "") : object_(object), where_(std::move(where)) {
@@ -42,6 +45,7 @@
       throw BadField(where_.empty() ? "not an object" : "field '" + where_ + "' is not an object");
   }
 
+  // Returns nullptr for a missing field.
   const Json* find(const char* name) const {
     const auto found = object_.find(name);
     return found == object_.end() || found->is_null() ? nullptr : &*found;
@@ -51,40 +55,40 @@
     if (value == nullptr) throw BadField("missing field '" + path(name) + "'");
     return *value;
   }
-  std::int64_t whole(const char* name) const { return as_whole(name, need(name)); }
-  std::int64_t whole(const char* name, std::int64_t otherwise) const {
+  std::int64_t whole(const char* name) const { return as_integer(name, need(name)); }
+  std::int64_t whole(const char* name, std::int64_t default_value) const {
     const Json* value = find(name);
-    return value == nullptr ? otherwise : as_whole(name, *value);
+    return value == nullptr ? default_value : as_integer(name, *value);
   }
-  double number(const char* name, double otherwise) const {
+  double number(const char* name, double default_value) const {
     const Json* value = find(name);
-    if (value == nullptr) return otherwise;
-    if (!value->is_number()) wrong(name, "a number");
+    if (value == nullptr) return default_value;
+    if (!value->is_number()) throw_wrong_type(name, "a number");
     return value->get<double>();
   }
   bool flag(const char* name) const {
     const Json* value = find(name);
     if (value == nullptr) return false;
-    if (!value->is_boolean()) wrong(name, "true or false");
+    if (!value->is_boolean()) throw_wrong_type(name, "true or false");
     return value->get<bool>();
   }
   std::string text(const char* name) const { return as_text(name, need(name)); }
-  std::string text(const char* name, const std::string& otherwise) const {
+  std::string text(const char* name, const std::string& default_value) const {
     const Json* value = find(name);
-    return value == nullptr ? otherwise : as_text(name, *value);
+    return value == nullptr ? default_value : as_text(name, *value);
   }
   Fields object(const char* name) const { return Fields(need(name), path(name)); }
   const Json& list(const char* name) const {
     const Json& value = need(name);
-    if (!value.is_array()) wrong(name, "a list");
+    if (!value.is_array()) throw_wrong_type(name, "a list");
     return value;
   }
-  // One of the wire's words, in the order of the enumeration.
+  // Reads an enumerator by its name on the wire; `values` lists the names in the order of the enumeration.
   template <typename Enum, std::size_t N>
-  Enum word(const char* name, const std::array<const char*, N>& words) const {
+  Enum word(const char* name, const std::array<const char*, N>& values) const {
     const std::string value = text(name);
     for (std::size_t i = 0; i < N; ++i) {
-      if (value == words[i]) return static_cast<Enum>(i);
+      if (value == values[i]) return static_cast<Enum>(i);
     }
     throw BadField("field '" + path(name) + "' has the unknown value '" + value + "'");
   }
@@ -98,7 +102,7 @@
     std::map<std::string, double> values;
     const Json* object = find(name);
     if (object == nullptr) return values;
-    if (!object->is_object()) wrong(name, "an object");
+    if (!object->is_object()) throw_wrong_type(name, "an object");
     for (const auto& [key, value] : object->items()) {
       if (value.is_number()) values[key] = value.get<double>();
     }
@@ -107,18 +111,18 @@
 
  private:
   std::string path(const char* name) const { return where_.empty() ? name : where_ + "." + name; }
-  [[noreturn]] void wrong(const char* name, const char* wanted) const {
-    throw BadField("field '" + path(name) + "' is not " + wanted);
+  [[noreturn]] void throw_wrong_type(const char* name, const char* expected) const {
+    throw BadField("field '" + path(name) + "' is not " + expected);
   }
-  std::int64_t as_whole(const char* name, const Json& value) const {
+  std::int64_t as_integer(const char* name, const Json& value) const {
     if (value.is_number_integer()) return value.get<std::int64_t>();
-    if (!value.is_number_float()) wrong(name, "a whole number");
+    if (!value.is_number_float()) throw_wrong_type(name, "a whole number");
     const double number = value.get<double>();
-    if (!(number > -9e18 && number < 9e18)) wrong(name, "a whole number");
+    if (!(number > -9e18 && number < 9e18)) throw_wrong_type(name, "a whole number");
     return static_cast<std::int64_t>(number);
   }
   std::string as_text(const char* name, const Json& value) const {
-    if (!value.is_string()) wrong(name, "text");
+    if (!value.is_string()) throw_wrong_type(name, "text");
     return value.get<std::string>();
   }
 
--- a/src/storage/background_task.cpp
+++ b/src/storage/background_task.cpp
@@ -8,24 +8,24 @@
 namespace rushhill::storage {
 namespace {
 
-// Signals are for the event loop, which notices them sooner where they interrupt its wait. The mask is
-// inherited by a thread that is started meanwhile.
-class SignalsBlocked {
+// Blocks all signals in the calling thread during its lifetime. A thread that is started meanwhile inherits
+// the mask, so that signals go to the event loop's thread and interrupt its wait at once.
+class SignalBlocker {
  public:
-  SignalsBlocked() {
+  SignalBlocker() {
     sigset_t all;
     sigfillset(&all);
-    pthread_sigmask(SIG_SETMASK, &all, &before_);
+    pthread_sigmask(SIG_SETMASK, &all, &previous_mask_);
   }
-  ~SignalsBlocked() { pthread_sigmask(SIG_SETMASK, &before_, nullptr); }
-  SignalsBlocked(const SignalsBlocked&) = delete;
-  SignalsBlocked& operator=(const SignalsBlocked&) = delete;
+  ~SignalBlocker() { pthread_sigmask(SIG_SETMASK, &previous_mask_, nullptr); }
+  SignalBlocker(const SignalBlocker&) = delete;
+  SignalBlocker& operator=(const SignalBlocker&) = delete;
 
  private:
-  sigset_t before_{};
+  sigset_t previous_mask_{};
 };
 
-std::future<Failure> finished(Failure failure) {
+std::future<Failure> ready_future(Failure failure) {
   std::promise<Failure> promise;
   promise.set_value(failure);
   return promise.get_future();
@@ -37,14 +37,14 @@
   std::packaged_task<Failure()> packaged(std::move(task));
   std::future<Failure> result = packaged.get_future();
   try {
-    const SignalsBlocked blocked;
+    const SignalBlocker signal_blocker;
     std::thread(std::move(packaged)).detach();
   } catch (const std::system_error& error) {
-    return finished(StorageError{Operation::start, error.code().value()});
+    return ready_future(StorageError{Operation::start, error.code().value()});
   }
   return result;
 }
 
-std::future<Failure> run_inline(Task task) { return finished(task()); }
+std::future<Failure> run_inline(Task task) { return ready_future(task()); }
 
 }  // namespace rushhill::storage
--- a/src/storage/background_task.h
+++ b/src/storage/background_task.h
@@ -1,4 +1,4 @@
-// Where blocking storage calls run: a sync may take seconds, in which the event loop must go on.
+// Runs blocking storage calls outside the event loop, since a sync may take seconds.
 #pragma once
 
 #include <functional>
@@ -9,12 +9,13 @@
 namespace rushhill::storage {
 
 using Task = std::function<Failure()>;
-// Starts a task; its result is polled. The task owns all it uses, since it may outlive the caller.
+// Starts a task and returns its result as a future, which the caller polls. The task must own everything that
+// it uses, since it may outlive the caller.
 using Execute = std::function<std::future<Failure>(Task)>;
 
-// On a thread of its own, which takes no signals. Destroying the future does not wait for it.
+// Runs the task on a new thread that blocks all signals. Destroying the future does not wait for the task.
 std::future<Failure> run_on_thread(Task task);
-// Before it returns, for tests in virtual time.
+// Runs the task before returning, for tests in virtual time.
 std::future<Failure> run_inline(Task task);
 
 }  // namespace rushhill::storage
--- a/src/storage/file_system.cpp
+++ b/src/storage/file_system.cpp
@@ -10,14 +10,14 @@
 namespace rushhill::storage {
 namespace {
 
-constexpr mode_t new_file_mode = 0666;  // less the process's umask
+constexpr mode_t new_file_mode = 0666;  // before the process's umask is applied
 
-int error_of(int returned) { return returned == 0 ? 0 : errno; }
+int error_of(int return_value) { return return_value == 0 ? 0 : errno; }
 
 int flags_of(OpenMode mode) {
   switch (mode) {
     case OpenMode::read:
-      return O_RDONLY | O_CLOEXEC | O_NONBLOCK;  // a FIFO by that name must not block
+      return O_RDONLY | O_CLOEXEC | O_NONBLOCK;  // opening a FIFO must not block
     case OpenMode::replace:
       return O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC;
     case OpenMode::append:
@@ -28,17 +28,17 @@
   return O_RDONLY | O_DIRECTORY | O_CLOEXEC;
 }
 
-class SystemFiles final : public FileSystem {
+class SystemFileSystem final : public FileSystem {
  public:
   OpenResult open(const std::string& path, OpenMode mode) override {
     const int descriptor = ::open(path.c_str(), flags_of(mode), new_file_mode);
     return {.descriptor = descriptor, .error_number = descriptor >= 0 ? 0 : errno};
   }
-  TransferResult read(int descriptor, char* into, std::size_t most) override {
-    return transferred(::read(descriptor, into, most));
+  TransferResult read(int descriptor, char* buffer, std::size_t max_bytes) override {
+    return to_transfer_result(::read(descriptor, buffer, max_bytes));
   }
   TransferResult write(int descriptor, std::string_view bytes) override {
-    return transferred(::write(descriptor, bytes.data(), bytes.size()));
+    return to_transfer_result(::write(descriptor, bytes.data(), bytes.size()));
   }
   int sync(int descriptor, bool) override { return error_of(::fsync(descriptor)); }
   int close(int descriptor, bool) override { return error_of(::close(descriptor)); }
@@ -48,9 +48,9 @@
   int remove(const std::string& path) override { return error_of(::unlink(path.c_str())); }
 
  private:
-  static TransferResult transferred(ssize_t returned) {
-    if (returned < 0) return {.error_number = errno};
-    return {.bytes = static_cast<std::size_t>(returned)};
+  static TransferResult to_transfer_result(ssize_t return_value) {
+    if (return_value < 0) return {.error_number = errno};
+    return {.bytes = static_cast<std::size_t>(return_value)};
   }
 };
 
@@ -86,6 +86,6 @@
   return std::string(name_of(error.operation)) + ": " + std::generic_category().message(error.error_number);
 }
 
-std::shared_ptr<FileSystem> system_files() { return std::make_shared<SystemFiles>(); }
+std::shared_ptr<FileSystem> system_files() { return std::make_shared<SystemFileSystem>(); }
 
 }  // namespace rushhill::storage
--- a/src/storage/file_system.h
+++ b/src/storage/file_system.h
@@ -1,5 +1,5 @@
-// The system calls on files that the program makes, behind an interface, so that each documented failure can
-// be produced by a test double. Every call is made once: callers handle EINTR and short writes.
+// The file system calls that the program makes, behind an interface, so that a test double can produce each
+// documented failure. Each function makes its system call once: callers handle EINTR and short writes.
 #pragma once
 
 #include <array>
@@ -11,7 +11,7 @@
 
 namespace rushhill::storage {
 
-// What was attempted when storage failed. `start`: the thread that was to write could not be created.
+// The operation that failed. `start` is the creation of the thread that runs a background task.
 enum class Operation {
   start,
   open,
@@ -32,29 +32,29 @@
 
 struct StorageError {
   Operation operation = Operation::open;
-  int error_number = 0;  // as errno
+  int error_number = 0;  // an errno value
   bool operator==(const StorageError&) const = default;
 };
-// For people, as "write: No space left on device".
+// Returns a text for people, such as "write: No space left on device".
 std::string describe(const StorageError& error);
 
-// The error of something that may fail; none: it was done.
+// The error of an operation, or nullopt if it succeeded.
 using Failure = std::optional<StorageError>;
 
-// `error_number` 0: done.
+// In the results of calls, `error_number` is an errno value, or 0 if the call succeeded.
 struct OpenResult {
   int descriptor = -1;
   int error_number = 0;
 };
 struct TransferResult {
-  std::size_t bytes = 0;  // read: 0 is the end of the file
+  std::size_t bytes = 0;  // a read of 0 bytes is the end of the file
   int error_number = 0;
 };
 
 enum class OpenMode {
   read,
-  replace,  // created or emptied
-  append,   // created where missing
+  replace,  // created, or truncated if it exists
+  append,   // created if it does not exist
   directory
 };
 
@@ -66,16 +66,17 @@
   virtual ~FileSystem() = default;
 
   virtual OpenResult open(const std::string& path, OpenMode mode) = 0;
-  virtual TransferResult read(int descriptor, char* into, std::size_t most) = 0;
+  virtual TransferResult read(int descriptor, char* buffer, std::size_t max_bytes) = 0;
   virtual TransferResult write(int descriptor, std::string_view bytes) = 0;
-  // These return an error number; 0: done. `directory` names what the descriptor stands for.
+  // These return an errno value, or 0 on success. `directory` says whether the descriptor is that of a
+  // directory.
   virtual int sync(int descriptor, bool directory) = 0;
   virtual int close(int descriptor, bool directory) = 0;
   virtual int rename(const std::string& from, const std::string& to) = 0;
   virtual int remove(const std::string& path) = 0;
 };
 
-// The system's own files; may be used by several threads.
+// Returns the operating system's file system, which several threads may use at a time.
 std::shared_ptr<FileSystem> system_files();
 
 }  // namespace rushhill::storage
--- a/src/storage/files.h
+++ b/src/storage/files.h
@@ -1,4 +1,4 @@
-// Whole files read, replaced atomically, and appended to, with typed errors. All of it blocks.
+// Reads whole files, replaces them atomically and appends to them, with typed errors. All functions block.
 #pragma once
 
 #include <memory>
@@ -14,21 +14,23 @@
   std::string content{};
   Failure failure{};
 };
-// EFBIG where the file is longer than `most` bytes.
-ReadResult read_file(FileSystem& files, const std::string& path, std::size_t most);
+// Fails with EFBIG if the file is longer than `max_size` bytes.
+ReadResult read_file(FileSystem& files, const std::string& path, std::size_t max_size);
 
-// Appends in one write where the system takes it whole. After a failure a part may have been appended.
+// Appends in one write call unless the system writes only a part of it. After a failure a part of the content
+// may have been appended.
 Failure append_to_file(FileSystem& files, const std::string& path, std::string_view content);
 
-// Replaces a file's content so that a reader, and a start after a crash at any instant, finds the old content
-// or the new, whole: writes a temporary file beside it, syncs it, renames it, and syncs the directory. Only
-// one process at a time may replace a file.
+// Replaces a file's content atomically: readers, also after a crash at any point, find either the complete
+// old or the complete new content. Writes a temporary file in the same directory, syncs it, renames it and
+// syncs the directory. Only one process at a time may replace a file.
 class AtomicFileWriter {
  public:
   AtomicFileWriter(std::shared_ptr<FileSystem> files, std::string path);
 
-  // After a failure the old content stands, or the new where only its durability is unknown (an operation on
-  // the directory failed); trying again writes all of it anew, since a failed sync cannot be repeated.
+  // After a failure the file has its old content, or the new one if only an operation on the directory
+  // failed; the new content may then be lost in a crash. A retry writes everything again, since a failed sync
+  // cannot be repeated.
   Failure replace(std::string_view content);
   const std::string& path() const { return path_; }
   const std::string& temporary_path() const { return temporary_path_; }
--- a/tests/storage/documented_failures.h
+++ b/tests/storage/documented_failures.h
@@ -1,4 +1,4 @@
-// The ways in which storage fails, for tests that go through all of them.
+// Every documented failure of a storage operation, for parameterized tests.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,8 +13,8 @@
 
 namespace rushhill {
 
-// What the manual pages document for each operation, where a retry may succeed. EINTR is not among them: it
-// is no failure.
+// An error that the manual pages document for the operation and after which a retry may succeed. EINTR is not
+// included, because interrupted calls are repeated.
 struct DocumentedFailure {
   storage::Operation operation;
   int error_number;
@@ -22,17 +22,17 @@
 inline std::vector<DocumentedFailure> documented_failures() {
   using enum storage::Operation;
   std::vector<DocumentedFailure> all;
-  const auto add = [&all](storage::Operation operation, std::initializer_list<int> errors) {
+  const auto add_failures = [&all](storage::Operation operation, std::initializer_list<int> errors) {
     for (const int error : errors) all.push_back({operation, error});
   };
-  add(open, {ENOSPC, EIO, EDQUOT, EMFILE, ENFILE, ENOMEM, EACCES, EROFS, ENOENT});
-  add(write, {ENOSPC, EIO, EDQUOT, EFBIG, EAGAIN});
-  add(sync, {ENOSPC, EIO, EDQUOT, EROFS});
-  add(close, {ENOSPC, EIO, EDQUOT});
-  add(rename, {ENOSPC, EIO, EDQUOT, ENOMEM, EACCES, EROFS, EBUSY});
-  add(open_directory, {EIO, EMFILE, ENFILE, ENOMEM, EACCES});
-  add(sync_directory, {ENOSPC, EIO, EDQUOT, EROFS});
-  add(close_directory, {EIO});
+  add_failures(open, {ENOSPC, EIO, EDQUOT, EMFILE, ENFILE, ENOMEM, EACCES, EROFS, ENOENT});
+  add_failures(write, {ENOSPC, EIO, EDQUOT, EFBIG, EAGAIN});
+  add_failures(sync, {ENOSPC, EIO, EDQUOT, EROFS});
+  add_failures(close, {ENOSPC, EIO, EDQUOT});
+  add_failures(rename, {ENOSPC, EIO, EDQUOT, ENOMEM, EACCES, EROFS, EBUSY});
+  add_failures(open_directory, {EIO, EMFILE, ENFILE, ENOMEM, EACCES});
+  add_failures(sync_directory, {ENOSPC, EIO, EDQUOT, EROFS});
+  add_failures(close_directory, {EIO});
   return all;
 }
 inline std::string test_name(const testing::TestParamInfo<DocumentedFailure>& info) {
--- a/tests/storage/files_test.cpp
+++ b/tests/storage/files_test.cpp
@@ -1,6 +1,7 @@
-// Whole files under every documented failure of every operation, once and for good, at every call, and under
-// SIGKILL between any two system calls, with writes of one byte each: a reader finds the old content or the
-// new.
+// Guards against file contents that are lost or mixed when storage fails or the writer is killed. A faulty
+// file system fails each operation with each documented error, once or permanently, and SIGKILL ends the
+// writer before each of its calls while every write is cut to one byte. Readers must find the complete old or
+// new content.
 #include "storage/files.h"
 
 #include <dirent.h>
@@ -24,7 +25,7 @@
 
 const std::string old_content = "the old content, somewhat longer than the new\n";
 const std::string new_content = "the new content, in whole\n";
-constexpr int attempts_while_failing = 3;
+constexpr int failing_attempts = 3;
 
 std::size_t open_descriptors() {
   std::size_t count = 0;
@@ -34,9 +35,9 @@
   return count;
 }
 
-bool of_directory(Operation operation) { return operation >= Operation::open_directory; }
+bool is_directory_operation(Operation operation) { return operation >= Operation::open_directory; }
 
-// A file with old content, whose reader looks before each call of the writer.
+// A file with the old content, which is read and checked before each call of the writer.
 class ReplacedFile {
  public:
   ReplacedFile() { std::ofstream(path) << old_content; }
@@ -45,24 +46,24 @@
     return std::make_shared<FaultyFileSystem>(system_files(),
                                               [this, plan = std::move(plan)](Operation operation) {
                                                 calls.push_back(operation);
-                                                expect_whole();
+                                                expect_complete_content();
                                                 return plan(operation);
                                               });
   }
-  void expect_whole() const {
-    const std::string seen = content_of(path);
-    EXPECT_TRUE(seen == old_content || seen == new_content) << seen;
+  void expect_complete_content() const {
+    const std::string content = content_of(path);
+    EXPECT_TRUE(content == old_content || content == new_content) << content;
   }
-  bool temporary_is_left() const { return std::filesystem::exists(path + ".part"); }
+  bool temporary_file_exists() const { return std::filesystem::exists(path + ".part"); }
 
   TemporaryDirectory directory;
   const std::string path = directory / "file";
   std::vector<Operation> calls;
 };
 
-class ReplaceFails : public testing::TestWithParam<DocumentedFailure> {};
+class ReplaceFailureTest : public testing::TestWithParam<DocumentedFailure> {};
 
-TEST_P(ReplaceFails, OnceAndTheNextAttemptSucceeds) {
+TEST_P(ReplaceFailureTest, SucceedsAfterOneFailure) {
   const StorageError error{GetParam().operation, GetParam().error_number};
   ReplacedFile file;
   bool failed = false;
@@ -73,14 +74,14 @@
                           file.path);
   const std::size_t descriptors = open_descriptors();
   EXPECT_EQ(writer.replace(new_content), error);
-  EXPECT_EQ(content_of(file.path), of_directory(error.operation) ? new_content : old_content);
-  EXPECT_FALSE(file.temporary_is_left());
+  EXPECT_EQ(content_of(file.path), is_directory_operation(error.operation) ? new_content : old_content);
+  EXPECT_FALSE(file.temporary_file_exists());
   EXPECT_EQ(writer.replace(new_content), Failure{});
   EXPECT_EQ(content_of(file.path), new_content);
   EXPECT_EQ(open_descriptors(), descriptors);
 }
 
-TEST_P(ReplaceFails, ForGoodAndTheContentStaysReadable) {
+TEST_P(ReplaceFailureTest, KeepsContentReadableDuringPermanentFailure) {
   const StorageError error{GetParam().operation, GetParam().error_number};
   ReplacedFile file;
   AtomicFileWriter writer(file.files([&](Operation operation) {
@@ -88,17 +89,17 @@
   }),
                           file.path);
   const std::size_t descriptors = open_descriptors();
-  for (int i = 0; i < attempts_while_failing; ++i) {
+  for (int i = 0; i < failing_attempts; ++i) {
     EXPECT_EQ(writer.replace(new_content), error);
-    EXPECT_EQ(content_of(file.path), of_directory(error.operation) ? new_content : old_content);
-    EXPECT_FALSE(file.temporary_is_left());
+    EXPECT_EQ(content_of(file.path), is_directory_operation(error.operation) ? new_content : old_content);
+    EXPECT_FALSE(file.temporary_file_exists());
   }
   EXPECT_EQ(open_descriptors(), descriptors);
 }
 
-INSTANTIATE_TEST_SUITE_P(Documented, ReplaceFails, testing::ValuesIn(documented_failures()), test_name);
+INSTANTIATE_TEST_SUITE_P(Documented, ReplaceFailureTest, testing::ValuesIn(documented_failures()), test_name);
 
-TEST(AtomicFileWriter, SyncsTheFileBeforeTheRenameAndTheDirectoryBehindIt) {
+TEST(AtomicFileWriter, SyncsFileBeforeRenameAndDirectoryAfterIt) {
   ReplacedFile file;
   AtomicFileWriter writer(file.files([](Operation) { return StorageFault{}; }), file.path);
   EXPECT_EQ(writer.replace(new_content), Failure{});
@@ -107,26 +108,26 @@
                                                 sync_directory, close_directory}));
 }
 
-TEST(AtomicFileWriter, WhenTheDiskIsFullAfterAnyByteTheOldContentStands) {
+TEST(AtomicFileWriter, KeepsOldContentWhenWriteFailsAfterAnyByte) {
   for (const int error_number : {ENOSPC, EIO, EDQUOT}) {
-    for (std::size_t room = 0; room < new_content.size(); ++room) {
+    for (std::size_t free_bytes = 0; free_bytes < new_content.size(); ++free_bytes) {
       ReplacedFile file;
       std::size_t written = 0;
       AtomicFileWriter writer(file.files([&](Operation operation) {
         if (operation != Operation::write) return StorageFault{};
-        if (written == room) return StorageFault{.error_number = error_number};
+        if (written == free_bytes) return StorageFault{.error_number = error_number};
         ++written;
         return StorageFault{.most_bytes = 1};
       }),
                               file.path);
-      EXPECT_EQ(writer.replace(new_content), (StorageError{Operation::write, error_number})) << room;
-      EXPECT_EQ(content_of(file.path), old_content) << room;
-      EXPECT_FALSE(file.temporary_is_left()) << room;
+      EXPECT_EQ(writer.replace(new_content), (StorageError{Operation::write, error_number})) << free_bytes;
+      EXPECT_EQ(content_of(file.path), old_content) << free_bytes;
+      EXPECT_FALSE(file.temporary_file_exists()) << free_bytes;
     }
   }
 }
 
-TEST(AtomicFileWriter, WritesOfOneByteAndInterruptionsOfEveryCallAreNoFailures) {
+TEST(AtomicFileWriter, SucceedsDespiteShortWritesAndInterruptedCalls) {
   ReplacedFile file;
   bool interrupted = false;
   AtomicFileWriter writer(file.files([&](Operation operation) {
@@ -142,7 +143,7 @@
   EXPECT_EQ(open_descriptors(), descriptors);
 }
 
-TEST(AtomicFileWriter, ACallThatIsInterruptedWithoutEndFails) {
+TEST(AtomicFileWriter, FailsWhenCallIsAlwaysInterrupted) {
   for (const Operation operation : {Operation::open, Operation::write, Operation::sync, Operation::rename,
                                     Operation::open_directory, Operation::sync_directory}) {
     ReplacedFile file;
@@ -154,13 +155,13 @@
   }
 }
 
-TEST(AtomicFileWriter, AWriteThatTakesNothingFailsInsteadOfSpinning) {
+TEST(AtomicFileWriter, FailsWhenWriteWritesNoBytes) {
   ReplacedFile file;
   AtomicFileWriter writer(file.files([](Operation) { return StorageFault{.most_bytes = 0}; }), file.path);
   EXPECT_EQ(writer.replace(new_content), (StorageError{Operation::write, EIO}));
 }
 
-TEST(AtomicFileWriter, ADirectoryThatCannotBeSyncedAtAllIsNoFailure) {
+TEST(AtomicFileWriter, SucceedsWhenDirectoriesCannotBeSynced) {
   ReplacedFile file;
   AtomicFileWriter writer(file.files([](Operation operation) {
     return operation == Operation::sync_directory ? StorageFault{.error_number = EINVAL} : StorageFault{};
@@ -169,7 +170,7 @@
   EXPECT_EQ(writer.replace(new_content), Failure{});
 }
 
-TEST(AtomicFileWriter, ADirectoryThatIsGoneIsAFailureAndSoIsOneInThePlaceOfTheFile) {
+TEST(AtomicFileWriter, FailsWhenDirectoryIsMissingOrPathIsDirectory) {
   TemporaryDirectory directory;
   EXPECT_EQ(AtomicFileWriter(system_files(), directory / "missing/file").replace(new_content),
             (StorageError{Operation::open, ENOENT}));
@@ -178,18 +179,18 @@
             (StorageError{Operation::rename, EISDIR}));
 }
 
-TEST(AtomicFileWriter, ThatIsKilledBeforeAnyCallLeavesTheOldContentOrTheNewAndTheNextWriterSucceeds) {
+TEST(AtomicFileWriter, LeavesCompleteContentWhenKilledBeforeAnyCall) {
   const std::size_t calls =
-      new_content.size() + 8;  // writes of one byte; open, sync, ... close of the directory
-  bool renamed = false;
-  for (std::size_t survived = 0; survived < calls; ++survived) {
+      new_content.size() + 8;  // one write per byte, the 7 other calls of a replacement, and one call beyond
+  bool new_content_seen = false;
+  for (std::size_t calls_before_kill = 0; calls_before_kill < calls; ++calls_before_kill) {
     ReplacedFile file;
     const pid_t child = fork();
     ASSERT_GE(child, 0);
     if (child == 0) {
-      std::size_t made = 0;
+      std::size_t calls_made = 0;
       const auto files = std::make_shared<FaultyFileSystem>(system_files(), [&](Operation) {
-        if (made++ == survived) ::raise(SIGKILL);
+        if (calls_made++ == calls_before_kill) ::raise(SIGKILL);
         return StorageFault{.most_bytes = 1};
       });
       AtomicFileWriter(files, file.path).replace(new_content);
@@ -198,29 +199,29 @@
     int status = 0;
     ASSERT_EQ(waitpid(child, &status, 0), child);
     const bool killed = WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL;
-    EXPECT_EQ(killed, survived + 1 < calls) << survived;
-    const std::string seen = content_of(file.path);
-    const bool is_new = seen == new_content;
-    EXPECT_TRUE(is_new || seen == old_content) << survived << ": " << seen;
-    EXPECT_TRUE(is_new || !renamed) << "the new content is never undone";
-    renamed = renamed || is_new;
+    EXPECT_EQ(killed, calls_before_kill + 1 < calls) << calls_before_kill;
+    const std::string content = content_of(file.path);
+    const bool is_new = content == new_content;
+    EXPECT_TRUE(is_new || content == old_content) << calls_before_kill << ": " << content;
+    EXPECT_TRUE(is_new || !new_content_seen) << "a kill at a later call brought the old content back";
+    new_content_seen = new_content_seen || is_new;
     EXPECT_EQ(AtomicFileWriter(system_files(), file.path).replace(new_content), Failure{});
     EXPECT_EQ(content_of(file.path), new_content);
-    EXPECT_FALSE(file.temporary_is_left());
+    EXPECT_FALSE(file.temporary_file_exists());
   }
-  EXPECT_TRUE(renamed);
+  EXPECT_TRUE(new_content_seen);
 }
 
-TEST(AppendToFile, TakesShortWritesAndInterruptionsAndTellsEachFailure) {
+TEST(AppendToFile, HandlesShortWritesAndInterruptionsAndReturnsFailures) {
   TemporaryDirectory directory;
   const std::string path = directory / "counts";
   bool interrupted = false;
-  FaultyFileSystem troubled(system_files(), [&](Operation) {
+  FaultyFileSystem interrupting(system_files(), [&](Operation) {
     interrupted = !interrupted;
     return interrupted ? StorageFault{.error_number = EINTR} : StorageFault{.most_bytes = 1};
   });
-  EXPECT_EQ(append_to_file(troubled, path, "one\n"), Failure{});
-  EXPECT_EQ(append_to_file(troubled, path, "two\n"), Failure{});
+  EXPECT_EQ(append_to_file(interrupting, path, "one\n"), Failure{});
+  EXPECT_EQ(append_to_file(interrupting, path, "two\n"), Failure{});
   EXPECT_EQ(content_of(path), "one\ntwo\n");
   for (const Operation operation : {Operation::open, Operation::write, Operation::close}) {
     for (const int error_number : {ENOSPC, EIO, EDQUOT}) {
@@ -232,16 +233,16 @@
   }
 }
 
-TEST(ReadFile, TakesShortReadsAndInterruptionsAndTellsEachFailure) {
+TEST(ReadFile, HandlesShortReadsAndInterruptionsAndReturnsFailures) {
   TemporaryDirectory directory;
   const std::string path = directory / "file";
   std::ofstream(path) << old_content;
   bool interrupted = false;
-  FaultyFileSystem troubled(system_files(), [&](Operation) {
+  FaultyFileSystem interrupting(system_files(), [&](Operation) {
     interrupted = !interrupted;
     return interrupted ? StorageFault{.error_number = EINTR} : StorageFault{.most_bytes = 1};
   });
-  EXPECT_EQ(read_file(troubled, path, old_content.size()).content, old_content);
+  EXPECT_EQ(read_file(interrupting, path, old_content.size()).content, old_content);
   for (const Operation operation : {Operation::open, Operation::read}) {
     for (const int error_number : {EIO, EACCES, EMFILE, ENOMEM}) {
       FaultyFileSystem failing(system_files(), [&](Operation called) {
@@ -256,7 +257,7 @@
   EXPECT_EQ(read_file(*files, directory / "", 1).failure, (StorageError{Operation::read, EISDIR}));
 }
 
-TEST(RunOnThread, DoesNotBlockTheCallerAndTakesNoSignals) {
+TEST(RunOnThread, DoesNotBlockCallerAndBlocksSignals) {
   std::promise<void> release;
   sigset_t blocked{};
   std::future<Failure> result = run_on_thread([&]() -> Failure {
@@ -271,30 +272,31 @@
   EXPECT_EQ(sigismember(&blocked, SIGINT), 1);
   sigset_t own{};
   pthread_sigmask(SIG_SETMASK, nullptr, &own);
-  EXPECT_EQ(sigismember(&own, SIGTERM), 0) << "the caller's mask stands as it was";
+  EXPECT_EQ(sigismember(&own, SIGTERM), 0) << "the caller's signal mask was not restored";
 }
 
-TEST(SeededStorageFaults, AreTheSameForASeedAndEndWithinSeconds) {
-  const auto drawn = [](std::uint64_t seed) {
+TEST(SeededStorageFaults, AreReproducibleAndEndWithinSeconds) {
+  const auto errors_for_seed = [](std::uint64_t seed) {
     std::int64_t now = 1;
     simulation::StorageFaultPlan plan = simulation::seeded_storage_faults(seed, [&now] { return now; });
     std::vector<int> errors;
     for (; now < 3'000'000; now += 100) errors.push_back(plan(Operation::write).error_number);
     return errors;
   };
-  const std::vector<int> errors = drawn(1);
-  EXPECT_EQ(errors, drawn(1));
-  EXPECT_NE(errors, drawn(2));
-  constexpr int longest_row = 310;  // calls in a span of 3 s, and a few that were only interrupted
-  int row = 0;
-  int failed = 0;
+  const std::vector<int> errors = errors_for_seed(1);
+  EXPECT_EQ(errors, errors_for_seed(1));
+  EXPECT_NE(errors, errors_for_seed(2));
+  // 300 calls are made in a fault span of 3 s; the others are allowed for calls that were only interrupted.
+  constexpr int max_consecutive_failures = 310;
+  int consecutive_failures = 0;
+  int failures = 0;
   for (const int error : errors) {
     const bool fails = error != 0 && error != EINTR;
-    failed += fails ? 1 : 0;
-    row = fails ? row + 1 : 0;
-    EXPECT_LT(row, longest_row);
+    failures += fails ? 1 : 0;
+    consecutive_failures = fails ? consecutive_failures + 1 : 0;
+    EXPECT_LT(consecutive_failures, max_consecutive_failures);
   }
-  EXPECT_GT(failed, 100) << "of 30,000 calls in 5 minutes";
+  EXPECT_GT(failures, 100) << "failed calls of 30,000 in 5 minutes";
 }
 
 }  // namespace
--- a/tests/storage/temporary_directory.h
+++ b/tests/storage/temporary_directory.h
@@ -1,4 +1,4 @@
-// A directory of a test's own, gone at its end.
+// A directory for one test, which is removed at its end.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
  public:
   TemporaryDirectory() {
     std::string pattern = testing::TempDir() + "rushhill-storage-XXXXXX";
-    if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("no temporary directory");
+    if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("cannot create a temporary directory");
     path_ = pattern;
   }
   ~TemporaryDirectory() {
