--- a/src/admission/deliveries.h
+++ b/src/admission/deliveries.h
@@ -14,19 +14,19 @@
 
 enum class Outcome { succeeded, rejected, failed };
 
-class Deliveries {
+class DeliveryTracker {
  public:
   // Ended messages are remembered for `retention` (tenths of a millisecond), and at most `max_ended` of them;
   // the oldest are forgotten first.
-  Deliveries(Time retention, std::size_t max_ended) : retention_(retention), max_ended_(max_ended) {}
+  DeliveryTracker(Time retention, std::size_t max_ended) : retention_(retention), max_ended_(max_ended) {}
 
-  enum class Meeting {
+  enum class DeliveryStatus {
     fresh,    // The message is unknown and has to be processed.
     joins,    // The message is in progress and must not be processed a second time.
     answered  // The message has ended; its answer is to be sent again.
   };
   // Records a delivery and returns whether the message is known. `message_key` identifies the message.
-  Meeting meet(Time now, const std::string& message_key);
+  DeliveryStatus meet(Time now, const std::string& message_key);
   bool knows(const std::string& message_key) const {
     return in_progress_.contains(message_key) || ended_.contains(message_key);
   }
--- a/src/admission/shares.cpp
+++ b/src/admission/shares.cpp
@@ -10,18 +10,18 @@
 
 }  // namespace
 
-Shares::Source Shares::add(double weight) {
+SourceQuotas::Source SourceQuotas::add(double weight) {
   sources_.push_back({.weight = std::max(weight, 1e-6)});
   total_weight_ += sources_.back().weight;
   return sources_.size() - 1;
 }
 
-std::size_t Shares::quota(Source source) const {
+std::size_t SourceQuotas::quota(Source source) const {
   const double quota = static_cast<double>(max_open_) * sources_[source].weight / total_weight_;
   return std::max<std::size_t>(static_cast<std::size_t>(quota), 1);
 }
 
-bool Shares::may_take(Source source) const {
+bool SourceQuotas::may_admit(Source source) const {
   if (open_ >= max_open_) return false;
   if (sources_[source].open < quota(source)) return true;
   // Above its quota a source may use only what is not reserved for others.
--- a/src/admission/shares.h
+++ b/src/admission/shares.h
@@ -9,16 +9,16 @@
 
 // Each source has a quota, in proportion to its weight. It may also use what the others leave of theirs,
 // except for a reserve that stays free for each source that is below its quota.
-class Shares {
+class SourceQuotas {
  public:
   using Source = std::size_t;
   // `max_open`: requests open at once, over all sources.
-  explicit Shares(std::size_t max_open) : max_open_(max_open) {}
+  explicit SourceQuotas(std::size_t max_open) : max_open_(max_open) {}
 
   Source add(double weight);
   // Returns whether one more request of the source may be admitted.
-  bool may_take(Source source) const;
-  void took(Source source) {
+  bool may_admit(Source source) const;
+  void on_admitted(Source source) {
     ++sources_[source].open;
     ++open_;
   }
@@ -36,7 +36,7 @@
   bool next_source(HasWaiting has_waiting, Source& chosen) const {
     bool found = false;
     for (Source source = 0; source < sources_.size(); ++source) {
-      if (!has_waiting(source) || !may_take(source)) continue;
+      if (!has_waiting(source) || !may_admit(source)) continue;
       if (!found || open_per_weight(source) < open_per_weight(chosen)) chosen = source;
       found = true;
     }
--- a/src/admission/tries.cpp
+++ b/src/admission/tries.cpp
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-std::optional<Time> Tries::again(Time now, const std::string& message_key, Outcome outcome,
-                                 RetrySafety retry_safety, Time deadline, Time retry_after) {
+std::optional<Time> MessageRetries::again(Time now, const std::string& message_key, Outcome outcome,
+                                          RetrySafety retry_safety, Time deadline, Time retry_after) {
   const auto [it, is_new] = failures_.try_emplace(message_key, 0);
   if (is_new) order_.push_back(message_key);
   const int failures = ++it->second;
@@ -34,12 +34,12 @@
   return now + delay;
 }
 
-int Tries::made(const std::string& message_key) const {
+int MessageRetries::made(const std::string& message_key) const {
   const auto it = failures_.find(message_key);
   return it == failures_.end() ? 0 : it->second;
 }
 
-void Tries::forget(const std::string& message_key) {
+void MessageRetries::forget(const std::string& message_key) {
   // The search in the order is linear, but few messages are ever retried.
   if (failures_.erase(message_key) > 0) std::erase(order_, message_key);
 }
--- a/src/admission/tries.h
+++ b/src/admission/tries.h
@@ -14,11 +14,11 @@
 
 namespace rushhill::admission {
 
-class Tries {
+class MessageRetries {
  public:
   // Allows `max_submissions` of each message. Submissions are counted for at most `max_messages` messages;
   // the oldest are forgotten first.
-  Tries(int max_submissions, std::size_t max_messages)
+  MessageRetries(int max_submissions, std::size_t max_messages)
       : max_submissions_(max_submissions), max_messages_(max_messages) {}
 
   // Counts a submission that did not succeed and returns when to submit the message again; nothing if it must
--- a/src/admission/yielding.cpp
+++ b/src/admission/yielding.cpp
@@ -29,23 +29,23 @@
 
 }  // namespace
 
-std::size_t Yielding::allowance(std::size_t source) const {
+std::size_t SourceThrottle::allowance(std::size_t source) const {
   const double allowance = sources_[source].allowance;
   return std::isfinite(allowance) ? static_cast<std::size_t>(allowance)
                                   : std::numeric_limits<std::size_t>::max();
 }
 
-void Yielding::add(double weight, bool can_wait) {
+void SourceThrottle::add(double weight, bool can_wait) {
   sources_.push_back({.weight = std::max(weight, 1e-6), .can_wait = can_wait});
 }
 
-void Yielding::took(Time now, std::size_t source) {
+void SourceThrottle::on_admitted(Time now, std::size_t source) {
   advance_intervals(now);
   SourceState& state = sources_[source];
   state.peak_open = std::max(state.peak_open, ++state.open);
 }
 
-void Yielding::ended(Time now, std::size_t source, End end) {
+void SourceThrottle::ended(Time now, std::size_t source, End end) {
   advance_intervals(now);
   SourceState& state = sources_[source];
   --state.open;
@@ -53,7 +53,7 @@
   if (end == End::failed) ++state.intervals[current_interval_].failed;
 }
 
-bool Yielding::may_take(Time now, std::size_t source) {
+bool SourceThrottle::may_admit(Time now, std::size_t source) {
   advance_intervals(now);
   SourceState& state = sources_[source];
   if (state.open < allowance(source)) return true;
@@ -61,7 +61,7 @@
   return false;
 }
 
-void Yielding::advance_intervals(Time now) {
+void SourceThrottle::advance_intervals(Time now) {
   if (now < interval_ends_at_) return;
   // After `kept_intervals` intervals without a call all kept intervals are empty.
   const Time elapsed = (now - interval_ends_at_) / interval_length;
@@ -77,7 +77,7 @@
   interval_ends_at_ = now - now % interval_length + interval_length;
 }
 
-void Yielding::adjust_allowances() {
+void SourceThrottle::adjust_allowances() {
   double succeeded = 0, failed = 0, active_weight = 0;
   std::vector<double> succeeded_by_source(sources_.size());
   for (std::size_t i = 0; i < sources_.size(); ++i) {
--- a/src/admission/yielding.h
+++ b/src/admission/yielding.h
@@ -14,18 +14,18 @@
 
 namespace rushhill::admission {
 
-class Yielding {
+class SourceThrottle {
  public:
   // Sources are added in the same order as to SourceQuotas, so that their numbers agree. `can_wait`: requests
   // that are not admitted now are not lost.
   void add(double weight, bool can_wait);
-  void took(Time now, std::size_t source);
+  void on_admitted(Time now, std::size_t source);
   // `failed` includes rejected requests. `cancelled` does not count, since it says nothing about the load.
   enum class End { succeeded, failed, cancelled };
   void ended(Time now, std::size_t source, End end);
   // Returns how many requests the source may have open at once.
   std::size_t allowance(std::size_t source) const;
-  bool may_take(Time now, std::size_t source);
+  bool may_admit(Time now, std::size_t source);
 
  private:
   static constexpr std::size_t kept_intervals = 5;
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -101,7 +101,7 @@
     write(line);
   }
   void probe(const EndpointId& server) override { write_for_server("ask-load", server); }
-  void close_idle(const EndpointId& server) override { write_for_server("free-links", server); }
+  void close_idle_connections(const EndpointId& server) override { write_for_server("free-links", server); }
   void prewarm(const EndpointId& server, const FunctionId& function, int copies) override {
     Json line = action("warm-up");
     line["app"] = function;
--- a/src/checker/day_rules.cpp
+++ b/src/checker/day_rules.cpp
@@ -43,9 +43,9 @@
 }  // namespace
 
 const RequestClass& DayRules::request_class(const std::string& name) const {
-  static const RequestClass strictest{.effect = "at-most-once", .group = "all"};
+  static const RequestClass highest_rank{.effect = "at-most-once", .group = "all"};
   const auto found = request_classes.find(name);
-  return found == request_classes.end() ? strictest : found->second;
+  return found == request_classes.end() ? highest_rank : found->second;
 }
 
 DayRules read_day_rules(const Json& day) {
--- a/src/command/bench_ends.cpp
+++ b/src/command/bench_ends.cpp
@@ -62,7 +62,7 @@
   lab::Pumping load = options.load;
   load.span = second * options.seconds;
   load.due = millisecond * options.due_ms;
-  lab::Pump pump(reactor, to, load);
+  lab::EventLoopDriver pump(reactor, to, load);
   pump.run();
   print_ready(lab::as_json(pump.result()));
   return ExitCode::success;
--- a/src/command/node.cpp
+++ b/src/command/node.cpp
@@ -53,9 +53,9 @@
   transport::Loop reactor;
   configuration.sockets = transport::descriptors_left(configuration.sockets);
   node::Node router(reactor, configuration, event_log);
-  node::Reloader reloader(reactor, path, event_log,
-                          [&](const node::Configuration& changed) { router.reconfigure(changed); });
-  reactor.every_turn([&] {
+  node::ConfigurationReloader reloader(
+      reactor, path, event_log, [&](const node::Configuration& changed) { router.reconfigure(changed); });
+  reactor.set_iteration_hook([&] {
     if (stop_requested != 0) router.start_draining([&] { reactor.halt(); });
     if (reload_requested == 0) return;
     reload_requested = 0;
@@ -63,7 +63,7 @@
   });
   reactor.run();
   log_end(event_log, router);
-  reactor.forget_all();
+  reactor.drop_pending_calls();
   return ExitCode::success;
 }
 
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -59,7 +59,7 @@
   const router::StorageAccess storage = storage_access(reactor, number, event_log);
   router::RouterProcess router(reactor, configuration, seed, event_log, storage);
   print_ready(router.address().toString());
-  reactor.every_turn([&] {
+  reactor.set_iteration_hook([&] {
     if (stop_requested != 0) router.start_draining([&] { reactor.halt(); });
   });
   if (faulty_calls) start_failing(*faulty_calls);
--- a/src/core/attempt_execution.cpp
+++ b/src/core/attempt_execution.cpp
@@ -97,7 +97,7 @@
 }
 
 void AttemptExecution::log_end(const Request& request, int number, AttemptOutcome outcome) {
-  if (!env_.log.wants(Level::debug)) return;
+  if (!env_.log.should_log(Level::debug)) return;
   const EndpointId& endpoint = request.attempts[static_cast<std::size_t>(number)].endpoint;
   env_.log.write(Level::debug, "attempt ended",
                  {{"event", request.message.id},
--- a/src/core/event_log.h
+++ b/src/core/event_log.h
@@ -23,7 +23,7 @@
   virtual ~EventLog() = default;
 
   // Returns whether lines of the level are written, so that callers can skip composing an expensive line.
-  virtual bool wants(Level level) const = 0;
+  virtual bool should_log(Level level) const = 0;
   virtual void write(Level level, const char* message, Fields fields) = 0;
 };
 
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -38,7 +38,7 @@
            .deferred = deferred_,
            .policy = policy_,
            .counters = counters_},
-          configuration.retries.retry_after ? configuration.retries.longest_retry_after : Duration::zero()) {}
+          configuration.retries.retry_after ? configuration.retries.max_retry_after : Duration::zero()) {}
 
 // Events from the front ends, service discovery, the other routers and the deduplication log.
 
@@ -47,7 +47,7 @@
   return it == configuration_.request_classes.end() ? RetrySafety::at_most_once : it->retry_safety;
 }
 
-std::optional<RequestId> Gateway::accept(admission::Shares::Source source, Client& client,
+std::optional<RequestId> Gateway::accept(admission::SourceQuotas::Source source, Client& client,
                                          RoutingRequest routing_request, events::CloudEvent message) {
   return lifecycle_.accept(source, client, std::move(routing_request), std::move(message));
 }
@@ -130,7 +130,9 @@
 
 void Gateway::probe(const EndpointId& endpoint) { endpoint_calls_.probe(endpoint); }
 
-void Gateway::close_idle(const EndpointId& endpoint) { ports_.upstream.close_idle(endpoint); }
+void Gateway::close_idle_connections(const EndpointId& endpoint) {
+  ports_.upstream.close_idle_connections(endpoint);
+}
 
 void Gateway::prewarm(const EndpointId& endpoint, const FunctionId& function, int copies) {
   endpoint_calls_.prewarm(endpoint, function, copies);
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -50,11 +50,11 @@
   // Registers a front end, or a part of one, as a source of requests. `weight` is its share of the limit on
   // open requests, relative to the other sources. `can_wait` says that requests which the source holds back
   // are not lost and may be passed to accept() later.
-  admission::Shares::Source add_source(double weight, bool can_wait = false) {
+  admission::SourceQuotas::Source add_source(double weight, bool can_wait = false) {
     return source_limiter_.add_source(weight, can_wait);
   }
   // Returns whether the source should pass a request to accept() now.
-  bool has_room(admission::Shares::Source source) {
+  bool has_room(admission::SourceQuotas::Source source) {
     return source_limiter_.has_room(ports_.clock.timestamp(), source);
   }
   // Returns how safe it is to retry requests of a class: at_most_once if the class is not configured.
@@ -63,7 +63,7 @@
   // Accepts a request and returns the id that the gateway assigns to it, or nothing if the source is over its
   // limit. The gateway sets the id in `routing_request`; the front end fills in the rest. The final answer is
   // never delivered before this call returns.
-  std::optional<RequestId> accept(admission::Shares::Source source, Client& client,
+  std::optional<RequestId> accept(admission::SourceQuotas::Source source, Client& client,
                                   RoutingRequest routing_request, events::CloudEvent message);
   // The client has cancelled the request or disconnected. `attempts_after_cancel` is the number of attempts
   // that started after the cancellation had arrived and before the front end read it.
@@ -88,7 +88,7 @@
   void expire_all();
   const Counters& tally() const { return counters_; }
   // Time spent within the routing policy, in nanoseconds, or 0 if the TimerService does not measure it.
-  std::int64_t policy_ns() const { return policy_.spent_ns(); }
+  std::int64_t policy_time_ns() const { return policy_.spent_ns(); }
   const RoutingConfiguration& configuration() const { return configuration_; }
 
   // UpstreamObserver
@@ -106,7 +106,7 @@
   void fail(RequestId request) override;
   void set_timer(std::int64_t token, Timestamp at) override;
   void probe(const EndpointId& endpoint) override;
-  void close_idle(const EndpointId& endpoint) override;
+  void close_idle_connections(const EndpointId& endpoint) override;
   void prewarm(const EndpointId& endpoint, const FunctionId& function, int copies) override;
   void evict(const EndpointId& endpoint, const FunctionId& function) override;
   void send_gossip(int router, const std::string& bytes) override;
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -190,7 +190,7 @@
 }
 
 void RequestLifecycle::log_conclusion(const Request& request, End end) {
-  if (!env_.log.wants(Level::debug)) return;
+  if (!env_.log.should_log(Level::debug)) return;
   const FractionalMilliseconds elapsed = env_.clock.timestamp() - request.accepted;
   env_.log.write(Level::debug, "request concluded",
                  {{"outcome", name_of(end)},
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -28,7 +28,7 @@
 
 // A request from its acceptance until its last attempt has ended.
 struct Request {
-  admission::Shares::Source source = 0;
+  admission::SourceQuotas::Source source = 0;
   Client* client = nullptr;  // null once it has received its final answer or has cancelled
   bool concluded = false;    // the final answer is decided or the client has cancelled
   bool recorded = false;     // its end must be reported to the deduplication log
--- a/src/core/source_room.h
+++ b/src/core/source_room.h
@@ -13,8 +13,8 @@
 // Divides the limit on open requests among the sources.
 class SourceLimiter {
  public:
-  using Source = admission::Shares::Source;
-  using End = admission::Yielding::End;
+  using Source = admission::SourceQuotas::Source;
+  using End = admission::SourceThrottle::End;
 
   // `open_request_limit` is the number of requests that may be open at once over all sources. Zero or less
   // means that there is no limit.
@@ -29,14 +29,14 @@
   }
   // Returns whether the source should pass on a request now.
   bool has_room(Timestamp now, Source source) {
-    return within_share(source) && yielding_.may_take(to_ticks(now), source);
+    return within_share(source) && yielding_.may_admit(to_ticks(now), source);
   }
   // Returns whether a request of the source is accepted, even if has_room() advised the source to wait.
-  bool within_share(Source source) const { return shares_.may_take(source); }
+  bool within_share(Source source) const { return shares_.may_admit(source); }
 
   void request_accepted(Timestamp now, Source source) {
-    shares_.took(source);
-    yielding_.took(to_ticks(now), source);
+    shares_.on_admitted(source);
+    yielding_.on_admitted(to_ticks(now), source);
   }
   void request_concluded(Timestamp now, Source source, End end) {
     shares_.ended(source);
@@ -48,8 +48,8 @@
  private:
   static constexpr std::size_t unlimited_requests = 1'000'000'000;
 
-  admission::Shares shares_;
-  admission::Yielding yielding_;
+  admission::SourceQuotas shares_;
+  admission::SourceThrottle yielding_;
 };
 
 }  // namespace rushhill::core
--- a/src/core/upstream_transport.h
+++ b/src/core/upstream_transport.h
@@ -68,7 +68,7 @@
   virtual void prewarm(const EndpointId& endpoint, const FunctionId& function, int copies,
                        Duration timeout) = 0;
   virtual void evict(const EndpointId& endpoint, const FunctionId& function) = 0;
-  virtual void close_idle(const EndpointId& endpoint) = 0;
+  virtual void close_idle_connections(const EndpointId& endpoint) = 0;
   // Sets the address of an endpoint. An empty address means that the endpoint can no longer be reached.
   virtual void set_address(const EndpointId& endpoint, const std::string& address) = 0;
 };
--- a/src/deployment/configuration.h
+++ b/src/deployment/configuration.h
@@ -47,9 +47,9 @@
 // The replicated state of the routers. Without `listen` nothing is replicated.
 struct ReplicationConfiguration {
   std::string listen{};
-  std::string deployment{};                           // routers of another deployment are refused
-  std::vector<std::string> addresses{};               // by router number; this router's own entry is not used
-  std::map<std::string, replica::MarkLevel> marks{};  // by request class; not named: none
+  std::string deployment{};              // routers of another deployment are refused
+  std::vector<std::string> addresses{};  // by router number; this router's own entry is not used
+  std::map<std::string, replica::DeduplicationLevel> marks{};  // by request class; not named: none
   int held_by = 0;             // other routers that must hold a mark; 0: so many that any two admissions meet
   double held_within = 0;      // part of a request's time until its deadline
   Time mark_life = 0;          // a mark is kept that long
--- a/src/deployment/connection_sections.cpp
+++ b/src/deployment/connection_sections.cpp
@@ -100,7 +100,7 @@
       {"retry", "500ms",
        [](Config& config, Text text) { config.discovery.retry = to_ticks(positive_span(text)); }},
       {"pushed", "yes",
-       [](Config& config, Text text) { config.routing.endpoints_on_request = !yes_or_no(text); }},
+       [](Config& config, Text text) { config.routing.endpoint_watch_on_request = !yes_or_no(text); }},
   };
 }
 
--- a/src/deployment/cross_checks.cpp
+++ b/src/deployment/cross_checks.cpp
@@ -55,7 +55,7 @@
     if (limited && budget.free_loads < 1 && budget.loads_per_request <= 0)
       fault({"rules", "load-free"},
             "below 1 with loads-per-event 0 permits no order at all: write [functions] orders = no");
-    if (routing_.copies.missing_is_answered && !routing_.copies.prewarm)
+    if (routing_.copies.missing_copy_is_reported && !routing_.copies.prewarm)
       fault({"functions", "when-missing"}, "is miss, but without orders nothing would ever be loaded");
   }
 
@@ -69,11 +69,12 @@
     if (replication.held_by >= std::max(routing_.routers, 1))
       fault({"replica", "held-by"}, "is more than there are other routers: no marks could be held");
     const bool any_held = std::ranges::any_of(replication.marks, [](const auto& class_and_level) {
-      return class_and_level.second == replica::MarkLevel::held;
+      return class_and_level.second == replica::DeduplicationLevel::held;
     });
-    const bool any_two_meet = routing_.routers >= 2 && routing_.routers <= replica::most_meeting;
+    const bool any_two_meet = routing_.routers >= 2 && routing_.routers <= replica::max_full_mesh_routers;
     if (any_held && replication.held_by == 0 && !any_two_meet)
-      fault({"replica", "held-by"}, "must be told: only 2 to " + std::to_string(replica::most_meeting) +
+      fault({"replica", "held-by"}, "must be told: only 2 to " +
+                                        std::to_string(replica::max_full_mesh_routers) +
                                         " routers can have every two takings of an event meet");
   }
 
--- a/src/deployment/request_class_section.cpp
+++ b/src/deployment/request_class_section.cpp
@@ -19,7 +19,7 @@
 struct RequestClassSection {
   RequestClass request_class{};
   std::string event_type{};  // empty: the section's name
-  replica::MarkLevel marks = replica::MarkLevel::none;
+  replica::DeduplicationLevel marks = replica::DeduplicationLevel::none;
 };
 
 RetrySafety retry_safety(Text text) {
@@ -34,10 +34,10 @@
                                            {"cell", DeduplicationScope::cell}});
 }
 
-replica::MarkLevel mark_level(Text text) {
-  return one_of<replica::MarkLevel>(text, {{"none", replica::MarkLevel::none},
-                                           {"told", replica::MarkLevel::announced},
-                                           {"held", replica::MarkLevel::held}});
+replica::DeduplicationLevel mark_level(Text text) {
+  return one_of<replica::DeduplicationLevel>(text, {{"none", replica::DeduplicationLevel::none},
+                                                    {"told", replica::DeduplicationLevel::announced},
+                                                    {"held", replica::DeduplicationLevel::held}});
 }
 
 const std::vector<Key<RequestClassSection>>& request_class_keys() {
@@ -120,7 +120,7 @@
   const std::string event_type = row.event_type.empty() ? name : row.event_type;
   if (!configuration.class_of_event_type.emplace(event_type, name).second)
     faults.add("event-type", "'" + event_type + "' belongs to two traffic types");
-  if (row.marks != replica::MarkLevel::none) {
+  if (row.marks != replica::DeduplicationLevel::none) {
     check_marks(row.request_class, input, faults);
     configuration.replication.marks[name] = row.marks;
   }
--- a/src/deployment/routing_sections.cpp
+++ b/src/deployment/routing_sections.cpp
@@ -85,7 +85,7 @@
       {"retry-advice", "yes",
        [](Config& config, Text text) { config.routing.retries.retry_after = yes_or_no(text); }},
       {"longest-retry-advice", "500ms",
-       [](Config& config, Text text) { config.routing.retries.longest_retry_after = span(text); }},
+       [](Config& config, Text text) { config.routing.retries.max_retry_after = span(text); }},
       {"over-share-worth", "1",
        [](Config& config, Text text) { config.routing.over_quota_value = number_in(text, shares); }},
   };
@@ -96,7 +96,8 @@
       {"orders", "yes", [](Config& config, Text text) { config.routing.copies.prewarm = yes_or_no(text); }},
       {"when-missing", "load",
        [](Config& config, Text text) {
-         config.routing.copies.missing_is_answered = one_of<bool>(text, {{"load", false}, {"miss", true}});
+         config.routing.copies.missing_copy_is_reported =
+             one_of<bool>(text, {{"load", false}, {"miss", true}});
        }},
       {"tells-warm", "yes",
        [](Config& config, Text text) { config.routing.copies.state_is_reported = yes_or_no(text); }},
--- a/src/emulator/emulation.cpp
+++ b/src/emulator/emulation.cpp
@@ -79,7 +79,7 @@
   auto& router = seats_[number].router;
   if (!router) return;
   add(spent_.tally, router->gateway().tally());
-  spent_.module_seconds += static_cast<double>(router->gateway().policy_ns()) / 1e9;
+  spent_.module_seconds += static_cast<double>(router->gateway().policy_time_ns()) / 1e9;
   router.reset();
   if (seats_[number].due && !over_) start(number);
 }
--- a/src/emulator/emulation.h
+++ b/src/emulator/emulation.h
@@ -39,7 +39,7 @@
  private:
   class Quiet final : public core::EventLog {
    public:
-    bool wants(core::Level) const override { return false; }
+    bool should_log(core::Level) const override { return false; }
     void write(core::Level, const char*, Fields) override {}
   };
   struct Seat {
--- a/src/fastcgi/records.cpp
+++ b/src/fastcgi/records.cpp
@@ -208,7 +208,7 @@
       if (!pairs) return stop_reading("FCGI_GET_VALUES record has malformed name-value pairs");
       std::vector<std::string> names;
       for (const auto& [name, value] : *pairs) names.push_back(name);
-      return observer_.values_asked(names);
+      return observer_.values_requested(names);
     }
     default:
       return observer_.type_unknown(type_);
--- a/src/fastcgi/records.h
+++ b/src/fastcgi/records.h
@@ -55,7 +55,7 @@
   // discarded.
   virtual void aborted(Number number, bool complete) = 0;
   // Called when the client asks for the values of these variables (FCGI_GET_VALUES).
-  virtual void values_asked(const std::vector<std::string>& names) = 0;
+  virtual void values_requested(const std::vector<std::string>& names) = 0;
   // Called for a record of a type that the reader does not handle.
   virtual void type_unknown(std::uint8_t type) = 0;
   // Called once, when the client violates the protocol. The reader ignores all further bytes.
--- a/src/frontends/fastcgi_connection.cpp
+++ b/src/frontends/fastcgi_connection.cpp
@@ -193,7 +193,7 @@
   return true;
 }
 
-void FastCgiFront::Connection::values_asked(const std::vector<std::string>& names) {
+void FastCgiFront::Connection::values_requested(const std::vector<std::string>& names) {
   std::vector<std::pair<std::string, std::string>> values;
   for (const std::string& name : names) {
     if (name == "FCGI_MAX_CONNS") values.emplace_back(name, std::to_string(front_.rules_.connections));
--- a/src/frontends/fastcgi_connection.h
+++ b/src/frontends/fastcgi_connection.h
@@ -72,7 +72,7 @@
   void request(fastcgi::Number number, fastcgi::Request request) override;
   void refused(fastcgi::Number number, fastcgi::Refusal why, bool keep) override;
   void aborted(fastcgi::Number number, bool whole) override;
-  void values_asked(const std::vector<std::string>& names) override;
+  void values_requested(const std::vector<std::string>& names) override;
   void type_unknown(std::uint8_t type) override;
   void broken(const char* why) override;
 
--- a/src/frontends/fastcgi_front.h
+++ b/src/frontends/fastcgi_front.h
@@ -60,7 +60,7 @@
   core::Gateway& gateway_;
   core::EventLog& log_;
   FastCgiRules rules_;
-  admission::Shares::Source source_;
+  admission::SourceQuotas::Source source_;
   RequestCounts counts_;  // outlives the connections
   bool ready_ = false;
   std::set<std::string> open_ids_;  // of all connections' open requests
--- a/src/frontends/http_connection.cpp
+++ b/src/frontends/http_connection.cpp
@@ -117,7 +117,7 @@
   set_timer(front_.rules_.request_within);
 }
 void HttpFront::Connection::on_partial_request() {
-  if (sent_continue_ || !reader_.wants_continue()) return;
+  if (sent_continue_ || !reader_.expects_continue()) return;
   sent_continue_ = true;
   stream_->write("HTTP/1.1 100 Continue\r\n\r\n");
 }
--- a/src/frontends/http_front.h
+++ b/src/frontends/http_front.h
@@ -63,7 +63,7 @@
   core::Gateway& gateway_;
   const core::RequestReader& intake_;
   HttpRules rules_;
-  admission::Shares::Source source_;
+  admission::SourceQuotas::Source source_;
   RequestCounts counts_;  // outlives the connections
   bool ready_ = false;
   bool draining_ = false;
--- a/src/frontends/mqtt_session.cpp
+++ b/src/frontends/mqtt_session.cpp
@@ -101,12 +101,12 @@
   if (!delivery) return;
   if (front_.draining_ && !deliveries_.knows(delivery->message_key)) return;  // it stays the broker's
   switch (deliveries_.meet(reactor_.now(), delivery->message_key)) {
-    case admission::Deliveries::Meeting::answered:
+    case admission::DeliveryTracker::DeliveryStatus::answered:
       return answer_again(delivery);
-    case admission::Deliveries::Meeting::joins:
+    case admission::DeliveryTracker::DeliveryStatus::joins:
       ++front_.tally_.joined;
       return window_.add(delivery);
-    case admission::Deliveries::Meeting::fresh:
+    case admission::DeliveryTracker::DeliveryStatus::fresh:
       return start(delivery, packet);
   }
 }
--- a/src/frontends/mqtt_session.h
+++ b/src/frontends/mqtt_session.h
@@ -85,9 +85,9 @@
   transport::Reactor& reactor_;
   deployment::MqttTopic rule_;
   std::size_t window_size_;
-  admission::Shares::Source source_;
-  admission::Deliveries deliveries_;
-  admission::Tries tries_;
+  admission::SourceQuotas::Source source_;
+  admission::DeliveryTracker deliveries_;
+  admission::MessageRetries tries_;
   MqttDeliveryWindow window_;
   std::deque<MqttDeliveryPointer> queued_;              // until the gateway has room
   std::multimap<Time, MqttDeliveryPointer> retries_;    // by the time of the next attempt
--- a/src/lab/lag.cpp
+++ b/src/lab/lag.cpp
@@ -26,14 +26,14 @@
 constexpr Time patience = 60 * second;  // after the last word
 constexpr int first_port = 20'000;
 
-struct Unheeded final : replica::Findings {
+struct Unheeded final : replica::ReplicaObserver {
   void full(Kind) override {}
-  void copies_differed(const replica::StreamId&, const replica::Word&, const replica::Word&) override {}
-  void second_of_us(const replica::Writer&) override {}
-  void honoured_twice(const std::string&, const replica::Writer&, const replica::Writer&) override {}
+  void on_divergence(const replica::StreamId&, const replica::Word&, const replica::Word&) override {}
+  void on_duplicate_writer(const replica::Writer&) override {}
+  void on_executed_twice(const std::string&, const replica::Writer&, const replica::Writer&) override {}
 };
 struct NoEventLog final : core::EventLog {
-  bool wants(core::Level) const override { return false; }
+  bool should_log(core::Level) const override { return false; }
   void write(core::Level, const char*, Fields) override {}
 };
 
@@ -53,7 +53,7 @@
               {.listen = addresses[static_cast<std::size_t>(number)],
                .addresses = addresses,
                .hello = {.deployment = "lag", .name = std::to_string(number), .writer = copy.me()},
-               .everybody = addresses.size() <= replica::most_meeting},
+               .full_mesh = addresses.size() <= replica::max_full_mesh_routers},
               copy, diary) {}
   Unheeded unheeded;
   NoEventLog diary;
@@ -103,7 +103,7 @@
       for (int i = 0; i < of.routers; ++i) {
         if (i != static_cast<int>(writer)) word.lacking.push_back(i);
       }
-      routers[writer]->copy.write(network.now(), Kind::mark, word.key, 1);
+      routers[writer]->copy.write(network.now(), Kind::deduplication, word.key, 1);
       routers[writer]->links.written();
       if (!word.lacking.empty()) words.push_back(std::move(word));
       next += 1 + static_cast<Time>(chance() % static_cast<std::uint64_t>(2 * between));
@@ -113,7 +113,8 @@
     std::erase_if(words, [&](Word& word) {
       const std::size_t before = word.lacking.size();
       std::erase_if(word.lacking, [&](int router) {
-        return routers[static_cast<std::size_t>(router)]->copy.strictest(Kind::mark, word.key) > 0;
+        return routers[static_cast<std::size_t>(router)]->copy.highest_rank(Kind::deduplication, word.key) >
+               0;
       });
       const Time taken = network.now() - word.written;
       if (before == static_cast<std::size_t>(of.routers) - 1 && word.lacking.size() < before)
--- a/src/lab/mqtt_pump.cpp
+++ b/src/lab/mqtt_pump.cpp
@@ -99,12 +99,12 @@
   const std::int64_t now = transport::monotonic_ns();
   count_from_ = now + span_ * 20'000;  // a fifth of the span, in nanoseconds
   for (std::int64_t& next : next_) next = now;
-  bool paced = false;
+  bool pace_samples = false;
   for (std::size_t i = 0; i < streams_.size(); ++i) {
-    paced = paced || streams_[i].rate > 0;
+    pace_samples = pace_samples || streams_[i].rate > 0;
     if (streams_[i].rate <= 0) fill(*session_of_[i]);
   }
-  if (paced) pace();
+  if (pace_samples) pace();
   reactor_.at(reactor_.now() + span_, [this] {
     for (Pumped& result : results_)
       result.seconds = static_cast<double>(transport::monotonic_ns() - count_from_) / 1e9;
--- a/src/lab/pump.cpp
+++ b/src/lab/pump.cpp
@@ -98,9 +98,9 @@
   });
 }
 
-class Pump::Line final : public transport::StreamHandler {
+class EventLoopDriver::Line final : public transport::StreamHandler {
  public:
-  Line(Pump& pump, const transport::Address& to) : pump_(pump) {
+  Line(EventLoopDriver& pump, const transport::Address& to) : pump_(pump) {
     stream = transport::Stream::connect(pump.reactor_, to, *this);
   }
   ~Line() override { stream->close(); }
@@ -116,11 +116,12 @@
   std::int64_t intended = 0;  // of the request that is out; 0: none
 
  private:
-  Pump& pump_;
+  EventLoopDriver& pump_;
   std::string in_;
 };
 
-Pump::Pump(transport::Reactor& reactor, std::vector<transport::Address> to, const Pumping& how)
+EventLoopDriver::EventLoopDriver(transport::Reactor& reactor, std::vector<transport::Address> to,
+                                 const Pumping& how)
     : reactor_(reactor), to_(std::move(to)), how_(how) {
   for (int i = 0; i < how.functions; ++i) {
     events::CloudEvent event{.id = "e", .source = "/pump", .type = "lookup"};
@@ -138,9 +139,9 @@
     requests_.push_back(to_bytes(request));
   }
 }
-Pump::~Pump() = default;
+EventLoopDriver::~EventLoopDriver() = default;
 
-void Pump::run() {
+void EventLoopDriver::run() {
   began_ = transport::monotonic_ns();
   ends_ = reactor_.now() + how_.span;
   count_from_ = began_ + how_.span * 20'000;  // a fifth of the span, in nanoseconds
@@ -156,7 +157,7 @@
 }
 
 // The moments that have come: each goes out now, or waits for a connection, and counts from its own moment.
-void Pump::pace() {
+void EventLoopDriver::pace() {
   const std::int64_t now = transport::monotonic_ns();
   const auto step = static_cast<std::int64_t>(1e9 / how_.rate);
   for (; next_ <= now; next_ += step) {
@@ -173,7 +174,7 @@
   reactor_.post([this] { pace(); });  // turning without rest: a client's own delay must not count
 }
 
-void Pump::send(Line& line, std::int64_t intended_ns) {
+void EventLoopDriver::send(Line& line, std::int64_t intended_ns) {
   line.intended = intended_ns;
   line.stream->write(requests_[static_cast<std::size_t>(sent_++) % requests_.size()]);
 }
@@ -185,7 +186,7 @@
   latencies_us.push_back(static_cast<double>(after_ns) / 1e3);
 }
 
-void Pump::answered(Line& line, bool honoured) {
+void EventLoopDriver::answered(Line& line, bool honoured) {
   const std::int64_t now = transport::monotonic_ns();
   if (line.intended != 0 && line.intended >= count_from_)
     result_.note(now - line.intended, honoured, how_.due);
@@ -197,7 +198,7 @@
   send(line, oldest);
 }
 
-void Pump::broken(Line& line) {
+void EventLoopDriver::broken(Line& line) {
   ++result_.failed;
   std::erase(idle_, &line);
 }
--- a/src/lab/pump.h
+++ b/src/lab/pump.h
@@ -54,10 +54,10 @@
   void note(std::int64_t after_ns, bool was_honoured, Time due);
 };
 
-class Pump {
+class EventLoopDriver {
  public:
-  Pump(transport::Reactor& reactor, std::vector<transport::Address> to, const Pumping& how);
-  ~Pump();
+  EventLoopDriver(transport::Reactor& reactor, std::vector<transport::Address> to, const Pumping& how);
+  ~EventLoopDriver();
   void run();  // until the span is over; only requests after its first fifth are counted
   const Pumped& result() const { return result_; }
 
--- a/src/line_protocol/answers.h
+++ b/src/line_protocol/answers.h
@@ -39,7 +39,7 @@
   // Returns whether no part of a further answer has been received.
   bool is_between_answers() const { return offset_ >= input_.size() && !answer_; }
   // Returns the id of the malformed answer, or an empty string if its id could not be read.
-  const std::string& suspect() const { return malformed_id_; }
+  const std::string& malformed_answer_id() const { return malformed_id_; }
 
  private:
   bool read_line(std::string_view line);
--- a/src/log/event_log.cpp
+++ b/src/log/event_log.cpp
@@ -56,7 +56,7 @@
 EventLog::~EventLog() = default;
 
 void EventLog::write(core::Level level, const char* what, Fields fields) {
-  if (!wants(level)) return;
+  if (!should_log(level)) return;
   int suppressed = 0;
   if (level != core::Level::debug) {
     const auto now = std::chrono::steady_clock::now().time_since_epoch();
--- a/src/log/event_log.h
+++ b/src/log/event_log.h
@@ -20,7 +20,7 @@
   // `source` names the writing process in every line.
   EventLog(Form form, core::Level min_level, std::string source);
   ~EventLog() override;
-  bool wants(core::Level level) const override { return level >= min_level_; }
+  bool should_log(core::Level level) const override { return level >= min_level_; }
   void write(core::Level level, const char* what, Fields fields) override;
 
  private:
--- a/src/membership/board_client.cpp
+++ b/src/membership/board_client.cpp
@@ -24,16 +24,16 @@
 constexpr Time initial_backoff = 300;
 constexpr Time max_backoff = 4'800;
 
-EndpointListForm form_of(const Notice& event) {
+EndpointListForm form_of(const WatchEvent& event) {
   return event.whole ? EndpointListForm::complete : EndpointListForm::delta;
 }
 
 }  // namespace
 
 // One connection to service discovery. Splits what it receives into lines.
-class BoardClient::Watch final : public transport::StreamHandler {
+class PlatformDiscoveryClient::Watch final : public transport::StreamHandler {
  public:
-  explicit Watch(BoardClient& client) : client_(client) {
+  explicit Watch(PlatformDiscoveryClient& client) : client_(client) {
     stream_ = transport::Stream::connect(client.reactor_, client.address_, *this);
   }
   ~Watch() override { close(); }
@@ -67,7 +67,7 @@
   }
   void on_closed(transport::CloseReason) override { client_.on_failure(*this, "broken"); }
 
-  BoardClient& client_;
+  PlatformDiscoveryClient& client_;
   std::shared_ptr<transport::Stream> stream_;
   std::string input_;
   std::size_t reported_bytes_ = 0;  // length of the unfinished line when progress was last reported
@@ -75,27 +75,28 @@
   bool connected_ = false, closed_ = false;
 };
 
-BoardClient::BoardClient(transport::Reactor& reactor, const transport::Address& address,
-                         std::int64_t last_revision, std::uint64_t seed, core::EventLog& event_log,
-                         ListCallback on_list)
+PlatformDiscoveryClient::PlatformDiscoveryClient(transport::Reactor& reactor,
+                                                 const transport::Address& address,
+                                                 std::int64_t last_revision, std::uint64_t seed,
+                                                 core::EventLog& event_log, ListCallback on_list)
     : reactor_(reactor), address_(address), last_revision_(last_revision),
       random_(static_cast<std::uint_fast32_t>(seed % 16'777'216)), event_log_(event_log),
       on_list_(std::move(on_list)) {}
 
-BoardClient::~BoardClient() { reactor_.cancel(timer_); }
+PlatformDiscoveryClient::~PlatformDiscoveryClient() { reactor_.cancel(timer_); }
 
-void BoardClient::watch(bool on) {
+void PlatformDiscoveryClient::watch(bool on) {
   watching_ = on;
   if (on && !current_watch_) connect();
 }
 
 // The protocol has no request for a complete list. A new watch brings what was missed.
-void BoardClient::resync() {
+void PlatformDiscoveryClient::resync() {
   close_watch(silent_watch_);
   restart_watch("asked");
 }
 
-void BoardClient::move_to(const transport::Address& address) {
+void PlatformDiscoveryClient::move_to(const transport::Address& address) {
   if (address == address_) return;
   address_ = address;
   failures_ = 0;
@@ -103,12 +104,12 @@
   if (watching_) restart_watch("moved");
 }
 
-void BoardClient::connect() {
+void PlatformDiscoveryClient::connect() {
   current_watch_ = std::make_shared<Watch>(*this);
   start_timeout(connect_timeout);
 }
 
-void BoardClient::start_timeout(Time span) {
+void PlatformDiscoveryClient::start_timeout(Time span) {
   reactor_.cancel(timer_);
   timer_ = reactor_.at(reactor_.now() + span, [this] { on_timeout(); });
 }
@@ -116,7 +117,7 @@
 // Keeps the oldest silent watch for a while beside the new ones, until one of them receives data: discovery
 // may only be slow. If every watch were closed on its timeout, an answer that takes longer than the timeout
 // would never be received.
-void BoardClient::on_timeout() {
+void PlatformDiscoveryClient::on_timeout() {
   const bool slow = silent_watch_ && reactor_.now() - silent_watch_->connected_since() < slow_watch_timeout;
   if (!slow) {
     close_watch(silent_watch_);
@@ -125,25 +126,25 @@
   restart_watch("silent");
 }
 
-void BoardClient::on_progress(Watch& watch) {
+void PlatformDiscoveryClient::on_progress(Watch& watch) {
   if (&watch == silent_watch_.get()) current_watch_.swap(silent_watch_);
   close_watch(silent_watch_);
   start_timeout(silence_timeout);
 }
 
-void BoardClient::on_failure(Watch& watch, const char* reason) {
+void PlatformDiscoveryClient::on_failure(Watch& watch, const char* reason) {
   if (&watch == silent_watch_.get()) return close_watch(silent_watch_);
   restart_watch(reason);
 }
 
 // The watch may be the caller, so it is destroyed only after that call has returned.
-void BoardClient::close_watch(std::shared_ptr<Watch>& watch) {
+void PlatformDiscoveryClient::close_watch(std::shared_ptr<Watch>& watch) {
   if (!watch) return;
   watch->close();
   reactor_.post([closed = std::exchange(watch, nullptr)] {});
 }
 
-void BoardClient::on_line(Watch& watch, std::string_view text) {
+void PlatformDiscoveryClient::on_line(Watch& watch, std::string_view text) {
   while (!text.empty() && (text.back() == '\r' || text.back() == ' ')) text.remove_suffix(1);
   if (text.empty()) return;
   on_progress(watch);
@@ -152,8 +153,8 @@
     start_timeout(silence_timeout);  // Processing a long list takes a while and is not silence.
 }
 
-void BoardClient::process_line(std::string_view text) {
-  Notice event;
+void PlatformDiscoveryClient::process_line(std::string_view text) {
+  WatchEvent event;
   try {
     event = read_line(text, as_told);
   } catch (const settings::BadField& error) {
@@ -171,23 +172,23 @@
   apply_event(std::move(event));
 }
 
-void BoardClient::apply_event(Notice event) {
+void PlatformDiscoveryClient::apply_event(WatchEvent event) {
   last_revision_ = event.revision;
   start_times_.translate_update(reactor_.now(), form_of(event), event.entries);
   on_list_(form_of(event), event.entries);
 }
 
-Known BoardClient::translated(Known initial) {
+Known PlatformDiscoveryClient::translated(Known initial) {
   const ClockReading at = read_clocks(reactor_);
   Time latest = 0;
-  for (const Notice& event : initial.notices) latest = std::max(latest, latest_start(event.entries));
-  for (Notice& event : initial.notices)
+  for (const WatchEvent& event : initial.notices) latest = std::max(latest, latest_start(event.entries));
+  for (WatchEvent& event : initial.notices)
     start_times_.translate_snapshot(at, latest, form_of(event), event.entries);
   return initial;
 }
 
-void BoardClient::catch_up(const Known& list) {
-  for (const Notice& event : list.notices) {
+void PlatformDiscoveryClient::apply_newer_events(const Known& list) {
+  for (const WatchEvent& event : list.notices) {
     if (event.revision <= last_revision_) continue;
     if (!is_next(event)) return;  // The watch will bring the missing events.
     apply_event(event);
@@ -195,7 +196,7 @@
 }
 
 // Waits with exponential backoff and random jitter, so that many routers do not reconnect at the same moment.
-void BoardClient::restart_watch(const char* reason) {
+void PlatformDiscoveryClient::restart_watch(const char* reason) {
   reactor_.cancel(timer_);
   close_watch(current_watch_);
   if (!watching_) return;
--- a/src/membership/board_client.h
+++ b/src/membership/board_client.h
@@ -16,13 +16,14 @@
 
 namespace rushhill::membership {
 
-class BoardClient final : public core::EndpointListSource {
+class PlatformDiscoveryClient final : public core::EndpointListSource {
  public:
   using ListCallback = std::function<void(EndpointListForm, const std::vector<core::EndpointListEntry>&)>;
 
-  BoardClient(transport::Reactor& reactor, const transport::Address& address, std::int64_t last_revision,
-              std::uint64_t seed, core::EventLog& event_log, ListCallback on_list);
-  ~BoardClient() override;
+  PlatformDiscoveryClient(transport::Reactor& reactor, const transport::Address& address,
+                          std::int64_t last_revision, std::uint64_t seed, core::EventLog& event_log,
+                          ListCallback on_list);
+  ~PlatformDiscoveryClient() override;
 
   void watch(bool on) override;
   void resync() override;
@@ -33,7 +34,7 @@
   Known translated(Known initial);
   // Applies the events of a reloaded configuration that are newer than the last one received, up to the first
   // gap in their revisions.
-  void catch_up(const Known& list);
+  void apply_newer_events(const Known& list);
   std::int64_t last_revision() const { return last_revision_; }
 
  private:
@@ -45,8 +46,8 @@
   void on_timeout();
   void close_watch(std::shared_ptr<Watch>& watch);
   void process_line(std::string_view text);
-  bool is_next(const Notice& event) const { return event.whole || event.revision == last_revision_ + 1; }
-  void apply_event(Notice event);
+  bool is_next(const WatchEvent& event) const { return event.whole || event.revision == last_revision_ + 1; }
+  void apply_event(WatchEvent event);
   void restart_watch(const char* reason);
   void start_timeout(Time span);
 
--- a/src/membership/board_words.cpp
+++ b/src/membership/board_words.cpp
@@ -25,9 +25,9 @@
 
 }  // namespace
 
-Notice read_event(const settings::Json& json, Time wall_offset) {
+WatchEvent read_event(const settings::Json& json, Time wall_offset) {
   const settings::Fields fields(json);
-  Notice event;
+  WatchEvent event;
   event.revision = fields.whole("rev");
   const settings::Fields pool = fields.object("pool");
   event.whole = pool.flag("whole");
@@ -36,7 +36,7 @@
 }
 
 // A heartbeat holds the latest revision alone, either as a bare number or as the field `rev`.
-Notice read_line(std::string_view text, Time wall_offset) {
+WatchEvent read_line(std::string_view text, Time wall_offset) {
   const settings::Json json = settings::Json::parse(text, nullptr, false);
   if (json.is_discarded()) throw settings::BadField("not JSON");
   if (json.is_number_integer()) return {.revision = json.get<std::int64_t>(), .heartbeat = true};
@@ -45,7 +45,7 @@
   return read_event(json, wall_offset);
 }
 
-Known read_known(const settings::Fields& fields, Time wall_offset) {
+Known read_initial_endpoint_list(const settings::Fields& fields, Time wall_offset) {
   Known list{.revision = fields.whole("rev")};
   for (const settings::Json& event : fields.list("notices"))
     list.notices.push_back(read_event(event, wall_offset));
--- a/src/membership/board_words.h
+++ b/src/membership/board_words.h
@@ -11,7 +11,7 @@
 
 namespace rushhill::membership {
 
-struct Notice {
+struct WatchEvent {
   std::int64_t revision = 0;
   bool heartbeat = false;  // The line holds no event, only the latest revision; one is sent each second.
   bool whole = false;      // The entries are the complete list, not only those that changed.
@@ -22,12 +22,12 @@
 // StartTimeTranslator translates the start times later.
 constexpr Time as_told = 0;
 // The functions below throw settings::BadField if a message cannot be read.
-Notice read_event(const settings::Json& json, Time wall_offset);
-Notice read_line(std::string_view text, Time wall_offset);
+WatchEvent read_event(const settings::Json& json, Time wall_offset);
+WatchEvent read_line(std::string_view text, Time wall_offset);
 struct Known {
   std::int64_t revision = 0;  // of the last event
-  std::vector<Notice> notices{};
+  std::vector<WatchEvent> notices{};
 };
-Known read_known(const settings::Fields& fields, Time wall_offset);
+Known read_initial_endpoint_list(const settings::Fields& fields, Time wall_offset);
 
 }  // namespace rushhill::membership
--- a/src/membership/roster_client.cpp
+++ b/src/membership/roster_client.cpp
@@ -18,31 +18,31 @@
 
 }  // namespace
 
-RosterClient::RosterClient(transport::Reactor& reactor, const transport::Address& address, int router,
-                           Time initial_backoff, std::uint64_t seed, core::EventLog& event_log,
-                           ListCallback on_list)
+EndpointListClient::EndpointListClient(transport::Reactor& reactor, const transport::Address& address,
+                                       int router, Time initial_backoff, std::uint64_t seed,
+                                       core::EventLog& event_log, ListCallback on_list)
     : reactor_(reactor), address_(address), router_(router), initial_backoff_(initial_backoff),
       random_(static_cast<std::uint_fast32_t>(seed % 16'777'216)), event_log_(event_log),
       on_list_(std::move(on_list)) {}
 
-RosterClient::~RosterClient() {
+EndpointListClient::~EndpointListClient() {
   reactor_.cancel(timer_);
   if (stream_) stream_->close();
 }
 
-void RosterClient::watch(bool on) {
+void EndpointListClient::watch(bool on) {
   watching_ = on;
   if (connected_) return send_request(on ? "follow" : "rest");
   if (on && !stream_) connect();
 }
 
-void RosterClient::resync() {
+void EndpointListClient::resync() {
   if (connected_) return send_request("reload");
   resync_pending_ = true;
   if (!stream_) connect();
 }
 
-void RosterClient::connect() {
+void EndpointListClient::connect() {
   reactor_.cancel(timer_);
   input_.clear();
   stream_ = transport::Stream::connect(reactor_, address_, *this);
@@ -53,18 +53,18 @@
   });
 }
 
-void RosterClient::send_request(const char* request) {
+void EndpointListClient::send_request(const char* request) {
   stream_->write("{\"ask\":\"" + std::string(request) + "\",\"router\":" + std::to_string(router_) + "}\n");
 }
 
-void RosterClient::on_connected() {
+void EndpointListClient::on_connected() {
   connected_ = true;
   reactor_.cancel(timer_);
   if (watching_) send_request("follow");
   if (std::exchange(resync_pending_, false) && !watching_) send_request("reload");
 }
 
-void RosterClient::on_data(std::string_view bytes) {
+void EndpointListClient::on_data(std::string_view bytes) {
   input_ += bytes;
   for (;;) {
     const std::size_t end = input_.find('\n');
@@ -72,7 +72,7 @@
     const std::string line = input_.substr(0, end);
     input_.erase(0, end + 1);
     try {
-      RosterWord message = read_word(line, 0);
+      EndpointListMessage message = read_endpoint_list_message(line, 0);
       for (const std::string& inconsistency : message.remarks)
         event_log_.write(core::Level::warning, "endpoint list contradicts itself",
                          {{"remark", inconsistency}});
@@ -94,7 +94,7 @@
   }
 }
 
-void RosterClient::apply_message(RosterWord message) {
+void EndpointListClient::apply_message(EndpointListMessage message) {
   list_.hear(message);
   if (!std::exchange(received_any_, true) && message.form == EndpointListForm::complete) {
     start_times_.translate_snapshot(read_clocks(reactor_), latest_start(message.entries), message.form,
@@ -105,9 +105,9 @@
   on_list_(message.form, message.entries);
 }
 
-void RosterClient::on_closed(transport::CloseReason) { on_connection_lost(); }
+void EndpointListClient::on_closed(transport::CloseReason) { on_connection_lost(); }
 
-void RosterClient::on_connection_lost() {
+void EndpointListClient::on_connection_lost() {
   connected_ = false;
   reactor_.cancel(timer_);
   reactor_.post([closed = std::move(stream_)] {});
--- a/src/membership/roster_client.h
+++ b/src/membership/roster_client.h
@@ -15,13 +15,14 @@
 
 namespace rushhill::membership {
 
-class RosterClient final : public core::EndpointListSource, private transport::StreamHandler {
+class EndpointListClient final : public core::EndpointListSource, private transport::StreamHandler {
  public:
   using ListCallback = std::function<void(EndpointListForm, const std::vector<core::EndpointListEntry>&)>;
 
-  RosterClient(transport::Reactor& reactor, const transport::Address& address, int router,
-               Time initial_backoff, std::uint64_t seed, core::EventLog& event_log, ListCallback on_list);
-  ~RosterClient() override;
+  EndpointListClient(transport::Reactor& reactor, const transport::Address& address, int router,
+                     Time initial_backoff, std::uint64_t seed, core::EventLog& event_log,
+                     ListCallback on_list);
+  ~EndpointListClient() override;
 
   // Starts or ends the watch of changes. While it is on, every new connection requests it again.
   void watch(bool on) override;
@@ -29,13 +30,13 @@
 
   bool received_any() const { return received_any_; }
   // Returns the list as discovery sent it, with start times in Unix time.
-  const Remembered& remembered() const { return list_; }
+  const CurrentEndpointList& remembered() const { return list_; }
   StartTimeTranslator& start_times() { return start_times_; }
 
  private:
   void connect();
   void send_request(const char* request);
-  void apply_message(RosterWord message);
+  void apply_message(EndpointListMessage message);
   void on_connection_lost();
   void on_connected() override;
   void on_data(std::string_view bytes) override;
@@ -51,7 +52,7 @@
   std::shared_ptr<transport::Stream> stream_;
   core::Timer timer_;
   std::string input_;
-  Remembered list_;
+  CurrentEndpointList list_;
   StartTimeTranslator start_times_;
   int failures_ = 0;
   bool watching_ = false, resync_pending_ = false, connected_ = false, received_any_ = false;
--- a/src/membership/roster_words.cpp
+++ b/src/membership/roster_words.cpp
@@ -71,10 +71,10 @@
 
 }  // namespace
 
-RosterWord read_word(std::string_view line, Time wall_offset) {
+EndpointListMessage read_endpoint_list_message(std::string_view line, Time wall_offset) {
   const Json object = Json::parse(line, nullptr, false);
   if (!object.is_object()) throw Fault("not a JSON object");
-  RosterWord message;
+  EndpointListMessage message;
   const std::string form = read_text(object, "form", nullptr);
   if (form != "complete" && form != "changes")
     throw Fault("field 'form' is neither 'complete' nor 'changes'");
@@ -117,7 +117,7 @@
   return message;
 }
 
-std::string write_word(const RosterWord& message, Time wall_offset) {
+std::string write_endpoint_list_message(const EndpointListMessage& message, Time wall_offset) {
   Json servers = Json::array();
   for (const core::EndpointListEntry& entry : message.entries) {
     const Endpoint& server = entry.endpoint;
@@ -136,7 +136,7 @@
   return object.dump();
 }
 
-void Remembered::hear(const RosterWord& message) {
+void CurrentEndpointList::hear(const EndpointListMessage& message) {
   if (message.form != EndpointListForm::delta) entries_.clear();
   revision_ = message.revision;
   for (const core::EndpointListEntry& entry : message.entries) {
@@ -148,8 +148,8 @@
   }
 }
 
-RosterWord Remembered::whole() const {
-  RosterWord message{.form = EndpointListForm::cached, .revision = revision_, .entries = {}};
+EndpointListMessage CurrentEndpointList::whole() const {
+  EndpointListMessage message{.form = EndpointListForm::cached, .revision = revision_, .entries = {}};
   for (const auto& [id, entry] : entries_) message.entries.push_back(entry);
   return message;
 }
--- a/src/membership/roster_words.h
+++ b/src/membership/roster_words.h
@@ -10,7 +10,7 @@
 
 namespace rushhill::membership {
 
-struct RosterWord {
+struct EndpointListMessage {
   EndpointListForm form = EndpointListForm::complete;
   std::int64_t revision = 0;
   std::vector<core::EndpointListEntry> entries{};
@@ -20,14 +20,14 @@
 // `wall_offset` is subtracted from the Unix time of each start on reading and added on writing, in tenths of
 // a millisecond. It is 0 where StartTimeTranslator translates the start times later. Reading throws
 // std::invalid_argument, which names the field and the fault.
-RosterWord read_word(std::string_view line, Time wall_offset);
-std::string write_word(const RosterWord& message, Time wall_offset);
+EndpointListMessage read_endpoint_list_message(std::string_view line, Time wall_offset);
+std::string write_endpoint_list_message(const EndpointListMessage& message, Time wall_offset);
 
 // The complete endpoint list, updated by each message, so that it can be stored for the next start.
-class Remembered {
+class CurrentEndpointList {
  public:
-  void hear(const RosterWord& message);
-  RosterWord whole() const;
+  void hear(const EndpointListMessage& message);
+  EndpointListMessage whole() const;
 
  private:
   std::map<EndpointId, core::EndpointListEntry> entries_;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -58,14 +58,14 @@
             event_log),
       peers_(!configuration.routing.reports.gossip
                  ? nullptr
-                 : std::make_unique<transport::BarePeers>(
+                 : std::make_unique<transport::UnframedPeerLinks>(
                        reactor, transport::numeric_address(configuration.peer_listen),
                        configuration.routing.router_number, configuration.peers,
                        configuration.broadcast_address,
                        [this](int router, const std::string& bytes) {
                          gateway_.gossip_received(router, bytes);
                        })),
-      discovery_(std::make_unique<membership::BoardClient>(
+      discovery_(std::make_unique<membership::PlatformDiscoveryClient>(
           reactor, transport::numeric_address(configuration.discovery),
           settings::Fields(configuration.initial_endpoint_list, "known").whole("rev"), configuration.seed,
           event_log,
@@ -80,16 +80,16 @@
                 .log = event_log}),
       frontend_(reactor, gateway_, event_log, {.connections = descriptor_shares_.clients}) {
   pool_.report_to(gateway_);
-  const membership::Known initial = discovery_->translated(membership::read_known(
+  const membership::Known initial = discovery_->translated(membership::read_initial_endpoint_list(
       settings::Fields(configuration.initial_endpoint_list, "known"), membership::as_told));
   // The gateway first receives one cached list, which may be empty, and then the later updates.
   bool first = true;
-  for (const membership::Notice& update : initial.notices) {
+  for (const membership::WatchEvent& update : initial.notices) {
     const bool complete = std::exchange(first, false) || update.whole;
     gateway_.endpoints_updated(complete ? EndpointListForm::cached : EndpointListForm::delta, update.entries);
   }
   if (first) gateway_.endpoints_updated(EndpointListForm::cached, {});
-  if (!configuration.routing.endpoints_on_request) discovery_->watch(true);
+  if (!configuration.routing.endpoint_watch_on_request) discovery_->watch(true);
   for (const RequestClass& request_class : configuration.routing.request_classes)
     longest_deadline_span_ = std::max(longest_deadline_span_, to_ticks(request_class.deadline_span));
   fixed_settings_ = configuration.fixed_settings;
@@ -102,13 +102,13 @@
 
 void Node::reconfigure(const Configuration& configuration) {
   // The whole list is parsed before anything takes effect, so that an invalid one changes nothing.
-  const membership::Known endpoint_list = membership::read_known(
+  const membership::Known endpoint_list = membership::read_initial_endpoint_list(
       settings::Fields(configuration.initial_endpoint_list, "known"), membership::as_told);
   event_log_.write(core::Level::info, "configuration read again", {{"board", configuration.discovery}});
   if (configuration.fixed_settings != fixed_settings_)
     event_log_.write(core::Level::warning, "changed settings, limits and addresses take effect at a restart",
                      {});
-  discovery_->catch_up(endpoint_list);
+  discovery_->apply_newer_events(endpoint_list);
   discovery_->move_to(transport::numeric_address(configuration.discovery));
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -48,8 +48,8 @@
   core::EventLog& event_log_;
   transport::DescriptorShares descriptor_shares_;
   upstream::LinePool pool_;
-  std::unique_ptr<transport::BarePeers> peers_;
-  std::unique_ptr<membership::BoardClient> discovery_;
+  std::unique_ptr<transport::UnframedPeerLinks> peers_;
+  std::unique_ptr<membership::PlatformDiscoveryClient> discovery_;
   core::Gateway gateway_;
   frontends::FastCgiFront frontend_;
   transport::Address address_;
--- a/src/node/reloader.cpp
+++ b/src/node/reloader.cpp
@@ -26,18 +26,19 @@
   }
 }
 
-Reloader::Reloader(core::TimerService& clock, std::string path, core::EventLog& event_log, Apply apply)
+ConfigurationReloader::ConfigurationReloader(core::TimerService& clock, std::string path,
+                                             core::EventLog& event_log, Apply apply)
     : clock_(clock), path_(std::move(path)), event_log_(event_log), apply_(std::move(apply)) {}
 
-Reloader::~Reloader() { clock_.cancel(retry_); }
+ConfigurationReloader::~ConfigurationReloader() { clock_.cancel(retry_); }
 
-void Reloader::reload() {
+void ConfigurationReloader::reload() {
   clock_.cancel(retry_);
   attempts_ = 0;
   try_reload();
 }
 
-void Reloader::try_reload() {
+void ConfigurationReloader::try_reload() {
   ++attempts_;
   try {
     apply_(read_configuration_file(path_));
--- a/src/node/reloader.h
+++ b/src/node/reloader.h
@@ -14,14 +14,14 @@
 // Reads a configuration file. Throws std::invalid_argument that names the file and the fault.
 Configuration read_configuration_file(const std::string& path);
 
-class Reloader {
+class ConfigurationReloader {
  public:
   using Apply = std::function<void(const Configuration&)>;
 
-  Reloader(core::TimerService& clock, std::string path, core::EventLog& event_log, Apply apply);
-  ~Reloader();
-  Reloader(const Reloader&) = delete;
-  Reloader& operator=(const Reloader&) = delete;
+  ConfigurationReloader(core::TimerService& clock, std::string path, core::EventLog& event_log, Apply apply);
+  ~ConfigurationReloader();
+  ConfigurationReloader(const ConfigurationReloader&) = delete;
+  ConfigurationReloader& operator=(const ConfigurationReloader&) = delete;
 
   void reload();  // cancels the retries of an earlier reload
 
--- a/src/replica/conversation.cpp
+++ b/src/replica/conversation.cpp
@@ -102,7 +102,7 @@
   VersionReport report{
       .versions = versions, .all_streams = all_streams, .recovered = replica_.recovered(), .contested = {}};
   if (!report.recovered) return report;
-  const StreamId peer_records{Kind::mark, peer_hello_.writer};
+  const StreamId peer_records{Kind::deduplication, peer_hello_.writer};
   report.contested = replica_.contested_records(peer_hello_.writer, contested_reported_through_);
   contested_reported_through_ = replica_.known_through(peer_records);
   return report;
--- a/src/replica/marks.h
+++ b/src/replica/marks.h
@@ -17,11 +17,11 @@
 
 // Returns the key of a CloudEvent's deduplication record. A key that is too long is cut, and ends in a hash
 // of the whole.
-std::string mark_of(std::string_view source, std::string_view id);
+std::string deduplication_key(std::string_view source, std::string_view id);
 
 // Whether any two quorums, each of an admitting router and `required_holders` others, have a router in
 // common.
-constexpr bool every_two_meet(int routers, int required_holders) {
+constexpr bool quorums_intersect(int routers, int required_holders) {
   return 2 * (required_holders + 1) > routers;
 }
 // Whether a restarted router has all deduplication records again that it held before. It has received those
@@ -41,24 +41,25 @@
   Taker& operator=(const Taker&) = delete;
   virtual ~Taker() = default;
 
-  virtual void may_go(std::int64_t request) = 0;
+  virtual void on_admitted(std::int64_t request) = 0;
   // Another router admitted the request or may have; it was not executed here.
-  virtual void taken_elsewhere(std::int64_t request) = 0;
+  virtual void on_duplicate(std::int64_t request) = 0;
   // Too few routers had the record before the deadline; the request was not executed here.
-  virtual void not_held(std::int64_t request) = 0;
+  virtual void on_replication_timeout(std::int64_t request) = 0;
 };
 
-class Marks {
+class DeduplicationRecords {
  public:
   // `routers` are all routers; `required_holders` is how many others must have a record that has to be
   // replicated.
-  Marks(Replica& replica, int routers, int required_holders, Taker& observer)
+  DeduplicationRecords(Replica& replica, int routers, int required_holders, Taker& observer)
       : replica_(replica), routers_(routers), required_holders_(required_holders), observer_(observer) {}
 
   // Admits a request unless it was admitted before. `request` identifies it to the observer, `key` to all
   // routers. A request whose record has to be replicated is not admitted if that does not happen by the
   // deadline.
-  Taking take(Time now, std::int64_t request, const std::string& key, MarkLevel level, Time deadline);
+  Taking take(Time now, std::int64_t request, const std::string& key, DeduplicationLevel level,
+              Time deadline);
   // Records how an admitted request ended. `stage` is `not_executed` only if it was certainly never executed.
   void ended(Time now, const std::string& key, Stage stage) { replica_.finish_request(now, key, stage); }
 
--- a/src/replica/replica.cpp
+++ b/src/replica/replica.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-Replica::Replica(Writer writer, const Bounds& bounds, Findings& observer)
+Replica::Replica(Writer writer, const Bounds& bounds, ReplicaObserver& observer)
     : writer_(writer), bounds_(bounds), observer_(observer) {
   for (std::size_t kind = 0; kind < kinds; ++kind) {
     if (bounds_.life[kind] <= 0 || bounds_.own[kind] == 0 || bounds_.together[kind] < bounds_.own[kind])
@@ -55,7 +55,7 @@
   stream.version.digest ^= digest_of(number, key, record.rank, record.count);
   const auto it = index_[at(id.kind)].try_emplace(key).first;
   record.key = &it->first;
-  if (id.kind == Kind::mark) note_contested(id, it->second, number, record);
+  if (id.kind == Kind::deduplication) note_contested(id, it->second, number, record);
   it->second.push_back({id, number});
   stream.records.insert_or_assign(number, record);
   ++record_counts_[at(id.kind)];
@@ -69,14 +69,14 @@
     if (other_stage < Stage::admitted) continue;
     contested_records_[id].insert(number);
     if (!recovered_) contested_records_[other.stream].insert(other.number);
-    if (other_stage == Stage::honoured && stage_of(record.rank) == Stage::honoured)
-      observer_.honoured_twice(*record.key, id.writer, other.stream.writer);
+    if (other_stage == Stage::executed && stage_of(record.rank) == Stage::executed)
+      observer_.on_executed_twice(*record.key, id.writer, other.stream.writer);
   }
 }
 
 void Replica::erase_record(const StreamId& id, Stream& stream,
                            std::map<std::uint64_t, StoredRecord>::iterator record) {
-  if (id == StreamId{Kind::mark, writer_}) contested_by_peers_.erase(record->first);
+  if (id == StreamId{Kind::deduplication, writer_}) contested_by_peers_.erase(record->first);
   if (const auto it = contested_records_.find(id); it != contested_records_.end()) {
     it->second.erase(record->first);
     if (it->second.empty()) contested_records_.erase(it);
@@ -132,7 +132,7 @@
     visit(streams_.at(location.stream).records.at(location.number));
 }
 
-std::uint32_t Replica::strictest(Kind kind, const std::string& key) const {
+std::uint32_t Replica::highest_rank(Kind kind, const std::string& key) const {
   std::uint32_t highest = 0;
   for_each_record(kind, key, [&](const StoredRecord& record) { highest = std::max(highest, record.rank); });
   return highest;
@@ -147,7 +147,7 @@
 Stage Replica::stage(const std::string& request) const {
   Stage highest = Stage::none;
   if (planted_fault) return highest;
-  for_each_record(Kind::mark, request,
+  for_each_record(Kind::deduplication, request,
                   [&](const StoredRecord& record) { highest = std::max(highest, stage_of(record.rank)); });
   return highest;
 }
@@ -157,16 +157,16 @@
 }
 
 std::uint64_t Replica::finish_request(Time now, const std::string& request, Stage stage) {
-  const StreamId id{Kind::mark, writer_};
+  const StreamId id{Kind::deduplication, writer_};
   const std::uint64_t known = find_number(id, request);
   const std::uint32_t rank = known == 0 ? 0 : streams_.at(id).records.at(known).rank;
   std::uint32_t admissions = rank / ranks_per_admission;
-  if (stage == Stage::shed && stage_of(rank) > Stage::shed) ++admissions;
-  return write(now, Kind::mark, request,
+  if (stage == Stage::not_executed && stage_of(rank) > Stage::not_executed) ++admissions;
+  return write(now, Kind::deduplication, request,
                admissions * ranks_per_admission + static_cast<std::uint32_t>(stage));
 }
 
-std::uint64_t Replica::written_before(Kind kind) const {
+std::uint64_t Replica::count_of_earlier_incarnations(Kind kind) const {
   std::uint64_t total = 0;
   for (const auto& [id, stream] : streams_) {
     if (id.kind != kind || id.writer.router != writer_.router || id.writer == writer_) continue;
@@ -249,7 +249,7 @@
   for (const Piece& delta : batch) {
     const StreamId& id = delta.stream;
     if (id.writer == writer_) {
-      if (delta.through > streams_.at(id).version.known_through) observer_.second_of_us(writer_);
+      if (delta.through > streams_.at(id).version.known_through) observer_.on_duplicate_writer(writer_);
       continue;
     }
     if (!streams_.contains(id) && streams_.size() >= bounds_.streams) {
@@ -300,15 +300,15 @@
     if (received.age >= bounds_.life[at(id.kind)] ||
         record_counts_[at(id.kind)] >= bounds_.together[at(id.kind)])
       return;
-    if (stream.complete()) observer_.copies_differed(id, received, {});
+    if (stream.complete()) observer_.on_divergence(id, received, {});
   } else {
     const StoredRecord& stored = it->second;
     const auto stored_fields = std::tie(stored.rank, stored.count, *stored.key);
     const auto received_fields = std::tie(received.rank, received.count, received.key);
     if (stored_fields == received_fields) return;
     const Word own{received.number, *stored.key, stored.rank, stored.count, now - stored.written};
-    if (stored_fields > received_fields) return observer_.copies_differed(id, own, received);
-    observer_.copies_differed(id, received, own);
+    if (stored_fields > received_fields) return observer_.on_divergence(id, own, received);
+    observer_.on_divergence(id, received, own);
     erase_record(id, stream, it);
   }
   if (const std::uint64_t older = find_number(id, received.key); older != 0)
@@ -321,10 +321,10 @@
                                 const std::vector<std::uint64_t>& contested) {
   for (const auto& [id, version] : versions) {
     if (id.writer == writer_ && version.known_through > streams_.at(id).version.known_through)
-      observer_.second_of_us(writer_);
+      observer_.on_duplicate_writer(writer_);
   }
   peers_[router] = {versions, recovered};
-  const Stream& own_stream = streams_.at({Kind::mark, writer_});
+  const Stream& own_stream = streams_.at({Kind::deduplication, writer_});
   for (const std::uint64_t number : contested) {
     if (own_stream.records.contains(number)) contested_by_peers_[number].insert(router);
   }
@@ -341,7 +341,7 @@
 }
 
 std::vector<std::uint64_t> Replica::contested_records(const Writer& writer, std::uint64_t after) const {
-  const auto it = contested_records_.find({Kind::mark, writer});
+  const auto it = contested_records_.find({Kind::deduplication, writer});
   if (it == contested_records_.end()) return {};
   return {it->second.upper_bound(after), it->second.end()};
 }
@@ -365,7 +365,7 @@
   const StreamId own_stream{kind, writer_};
   const auto contested = contested_by_peers_.find(number);
   return static_cast<int>(std::ranges::count_if(peers_, [&](const auto& item) {
-    if (kind == Kind::mark && contested != contested_by_peers_.end() &&
+    if (kind == Kind::deduplication && contested != contested_by_peers_.end() &&
         contested->second.contains(item.first))
       return false;
     const auto it = item.second.versions.find(own_stream);
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -31,27 +31,27 @@
 };
 
 // Is notified of limits reached and of violated assumptions.
-class Findings {
+class ReplicaObserver {
  public:
-  Findings() = default;
-  Findings(const Findings&) = delete;
-  Findings& operator=(const Findings&) = delete;
-  virtual ~Findings() = default;
+  ReplicaObserver() = default;
+  ReplicaObserver(const ReplicaObserver&) = delete;
+  ReplicaObserver& operator=(const ReplicaObserver&) = delete;
+  virtual ~ReplicaObserver() = default;
 
   // A record or a stream was not stored because a limit is reached, or a record because its key is too long.
   virtual void full(Kind kind) = 0;
   // Two replicas have different records under one number; the greater one by rank, count and key is kept.
-  virtual void copies_differed(const StreamId& stream, const Word& kept, const Word& dropped) = 0;
+  virtual void on_divergence(const StreamId& stream, const Word& kept, const Word& dropped) = 0;
   // Another router has records of this router's incarnation that this router never wrote.
-  virtual void second_of_us(const Writer& writer) = 0;
+  virtual void on_duplicate_writer(const Writer& writer) = 0;
   // Two incarnations both recorded the request as executed, which no deduplication level permits.
-  virtual void honoured_twice(const std::string& request, const Writer& one, const Writer& other) = 0;
+  virtual void on_executed_twice(const std::string& request, const Writer& one, const Writer& other) = 0;
 };
 
 class Replica {
  public:
   // Throws std::invalid_argument if the bounds contradict each other or one is too small.
-  Replica(Writer writer, const Bounds& bounds, Findings& observer);
+  Replica(Writer writer, const Bounds& bounds, ReplicaObserver& observer);
 
   // Writes a record and returns its number. Returns 0 if a limit is reached or the key is too long; the
   // caller must then reject what depends on the record. The rank and count of a key never decrease, and
@@ -61,7 +61,7 @@
                       std::uint64_t count = 0);
 
   // The highest rank, and the sum of the counts, of a key over all routers.
-  std::uint32_t strictest(Kind kind, const std::string& key) const;
+  std::uint32_t highest_rank(Kind kind, const std::string& key) const;
   std::uint64_t total_count(Kind kind, const std::string& key) const;
   // The highest stage of a request over all routers, each at its latest admission.
   Stage stage(const std::string& request) const;
@@ -70,7 +70,7 @@
   std::uint64_t admit_request(Time now, const std::string& request);
   std::uint64_t finish_request(Time now, const std::string& request, Stage stage);
   // The sum of the counts, over all keys, that earlier incarnations of this router wrote.
-  std::uint64_t written_before(Kind kind) const;
+  std::uint64_t count_of_earlier_incarnations(Kind kind) const;
 
   VersionVector versions() const;
   // Returns the records that a peer with these versions lacks, at most `max_records`, the oldest of each
@@ -106,7 +106,7 @@
   // not known, and both are contested.
   std::vector<std::uint64_t> contested_records(const Writer& writer, std::uint64_t after) const;
   // Whether this replica has all records again that its router had before its restart. The owner sets it.
-  void vouch(bool on) { recovered_ = on; }
+  void set_recovered(bool on) { recovered_ = on; }
   bool recovered() const { return recovered_; }
 
   // Drops expired records and the streams that have been empty for longer than their retention.
@@ -159,7 +159,7 @@
 
   Writer writer_;
   Bounds bounds_;
-  Findings& observer_;
+  ReplicaObserver& observer_;
   std::map<StreamId, Stream> streams_;
   std::array<Index, kinds> index_;
   std::array<std::size_t, kinds> record_counts_{};
--- a/src/replica/state.h
+++ b/src/replica/state.h
@@ -14,7 +14,7 @@
 namespace rushhill::replica {
 
 // What a record is about. docs/replication.md gives the merge rule, the bounds and the lifetime of each kind.
-enum class Kind { mark, ration, quota, departure, hint };
+enum class Kind { deduplication, load_budget, quota, departure, hint };
 constexpr int kinds = 5;
 
 // How far one router has processed a request. From `admitted` on, an attempt may have been executed. Over all
@@ -30,7 +30,7 @@
 
 // How the requests of a request class are deduplicated; docs/replication.md states what each level
 // guarantees.
-enum class MarkLevel {
+enum class DeduplicationLevel {
   none,
   announced,  // the record is sent before the first attempt, which does not wait for an answer
   held        // the first attempt waits until enough other routers have the record
@@ -38,7 +38,7 @@
 
 // Up to this number of routers, each one is linked to all others, so that a record can be replicated to more
 // than half of them.
-constexpr int most_meeting = 16;
+constexpr int max_full_mesh_routers = 16;
 
 // One incarnation of one router. Incarnation numbers are drawn at random at each start; they are compared for
 // equality and have no order in time.
@@ -50,7 +50,7 @@
 
 // All records of one kind by one writer, numbered from 1.
 struct StreamId {
-  Kind kind = Kind::mark;
+  Kind kind = Kind::deduplication;
   Writer writer{};
   auto operator<=>(const StreamId&) const = default;
 };
--- a/src/replicating/replica_links.cpp
+++ b/src/replicating/replica_links.cpp
@@ -21,9 +21,9 @@
 
 }  // namespace
 
-std::size_t most_links(int routers, bool everybody) {
+std::size_t most_links(int routers, bool full_mesh) {
   const auto all = static_cast<unsigned>(std::max(routers, 1));
-  return 3 * (everybody ? all : static_cast<std::size_t>(std::bit_width(all)));
+  return 3 * (full_mesh ? all : static_cast<std::size_t>(std::bit_width(all)));
 }
 
 class ReplicaLinks::Link final : public transport::StreamHandler,
@@ -159,7 +159,7 @@
   }
   reachable.erase(config_.hello.writer.router);
   for (const int router :
-       config_.everybody ? reachable : replica::select_neighbours(config_.hello.writer.router, reachable)) {
+       config_.full_mesh ? reachable : replica::select_neighbours(config_.hello.writer.router, reachable)) {
     if (linked_to(router) || links_.size() >= config_.most_links) continue;
     const auto link = std::make_shared<Link>(
         *this, router, transport::numeric_address(config_.addresses[static_cast<std::size_t>(router)]));
@@ -233,7 +233,7 @@
   });
 }
 
-ReplicaLinks::Learnt ReplicaLinks::learnt() const {
+ReplicaLinks::SynchronizedPeers ReplicaLinks::learnt() const {
   std::map<int, bool> recovered;
   for (const auto& [link, owner] : links_) {
     const replica::Conversation& conversation = link->conversation();
--- a/src/replicating/replica_links.h
+++ b/src/replicating/replica_links.h
@@ -23,14 +23,14 @@
   std::vector<std::string> addresses{};  // by router number; an empty one is never connected to
   replica::Hello hello{};                // identifies this router
   replica::SyncLimits limits{};
-  bool everybody = false;            // connects to all routers instead of a few neighbours
+  bool full_mesh = false;            // connects to all routers instead of a few neighbours
   std::size_t most_links = 256;      // at most two thirds of them accepted
   std::function<void()> heard = {};  // called after data from a peer; may be empty
 };
 
 // Returns the limit of links for a router: those that it opens itself, and twice as many accepted ones, since
 // a restarted router may connect while the link of its earlier incarnation is still open.
-std::size_t most_links(int routers, bool everybody);
+std::size_t most_links(int routers, bool full_mesh);
 
 class ReplicaLinks {
  public:
@@ -57,10 +57,10 @@
   bool caught_up() const;
   // The number of other routers whose initial records this replica has, and how many of those have recovered.
   // See Conversation::has_initial_records.
-  struct Learnt {
+  struct SynchronizedPeers {
     int all = 0, vouching = 0;
   };
-  Learnt learnt() const;
+  SynchronizedPeers learnt() const;
   std::size_t links() const { return links_.size(); }
 
  private:
--- a/src/router/remembered_endpoint_list.cpp
+++ b/src/router/remembered_endpoint_list.cpp
@@ -25,12 +25,12 @@
 constexpr std::size_t max_file_size = 64 * 1024 * 1024;  // bytes; twice the longest list that is accepted
 constexpr std::string_view whitespace = " \t\r\n";
 
-membership::RosterWord parse_list(const std::string& content, Time wall_offset) {
+membership::EndpointListMessage parse_list(const std::string& content, Time wall_offset) {
   const std::size_t end = content.find_last_not_of(whitespace);
   if (end == std::string::npos) throw std::invalid_argument("the file is empty");
   const std::string_view text = std::string_view(content).substr(0, end + 1);
   if (text.find('\n') != std::string_view::npos) throw std::invalid_argument("more than one line");
-  return membership::read_word(text, wall_offset);
+  return membership::read_endpoint_list_message(text, wall_offset);
 }
 
 }  // namespace
@@ -103,7 +103,8 @@
   unsaved_ = false;
   ++writes_.attempts;
   running_write_ = execute_([writer = writer_, snapshot = source_()] {
-    return writer->replace(membership::write_word(snapshot.list, snapshot.wall_offset) + "\n");
+    return writer->replace(membership::write_endpoint_list_message(snapshot.list, snapshot.wall_offset) +
+                           "\n");
   });
   poll_result();
 }
@@ -151,9 +152,9 @@
   return static_cast<Time>(static_cast<double>(full) * fraction);
 }
 
-membership::RosterWord read_saved_list(storage::FileSystem& files, const std::string& path, Time wall_offset,
-                                       core::EventLog& event_log) {
-  membership::RosterWord empty{.form = EndpointListForm::cached};
+membership::EndpointListMessage read_saved_list(storage::FileSystem& files, const std::string& path,
+                                                Time wall_offset, core::EventLog& event_log) {
+  membership::EndpointListMessage empty{.form = EndpointListForm::cached};
   if (path.empty()) return empty;
   const auto rejected = [&](const std::string& reason) {
     event_log.write(Level::warning, "saved endpoint list cannot be read",
@@ -164,7 +165,7 @@
   if (read.failure == storage::StorageError{Operation::open, ENOENT}) return empty;
   if (read.failure) return rejected(storage::describe(*read.failure));
   try {
-    membership::RosterWord list = parse_list(read.content, wall_offset);
+    membership::EndpointListMessage list = parse_list(read.content, wall_offset);
     list.form = EndpointListForm::cached;
     return list;
   } catch (const std::invalid_argument& error) {
--- a/src/router/remembered_endpoint_list.h
+++ b/src/router/remembered_endpoint_list.h
@@ -28,7 +28,7 @@
 
 // The current list, and the offset that turns its start times into Unix times (see `membership::write_word`).
 struct EndpointListSnapshot {
-  membership::RosterWord list{};
+  membership::EndpointListMessage list{};
   Time wall_offset = 0;
 };
 
@@ -84,7 +84,7 @@
 
 // Returns the list saved in a file, or an empty one if the file is missing or invalid. An unreadable,
 // truncated, empty or foreign file is logged with the reason and left unchanged; a missing one is not logged.
-membership::RosterWord read_saved_list(storage::FileSystem& files, const std::string& path, Time wall_offset,
-                                       core::EventLog& event_log);
+membership::EndpointListMessage read_saved_list(storage::FileSystem& files, const std::string& path,
+                                                Time wall_offset, core::EventLog& event_log);
 
 }  // namespace rushhill::router
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -56,8 +56,8 @@
   return configuration;
 }
 
-membership::RosterWord complete_list(const membership::Remembered& remembered) {
-  membership::RosterWord list = remembered.whole();
+membership::EndpointListMessage complete_list(const membership::CurrentEndpointList& remembered) {
+  membership::EndpointListMessage list = remembered.whole();
   list.form = EndpointListForm::complete;
   return list;
 }
@@ -91,7 +91,7 @@
                                                           })),
       replicated_state_(configuration.replication.listen.empty()
                             ? nullptr
-                            : std::make_unique<SharedState>(
+                            : std::make_unique<ReplicatedState>(
                                   reactor, configuration, seed, event_log,
                                   [this](double orders) { gateway_.load_budget_restored(orders); },
                                   [this](RequestId request, core::AdmissionVerdict verdict) {
@@ -100,7 +100,7 @@
       discovery_(
           configuration.discovery.address.empty()
               ? nullptr
-              : std::make_unique<membership::RosterClient>(
+              : std::make_unique<membership::EndpointListClient>(
                     reactor, transport::numeric_address(configuration.discovery.address),
                     configuration.routing.router_number, configuration.discovery.retry, seed, event_log,
                     [this](EndpointListForm form, const std::vector<core::EndpointListEntry>& entries) {
@@ -134,12 +134,12 @@
                  .idle = configuration.http.idle,
                  .weight = configuration.http.weight,
                  .retry_after = configuration.routing.retries.retry_after
-                                    ? to_ticks(configuration.routing.retries.longest_retry_after)
+                                    ? to_ticks(configuration.routing.retries.max_retry_after)
                                     : 0}) {
   pool_.report_to(gateway_);
   if (replicated_state_) frontend_.standing([this] { return replicated_state_->status_text(); });
   if (saved_list_) frontend_.more_metrics([this] { return to_prometheus(saved_list_->writes()); });
-  membership::RosterWord cached_list =
+  membership::EndpointListMessage cached_list =
       read_saved_list(*storage.files, configuration.discovery.remembered, no_wall_offset, event_log);
   membership::StartTimeTranslator local_start_times;
   membership::StartTimeTranslator& start_times = discovery_ ? discovery_->start_times() : local_start_times;
@@ -147,7 +147,7 @@
                                  membership::latest_start(cached_list.entries), cached_list.form,
                                  cached_list.entries);
   gateway_.endpoints_updated(cached_list.form, cached_list.entries);
-  if (discovery_ && !configuration.routing.endpoints_on_request) discovery_->watch(true);
+  if (discovery_ && !configuration.routing.endpoint_watch_on_request) discovery_->watch(true);
   if (!configuration.mqtt.address.empty())
     mqtt_ = std::make_unique<frontends::MqttFront>(reactor, gateway_, request_reader_, event_log,
                                                    configuration.mqtt, seed);
@@ -201,7 +201,7 @@
                         {"told", tally.gossip_messages},
                         {"endings", tally.outcomes},
                         {"open", gateway_.open_requests()},
-                        {"module_seconds", static_cast<double>(gateway_.policy_ns()) / 1e9},
+                        {"module_seconds", static_cast<double>(gateway_.policy_time_ns()) / 1e9},
                         {"cpu_seconds", to_seconds(used.ru_utime) + to_seconds(used.ru_stime)},
                         {"peak_memory_kib", used.ru_maxrss}}
       .dump();
--- a/src/router/router_process.h
+++ b/src/router/router_process.h
@@ -52,8 +52,8 @@
   core::EventLog& event_log_;
   transport::ServerPool pool_;
   std::unique_ptr<transport::PeerLinks> peers_;
-  std::unique_ptr<SharedState> replicated_state_;  // nullptr if nothing is replicated
-  std::unique_ptr<membership::RosterClient> discovery_;
+  std::unique_ptr<ReplicatedState> replicated_state_;  // nullptr if nothing is replicated
+  std::unique_ptr<membership::EndpointListClient> discovery_;
   std::unique_ptr<SavedEndpointList> saved_list_;  // nullptr if no file is configured
   core::Gateway gateway_;
   core::RequestReader request_reader_;
--- a/src/router/shared_state.cpp
+++ b/src/router/shared_state.cpp
@@ -38,11 +38,11 @@
   const auto routers = static_cast<std::size_t>(std::max(configuration.routing.routers, 1));
   replica::Bounds bounds;
   bounds.life.fill(default_record_lifetime);
-  bounds.life[static_cast<std::size_t>(replica::Kind::ration)] =
+  bounds.life[static_cast<std::size_t>(replica::Kind::load_budget)] =
       budget_record_lifetime(to_ticks(configuration.routing.load_budget.window));
   bounds.own.fill(max_records_per_kind);
   bounds.together.fill(max_records_per_kind * routers);
-  const auto deduplication = static_cast<std::size_t>(replica::Kind::mark);
+  const auto deduplication = static_cast<std::size_t>(replica::Kind::deduplication);
   bounds.life[deduplication] = deduplication_record_lifetime(configuration.replication);
   bounds.own[deduplication] = configuration.replication.most_marks;
   bounds.together[deduplication] = configuration.replication.most_marks * routers;
@@ -63,13 +63,13 @@
 
 std::size_t max_replica_links(const deployment::DeploymentConfiguration& configuration) {
   const int routers = configuration.routing.routers;
-  return replicating::most_links(routers, routers <= replica::most_meeting);
+  return replicating::most_links(routers, routers <= replica::max_full_mesh_routers);
 }
 
-SharedState::SharedState(transport::Reactor& reactor,
-                         const deployment::DeploymentConfiguration& configuration, std::uint64_t seed,
-                         core::EventLog& event_log, LoadBudgetRestored on_load_budget_restored,
-                         AdmissionDecided on_admission_decided)
+ReplicatedState::ReplicatedState(transport::Reactor& reactor,
+                                 const deployment::DeploymentConfiguration& configuration, std::uint64_t seed,
+                                 core::EventLog& event_log, LoadBudgetRestored on_load_budget_restored,
+                                 AdmissionDecided on_admission_decided)
     : reactor_(reactor), event_log_(event_log), configuration_(configuration.replication),
       routers_(configuration.routing.routers), required_holders_(required_holders_of(configuration)),
       budget_window_(to_ticks(configuration.routing.load_budget.window)), started_(reactor.now()),
@@ -84,17 +84,17 @@
               .hello = {.deployment = configuration.replication.deployment,
                         .name = "router-" + std::to_string(configuration.routing.router_number),
                         .writer = replica_.me()},
-              .everybody = routers_ <= replica::most_meeting,
+              .full_mesh = routers_ <= replica::max_full_mesh_routers,
               .most_links = max_replica_links(configuration),
               .heard = [this] { deduplication_records_.heard(); }},
              replica_, event_log) {
   load_budget_restored_ = budget_window_ <= 0;
   recovered_ = configuration_.marks.empty() && load_budget_restored_;
-  replica_.vouch(recovered_);
+  replica_.set_recovered(recovered_);
   if (!recovered_ || !load_budget_restored_)
     recovery_timer_ = reactor_.at(started_ + recovery_check_interval, [this] { check_recovery(); });
 }
-SharedState::~SharedState() {
+ReplicatedState::~ReplicatedState() {
   reactor_.cancel(recovery_timer_);
   reactor_.cancel(admission_timer_);
 }
@@ -103,21 +103,22 @@
 // the state of all other routers, or of so many recovered ones that one of them shares each record. With too
 // many routers for a full mesh, or too few holders for two admissions to have a router in common, it suffices
 // to have caught up with the linked routers.
-bool SharedState::has_complete_state(Time now) const {
-  const replicating::ReplicaLinks::Learnt peers = links_.learnt();
-  if (!replica::every_two_meet(routers_, required_holders_) || routers_ > replica::most_meeting)
+bool ReplicatedState::has_complete_state(Time now) const {
+  const replicating::ReplicaLinks::SynchronizedPeers peers = links_.learnt();
+  if (!replica::quorums_intersect(routers_, required_holders_) || routers_ > replica::max_full_mesh_routers)
     return links_.caught_up();
   return now > started_ && replica::settled(routers_, required_holders_, peers.all, peers.vouching);
 }
 
 // If other routers cannot be reached, recovery is complete once all records of earlier incarnations have
 // expired.
-void SharedState::check_recovery() {
+void ReplicatedState::check_recovery() {
   const Time now = reactor_.now();
   const bool complete = has_complete_state(now);
   if (!load_budget_restored_ && (complete || now - started_ >= budget_record_lifetime(budget_window_))) {
     load_budget_restored_ = true;
-    const std::uint64_t orders = complete ? replica_.written_before(replica::Kind::ration) : 0;
+    const std::uint64_t orders =
+        complete ? replica_.count_of_earlier_incarnations(replica::Kind::load_budget) : 0;
     event_log_.write(
         Level::info, "load budget restored",
         {{"orders of earlier lives", std::to_string(orders)}, {"nobody there", complete ? "no" : "yes"}});
@@ -128,26 +129,26 @@
                budget_record_lifetime(budget_window_));
   if (!recovered_ && (complete || now - started_ >= longest)) {
     recovered_ = true;
-    replica_.vouch(true);
+    replica_.set_recovered(true);
     event_log_.write(Level::info, "replicated state recovered",
-                     {{"marks", std::to_string(replica_.size(replica::Kind::mark))},
+                     {{"marks", std::to_string(replica_.size(replica::Kind::deduplication))},
                       {"ms", std::to_string((now - started_) / 10)}});
   }
   if (!recovered_ || !load_budget_restored_)
     recovery_timer_ = reactor_.at(now + recovery_check_interval, [this] { check_recovery(); });
 }
 
-core::AdmissionVerdict SharedState::admit(RequestId request, const std::string& request_class,
-                                          const events::CloudEvent& message, Duration time_left) {
+core::AdmissionVerdict ReplicatedState::admit(RequestId request, const std::string& request_class,
+                                              const events::CloudEvent& message, Duration time_left) {
   const auto level = configuration_.marks.find(request_class);
   if (level == configuration_.marks.end()) return core::AdmissionVerdict::untracked;
   const Time now = reactor_.now();
-  const bool replicated = level->second == replica::MarkLevel::held;
+  const bool replicated = level->second == replica::DeduplicationLevel::held;
   if (!recovered_ && (replicated || now - started_ < announced_admission_delay))
     return core::AdmissionVerdict::unavailable;
   const Time deadline =
       now + static_cast<Time>(configuration_.held_within * static_cast<double>(to_ticks(time_left)));
-  switch (deduplication_records_.take(now, request, replica::mark_of(message.source, message.id),
+  switch (deduplication_records_.take(now, request, replica::deduplication_key(message.source, message.id),
                                       level->second, deadline)) {
     case replica::Taking::known:
       return core::AdmissionVerdict::duplicate;
@@ -164,15 +165,16 @@
   return core::AdmissionVerdict::unavailable;
 }
 
-void SharedState::request_ended(const events::CloudEvent& message, core::ExecutionCertainty certainty) {
-  const replica::Stage stage = certainty == core::ExecutionCertainty::not_executed ? replica::Stage::shed
-                               : certainty == core::ExecutionCertainty::executed   ? replica::Stage::honoured
-                                                                                 : replica::Stage::abandoned;
-  deduplication_records_.ended(reactor_.now(), replica::mark_of(message.source, message.id), stage);
+void ReplicatedState::request_ended(const events::CloudEvent& message, core::ExecutionCertainty certainty) {
+  const replica::Stage stage =
+      certainty == core::ExecutionCertainty::not_executed ? replica::Stage::not_executed
+      : certainty == core::ExecutionCertainty::executed   ? replica::Stage::executed
+                                                          : replica::Stage::may_have_executed;
+  deduplication_records_.ended(reactor_.now(), replica::deduplication_key(message.source, message.id), stage);
   links_.written();
 }
 
-void SharedState::schedule_admission_timeout() {
+void ReplicatedState::schedule_admission_timeout() {
   const Time next = deduplication_records_.next();
   if (next == 0 || admission_timer_.at == next) return;
   reactor_.cancel(admission_timer_);
@@ -183,42 +185,42 @@
   });
 }
 
-void SharedState::may_go(std::int64_t request) {
+void ReplicatedState::on_admitted(std::int64_t request) {
   on_admission_decided_(request, core::AdmissionVerdict::tracked);
 }
-void SharedState::taken_elsewhere(std::int64_t request) {
+void ReplicatedState::on_duplicate(std::int64_t request) {
   on_admission_decided_(request, core::AdmissionVerdict::duplicate);
 }
-void SharedState::not_held(std::int64_t request) {
+void ReplicatedState::on_replication_timeout(std::int64_t request) {
   on_admission_decided_(request, core::AdmissionVerdict::unavailable);
 }
 
-std::string SharedState::status_text() const {
+std::string ReplicatedState::status_text() const {
   return "copies exchanged with " + std::to_string(links_.met().size()) + " of " +
          std::to_string(routers_ - 1) + ", words lacking " + std::to_string(links_.behind()) + ", marks " +
-         std::to_string(replica_.size(replica::Kind::mark)) +
+         std::to_string(replica_.size(replica::Kind::deduplication)) +
          (recovered_ ? ", settled" : ", not settled yet");
 }
 
 // Sends the record of the order before the order itself, so that it survives this router if another router
 // that received it does.
-bool SharedState::prepare_prewarm() {
+bool ReplicatedState::prepare_prewarm() {
   if (budget_window_ <= 0) return true;
   const Time now = reactor_.now();
   const Time bucket = now / std::max<Time>(budget_window_ / buckets_per_window, 1);
   if (std::exchange(bucket_, bucket) != bucket) orders_in_bucket_ = 0;
-  if (replica_.write(now, replica::Kind::ration, std::to_string(bucket), 0, ++orders_in_bucket_) == 0)
+  if (replica_.write(now, replica::Kind::load_budget, std::to_string(bucket), 0, ++orders_in_bucket_) == 0)
     return false;
   links_.tell_now();
   return true;
 }
 
-void SharedState::full(replica::Kind kind) {
+void ReplicatedState::full(replica::Kind kind) {
   event_log_.write(Level::warning, "replicated record refused because a limit is reached",
                    {{"kind", std::to_string(static_cast<int>(kind))}});
 }
-void SharedState::copies_differed(const replica::StreamId& stream, const replica::Word& kept,
-                                  const replica::Word& dropped) {
+void ReplicatedState::on_divergence(const replica::StreamId& stream, const replica::Word& kept,
+                                    const replica::Word& dropped) {
   event_log_.write(
       Level::error, "replicas diverged: their records of one number differ, and the greater one is kept",
       {{"kind", std::to_string(static_cast<int>(stream.kind))},
@@ -226,14 +228,14 @@
        {"stands", kept.key + " " + std::to_string(kept.rank) + " " + std::to_string(kept.count)},
        {"gone", dropped.key + " " + std::to_string(dropped.rank) + " " + std::to_string(dropped.count)}});
 }
-void SharedState::honoured_twice(const std::string& event, const replica::Writer& first_writer,
-                                 const replica::Writer& second_writer) {
+void ReplicatedState::on_executed_twice(const std::string& event, const replica::Writer& first_writer,
+                                        const replica::Writer& second_writer) {
   event_log_.write(Level::error, "an event was executed twice",
                    {{"event", event},
                     {"router", std::to_string(first_writer.router)},
                     {"and router", std::to_string(second_writer.router)}});
 }
-void SharedState::second_of_us(const replica::Writer& writer) {
+void ReplicatedState::on_duplicate_writer(const replica::Writer& writer) {
   event_log_.write(Level::error, "another router uses the number and the incarnation of this one",
                    {{"router", std::to_string(writer.router)}});
 }
--- a/src/router/shared_state.h
+++ b/src/router/shared_state.h
@@ -20,17 +20,17 @@
 // Returns the limit on links to and from other routers, in both directions together.
 std::size_t max_replica_links(const deployment::DeploymentConfiguration& configuration);
 
-class SharedState final : public core::DeduplicationLog, replica::Findings, replica::Taker {
+class ReplicatedState final : public core::DeduplicationLog, replica::ReplicaObserver, replica::Taker {
  public:
   using LoadBudgetRestored = std::function<void(double orders)>;
   using AdmissionDecided = std::function<void(RequestId request, core::AdmissionVerdict verdict)>;
   // Starts to listen; throws if the address cannot be bound. `on_load_budget_restored` is called once, if
   // prewarm orders have a budget; `on_admission_decided` is called for each request for which `admit`
   // returned `pending`.
-  SharedState(transport::Reactor& reactor, const deployment::DeploymentConfiguration& configuration,
-              std::uint64_t seed, core::EventLog& event_log, LoadBudgetRestored on_load_budget_restored,
-              AdmissionDecided on_admission_decided);
-  ~SharedState() override;
+  ReplicatedState(transport::Reactor& reactor, const deployment::DeploymentConfiguration& configuration,
+                  std::uint64_t seed, core::EventLog& event_log, LoadBudgetRestored on_load_budget_restored,
+                  AdmissionDecided on_admission_decided);
+  ~ReplicatedState() override;
 
   bool prepare_prewarm() override;
   core::AdmissionVerdict admit(RequestId request, const std::string& request_class,
@@ -44,15 +44,15 @@
   void check_recovery();
   bool has_complete_state(Time now) const;
   void schedule_admission_timeout();
-  void may_go(std::int64_t request) override;
-  void taken_elsewhere(std::int64_t request) override;
-  void not_held(std::int64_t request) override;
-  void honoured_twice(const std::string& event, const replica::Writer& first_writer,
-                      const replica::Writer& second_writer) override;
+  void on_admitted(std::int64_t request) override;
+  void on_duplicate(std::int64_t request) override;
+  void on_replication_timeout(std::int64_t request) override;
+  void on_executed_twice(const std::string& event, const replica::Writer& first_writer,
+                         const replica::Writer& second_writer) override;
   void full(replica::Kind kind) override;
-  void copies_differed(const replica::StreamId& stream, const replica::Word& kept,
-                       const replica::Word& dropped) override;
-  void second_of_us(const replica::Writer& writer) override;
+  void on_divergence(const replica::StreamId& stream, const replica::Word& kept,
+                     const replica::Word& dropped) override;
+  void on_duplicate_writer(const replica::Writer& writer) override;
 
   transport::Reactor& reactor_;
   core::EventLog& event_log_;
@@ -62,7 +62,7 @@
   LoadBudgetRestored on_load_budget_restored_;
   AdmissionDecided on_admission_decided_;
   replica::Replica replica_;
-  replica::Marks deduplication_records_;
+  replica::DeduplicationRecords deduplication_records_;
   replicating::ReplicaLinks links_;
   core::Timer recovery_timer_, admission_timer_;
   bool recovered_ = false, load_budget_restored_ = false;
--- a/src/routing/attempt_feedback.cpp
+++ b/src/routing/attempt_feedback.cpp
@@ -74,7 +74,7 @@
   }
   const bool other_load_awaited =
       parts_.configuration.copies.state_is_reported && ended.end.copy_state != CopyState::load_started;
-  if (!other_load_awaited) parts_.estimates.answered_after_load(ended.key(), ended.end.taken);
+  if (!other_load_awaited) parts_.estimates.record_answer_after_load(ended.key(), ended.end.taken);
 }
 
 // The endpoint is full, or it is draining and the endpoint list does not say so yet, so placement prefers it
@@ -84,7 +84,7 @@
   constexpr double max_excess = 1;
   ended.endpoint.placement_weight.observe(max_excess, parts_.observation.interval_share());
   const FractionalDuration backoff = parts_.estimates.load_time(ended.key()) * load_backoff_factor;
-  ended.endpoint.liveness.spare_loads(now, std::chrono::duration_cast<Duration>(backoff));
+  ended.endpoint.liveness.back_off_loads(now, std::chrono::duration_cast<Duration>(backoff));
   ended.endpoint.liveness.request_rejected(now, ended.tracked.class_estimate->response_time);
 }
 
@@ -96,7 +96,7 @@
   if (!copy_answered && !(rejected && ended.attempt.copy_confirmed)) return;
   const Duration objective = ended.tracked.request_class().latency_objective;
   const bool slow = slow_denominator * ended.end.taken > slow_numerator * objective;
-  parts_.overload.attempt_at_loaded_copy(now, ended.tracked.request.tenant, rejected || slow);
+  parts_.overload.record_attempt_at_loaded_copy(now, ended.tracked.request.tenant, rejected || slow);
 }
 
 bool AttemptFeedback::found_copy(const Attempt& attempt, const AttemptEnd& end) const {
--- a/src/routing/attempt_history.h
+++ b/src/routing/attempt_history.h
@@ -13,15 +13,15 @@
 // Sums over the attempts that ended at an endpoint.
 struct AttemptStatistics {
   double succeeded = 0;
-  double judged = 0;    // attempts counted as good or bad
-  double bad = 0;       // attempts that failed or were overdue
-  double paced = 0;     // answers with a known pace
-  double pace_sum = 0;  // sum of their paces: response times divided by the usual ones of their functions
+  double judged = 0;        // attempts counted as good or bad
+  double bad = 0;           // attempts that failed or were overdue
+  double pace_samples = 0;  // answers with a known pace
+  double pace_sum = 0;      // sum of their paces: response times divided by the usual ones of their functions
   AttemptStatistics& operator+=(const AttemptStatistics& other) {
     succeeded += other.succeeded;
     judged += other.judged;
     bad += other.bad;
-    paced += other.paced;
+    pace_samples += other.pace_samples;
     pace_sum += other.pace_sum;
     return *this;
   }
@@ -35,12 +35,12 @@
   // Adds an answer that took `times_usual` times the usual response time of its function.
   void add_pace(Timestamp now, double times_usual) {
     AttemptStatistics& bucket = window_.bucket_at(now);
-    bucket.paced += 1;
+    bucket.pace_samples += 1;
     bucket.pace_sum += times_usual;
   }
 
   // Adds an attempt that was counted as good or bad.
-  void add_verdict(Timestamp now, bool bad) {
+  void add_judged_attempt(Timestamp now, bool bad) {
     AttemptStatistics& bucket = window_.bucket_at(now);
     bucket.judged += 1;
     bucket.bad += bad ? 1 : 0;
--- a/src/routing/configuration.h
+++ b/src/routing/configuration.h
@@ -35,14 +35,14 @@
   bool cancel_attempts = false;  // whether attempts may be cancelled
   bool hedging = false;          // whether a request may have several concurrent attempts
   bool retry_after = false;      // whether a rejection carries a Retry-After time
-  Duration longest_retry_after{};
+  Duration max_retry_after{};
 };
 
 // How endpoints load and report copies of functions.
 struct CopyConfiguration {
   bool prewarm = false;  // whether routers may order an endpoint to load or evict a copy
   // Whether an endpoint without a copy rejects the request as function_missing. Otherwise it loads a copy.
-  bool missing_is_answered = false;
+  bool missing_copy_is_reported = false;
   bool state_is_reported = false;  // whether answers report the state of the copy
   Duration keep_alive{};           // time for which an endpoint keeps an idle copy
   Duration prewarm_timeout{};
@@ -79,7 +79,7 @@
   PriceConfiguration prices;
   // Whether the policy itself starts the watch of the endpoint list, when it was sent an out-of-date list.
   // Otherwise the router watches the list from its start.
-  bool endpoints_on_request = false;
+  bool endpoint_watch_on_request = false;
   Duration drain_grace{};  // time for which a draining endpoint still answers; used by the simulation
   // Used by the connection pools of the endpoints.
   Duration connect_timeout{};
--- a/src/routing/endpoint_liveness.h
+++ b/src/routing/endpoint_liveness.h
@@ -66,7 +66,7 @@
   // Several rejections in a row start a backoff. `response_time`: the mean of the request's class, which is
   // the first pause.
   void request_rejected(Timestamp now, FractionalDuration response_time);
-  void spare_loads(Timestamp now, Duration span) { loads_backoff_until_ = now + span; }
+  void back_off_loads(Timestamp now, Duration span) { loads_backoff_until_ = now + span; }
   void connect_timed_out(Timestamp now);
 
  private:
--- a/src/routing/endpoint_monitor.cpp
+++ b/src/routing/endpoint_monitor.cpp
@@ -109,7 +109,7 @@
 
 void EndpointMonitor::judge_attempt(Timestamp now, bool bad, Attempt& attempt, EndpointRecord& record) {
   if (std::exchange(attempt.judged, true)) return;
-  const OutlierChange change = parts_.outliers.attempt_judged(now, bad, record.outlier, record.history);
+  const OutlierChange change = parts_.outliers.record_attempt(now, bad, record.outlier, record.history);
   if (change == OutlierChange::ejected) parts_.host.log("set aside " + record.endpoint.id);
 }
 
@@ -118,7 +118,7 @@
   if (change == OutlierChange::readmitted) parts_.host.log("back in service " + record.endpoint.id);
 }
 
-void EndpointMonitor::probe_by_turn(Timestamp now, EndpointRecord& record) {
+void EndpointMonitor::probe_if_assigned(Timestamp now, EndpointRecord& record) {
   const ReportConfiguration& reports = parts_.configuration.reports;
   if (!reports.probes || !reports.gossip || reports.load_reports != load_reports_by_probe) return;
   const std::int64_t period_number = now.time_since_epoch() / probe_period;
--- a/src/routing/endpoint_monitor.h
+++ b/src/routing/endpoint_monitor.h
@@ -32,7 +32,7 @@
   void advance_recovery(Timestamp now, EndpointRecord& record);
   // If endpoints report their load only in answers to probes, one router probes an endpoint in each probe
   // period and sends the result to its peers. Probes the endpoint if it is this router's turn.
-  void probe_by_turn(Timestamp now, EndpointRecord& record);
+  void probe_if_assigned(Timestamp now, EndpointRecord& record);
 
  private:
   void connection_failed(Timestamp now, AttemptOutcome outcome, EndpointRecord& record);
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -25,8 +25,8 @@
   int open() const { return open_; }
 
   // The attempts that have been open for longer than usual, counted again in each periodic maintenance.
-  void reset_outlasting() { long_running_ = 0; }
-  void add_outlasting() { ++long_running_; }
+  void reset_long_running() { long_running_ = 0; }
+  void add_long_running() { ++long_running_; }
   int outlasting() const { return long_running_; }
 
  private:
@@ -54,7 +54,7 @@
   // The endpoint's rated capacity relative to others.
   double weight() const { return endpoint.rating > 0 ? endpoint.rating : 1; }
   // The weight that placement uses for the endpoint.
-  double placed_weight() const { return weight() * placement_weight.factor(); }
+  double weight_in_placement() const { return weight() * placement_weight.factor(); }
 };
 
 // What an endpoint list message changed about one endpoint.
@@ -70,7 +70,7 @@
   using Records = std::map<EndpointId, EndpointRecord>;
 
   // Increments the version, so that holders of record pointers look them up again.
-  void new_version() { ++version_; }
+  void increment_version() { ++version_; }
   std::uint64_t version() const { return version_; }
 
   EndpointUpdate update(const Endpoint& endpoint);
--- a/src/routing/latency_estimates.cpp
+++ b/src/routing/latency_estimates.cpp
@@ -50,7 +50,7 @@
   return duration / function.response_time_;
 }
 
-void LatencyEstimates::answered_after_load(const EstimateKey& key, FractionalDuration duration) {
+void LatencyEstimates::record_answer_after_load(const EstimateKey& key, FractionalDuration duration) {
   add_sample(load_time_, std::max(duration - response_time(key), FractionalDuration::zero()));
 }
 
--- a/src/routing/latency_estimates.h
+++ b/src/routing/latency_estimates.h
@@ -28,7 +28,7 @@
 class FunctionTimes {
  public:
   // Sets the load time that a request stated; 0 is ignored.
-  void load_time_stated(Duration load_time) {
+  void set_load_time(Duration load_time) {
     if (load_time > Duration::zero()) load_time_ = load_time;
   }
 
@@ -63,7 +63,7 @@
   // Adds the response time of an endpoint that had a loaded copy. Returns its pace.
   double answered(ClassEstimate& class_estimate, FunctionTimes& function, FractionalDuration duration);
   // Adds a response time that includes a load; its excess over the usual response time is the load time.
-  void answered_after_load(const EstimateKey& key, FractionalDuration duration);
+  void record_answer_after_load(const EstimateKey& key, FractionalDuration duration);
 
   // The response time with a loaded copy; that of the class while the function's own is not known.
   FractionalDuration response_time(const EstimateKey& key) const {
@@ -94,7 +94,7 @@
   // known.
   double pace(const AttemptStatistics& statistics) const {
     const double prior = observation_.prior_samples();
-    return (statistics.pace_sum + prior * fleet_pace_) / (statistics.paced + prior);
+    return (statistics.pace_sum + prior * fleet_pace_) / (statistics.pace_samples + prior);
   }
   double fleet_pace() const { return fleet_pace_; }
   // Recomputes the fleet's pace and the no-load pace from the endpoints' paces; reorders them.
--- a/src/routing/observation_window.cpp
+++ b/src/routing/observation_window.cpp
@@ -21,7 +21,7 @@
       std::clamp<std::int64_t>(2 * interval_ / history_bucket_width, min_recent_buckets, history_buckets));
   const FractionalDuration recent_span = recent_buckets_ * history_bucket_width;
   prior_samples_ =
-      std::clamp(recent_span / (interval + FractionalDuration{1}), min_prior_samples, most_prior_samples);
+      std::clamp(recent_span / (interval + FractionalDuration{1}), min_prior_samples, max_prior_samples);
 }
 
 double ObservationWindow::interval_share() const {
--- a/src/routing/observation_window.h
+++ b/src/routing/observation_window.h
@@ -9,7 +9,7 @@
 namespace rushhill::routing {
 
 // From this many answers on, an endpoint's own statistics count at least as much as the fleet's.
-constexpr double most_prior_samples = 3;
+constexpr double max_prior_samples = 3;
 // With so few buckets, a fault shows within one or two of them.
 constexpr int min_recent_buckets = 4;
 
@@ -24,7 +24,7 @@
   bool started() const { return started_at_ != Timestamp{}; }
   void start(Timestamp now) { started_at_ = now; }
 
-  void request_taken(Timestamp now) { requests_.bucket_at(now) += 1; }
+  void request_received(Timestamp now) { requests_.bucket_at(now) += 1; }
   double requests(Timestamp now) const { return requests_.total(now); }
 
   // How long this router has been observing.
@@ -50,7 +50,7 @@
   Timestamp started_at_{};
   Duration interval_ = one_second;
   int recent_buckets_ = min_recent_buckets;
-  double prior_samples_ = most_prior_samples;
+  double prior_samples_ = max_prior_samples;
 };
 
 }  // namespace rushhill::routing
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -33,9 +33,9 @@
   period_bad_ = 0;
 }
 
-OutlierChange OutlierDetection::attempt_judged(Timestamp now, bool bad, OutlierState& state,
+OutlierChange OutlierDetection::record_attempt(Timestamp now, bool bad, OutlierState& state,
                                                AttemptHistory& history) {
-  history.add_verdict(now, bad);
+  history.add_judged_attempt(now, bad);
   state.period_judged_ += 1;
   state.period_bad_ += bad ? 1 : 0;
   if (state.ejected_) return OutlierChange::none;
--- a/src/routing/outlier_detection.h
+++ b/src/routing/outlier_detection.h
@@ -50,7 +50,7 @@
   explicit OutlierDetection(const ObservationWindow& observation) : observation_(observation) {}
 
   // Counts a good or bad attempt at the endpoint, and may eject the endpoint.
-  OutlierChange attempt_judged(Timestamp now, bool bad, OutlierState& state, AttemptHistory& history);
+  OutlierChange record_attempt(Timestamp now, bool bad, OutlierState& state, AttemptHistory& history);
 
   // Moves an ejected endpoint along its recovery ramp, and may readmit it.
   OutlierChange advance(Timestamp now, OutlierState& state, AttemptHistory& history) const;
--- a/src/routing/overload_control.cpp
+++ b/src/routing/overload_control.cpp
@@ -26,7 +26,7 @@
   return attempts_.try_emplace(tenant, one_second).first->second;
 }
 
-void OverloadControl::attempt_at_loaded_copy(Timestamp now, const std::string& tenant, bool slow) {
+void OverloadControl::record_attempt_at_loaded_copy(Timestamp now, const std::string& tenant, bool slow) {
   attempts_of(tenant).bucket_at(now) += Attempts{.all = 1, .slow = slow ? 1.0 : 0.0};
 }
 
--- a/src/routing/overload_control.h
+++ b/src/routing/overload_control.h
@@ -33,7 +33,7 @@
 
   // Records the end of an attempt at an endpoint that had a loaded copy. `slow`: it took most of the latency
   // objective or was rejected.
-  void attempt_at_loaded_copy(Timestamp now, const std::string& tenant, bool slow);
+  void record_attempt_at_loaded_copy(Timestamp now, const std::string& tenant, bool slow);
 
   // The share of the tenant's requests to reject on arrival, so that the others are answered in time. It may
   // be negative if there is no overload. Every router applies the same rule to its own attempts.
--- a/src/routing/periodic_maintenance.cpp
+++ b/src/routing/periodic_maintenance.cpp
@@ -28,7 +28,7 @@
 PeriodicMaintenance::FleetSample PeriodicMaintenance::maintain_endpoints(Timestamp now) {
   FleetSample sample;
   for (auto& [id, record] : parts_.endpoints.records()) {
-    record.in_flight.reset_outlasting();
+    record.in_flight.reset_long_running();
     if (record.outlier.ejected()) monitor_.advance_recovery(now, record);
     if (record.may_receive()) maintain_endpoint(now, record, sample);
   }
@@ -36,18 +36,18 @@
 }
 
 void PeriodicMaintenance::maintain_endpoint(Timestamp now, EndpointRecord& record, FleetSample& sample) {
-  monitor_.probe_by_turn(now, record);
+  monitor_.probe_if_assigned(now, record);
   ++sample.serving;
   sample.ejected += record.outlier.ejected() ? 1 : 0;
   const AttemptStatistics recent = record.history.recent(now, parts_.observation.recent_buckets());
   sample.bad_shares.push_back(recent.judged > 0 ? recent.bad / recent.judged : 0);
-  if (recent.paced >= most_prior_samples) sample.paces.push_back(recent.pace_sum / recent.paced);
+  if (recent.pace_samples >= max_prior_samples) sample.paces.push_back(recent.pace_sum / recent.pace_samples);
   const Timestamp warming_since = parts_.warm_up.warming_since(now, record);
   if (warming_since != Timestamp{}) {
     parts_.warm_up.refill({.age = now - warming_since, .elapsed = now - last_run_}, record);
     return;
   }
-  record.tokens.keep_phase();
+  record.tokens.keep_fraction();
   sample.warm.succeeded += record.history.all(now).succeeded;
   sample.warm.weight += record.weight();
 }
--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -24,7 +24,7 @@
   }
   // Weights change slowly, so the order is usually still right.
   const auto weighted_distance = [](const FunctionPlacement::Candidate& candidate) {
-    return candidate.distance / candidate.endpoint->placed_weight();
+    return candidate.distance / candidate.endpoint->weight_in_placement();
   };
   if (!std::ranges::is_sorted(function.candidates_, {}, weighted_distance)) {
     std::ranges::sort(function.candidates_, {}, weighted_distance);
--- a/src/routing/request_dispatcher.cpp
+++ b/src/routing/request_dispatcher.cpp
@@ -119,7 +119,7 @@
 
 void RequestDispatcher::check_attempt(Timestamp now, const EstimateKey& key, Attempt& attempt) {
   EndpointRecord& endpoint = parts_.endpoints.at(attempt.endpoint);
-  if (parts_.retries.is_long_running(now, key, attempt)) endpoint.in_flight.add_outlasting();
+  if (parts_.retries.is_long_running(now, key, attempt)) endpoint.in_flight.add_long_running();
   if (parts_.retries.is_overdue(now, key, attempt, endpoint))
     monitor_.judge_attempt(now, true, attempt, endpoint);
 }
@@ -148,7 +148,7 @@
 void RequestDispatcher::reject_or_fail(TrackedRequest& tracked, Duration retry_after) {
   const RetryConfiguration& retries = parts_.configuration.retries;
   if (RetryPolicy::may_reject(tracked)) {
-    const Duration advice = std::min(retry_after, retries.longest_retry_after);
+    const Duration advice = std::min(retry_after, retries.max_retry_after);
     parts_.host.reject(tracked.request.id, retries.retry_after ? advice : Duration::zero());
   } else {
     parts_.host.fail(tracked.request.id);
--- a/src/routing/request_dispatcher.h
+++ b/src/routing/request_dispatcher.h
@@ -27,7 +27,7 @@
   void reject_or_fail(TrackedRequest& tracked, Duration retry_after);
   // Ends a request that cannot be served in time, with the longest Retry-After time.
   void shed_request(TrackedRequest& tracked) {
-    reject_or_fail(tracked, parts_.configuration.retries.longest_retry_after);
+    reject_or_fail(tracked, parts_.configuration.retries.max_retry_after);
   }
 
  private:
--- a/src/routing/routing_policy.cpp
+++ b/src/routing/routing_policy.cpp
@@ -33,9 +33,9 @@
                          const std::vector<Endpoint>& endpoints) override {
     if (!parts_.observation.started()) start(now);
     const bool list_is_old = form == EndpointListForm::cached || form == EndpointListForm::failed;
-    watch_pending_ |= parts_.configuration.endpoints_on_request && list_is_old;
+    watch_pending_ |= parts_.configuration.endpoint_watch_on_request && list_is_old;
     if (form == EndpointListForm::failed) return;
-    parts_.endpoints.new_version();
+    parts_.endpoints.increment_version();
     for (const Endpoint& endpoint : endpoints) update_endpoint(now, endpoint);
     if (form != EndpointListForm::delta) remove_unlisted(now, endpoints);
     dispatcher_.dispatch_waiting(now);
@@ -45,7 +45,7 @@
     parts_.load_budget.count_request(now);
     TrackedRequest& tracked = track(now, request);
     record_function_request(now, request);
-    parts_.observation.request_taken(now);
+    parts_.observation.request_received(now);
     tracked.over_quota = !parts_.tenant_quotas.take_token(now, request.tenant);
     if (request.time_left <= parts_.configuration.tick) {
       dispatcher_.reject_or_fail(tracked, Duration::zero());
@@ -179,7 +179,7 @@
     function.lanes = std::max(request.lanes, 1.0);
     function.requested_at = now;
     function.placement.count_request(now);
-    function.times.load_time_stated(request.load_time);
+    function.times.set_load_time(request.load_time);
   }
 
   void dispatch_next_attempt(Timestamp now, const AttemptEnd& end, TrackedRequest& tracked) {
--- a/src/routing/routing_policy.h
+++ b/src/routing/routing_policy.h
@@ -39,7 +39,7 @@
   // Requests a load report from the endpoint; the result is passed to probe_ended().
   virtual void probe(const EndpointId& endpoint) = 0;
   // Closes the idle connections to the endpoint.
-  virtual void close_idle(const EndpointId& endpoint) = 0;
+  virtual void close_idle_connections(const EndpointId& endpoint) = 0;
   // Orders the endpoint to load that many copies of the function; the result is passed to prewarm_ended().
   virtual void prewarm(const EndpointId& endpoint, const FunctionId& function, int copies) = 0;
   virtual void evict(const EndpointId& endpoint, const FunctionId& function) = 0;
--- a/src/routing/scorer.cpp
+++ b/src/routing/scorer.cpp
@@ -68,7 +68,7 @@
 }
 
 double Scorer::tie_break(const EndpointRecord& endpoint, double draw) {
-  return tie_break_scale * (std::log(endpoint.placed_weight()) - std::log(-std::log(draw)));
+  return tie_break_scale * (std::log(endpoint.weight_in_placement()) - std::log(-std::log(draw)));
 }
 
 double Scorer::recovery_ramp_bonus() { return failure_cost + 1; }
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -44,7 +44,7 @@
   void add(double tokens) { level_ += tokens; }
   // Discards whole tokens above the maximum level.
   void limit(double max_level) { level_ -= std::floor(std::max(level_ - max_level, 0.0)); }
-  void keep_phase() { level_ -= std::floor(level_); }
+  void keep_fraction() { level_ -= std::floor(level_); }
   // Whether a prewarm order may be sent. It costs a token like a request but need not wait for a whole one.
   bool allows_order() const { return level_ >= tokens_for_order; }
 
--- a/src/scale/cost_support.h
+++ b/src/scale/cost_support.h
@@ -22,7 +22,7 @@
 // Drops all events.
 class NullLog final : public core::EventLog {
  public:
-  bool wants(core::Level /*level*/) const override { return false; }
+  bool should_log(core::Level /*level*/) const override { return false; }
   void write(core::Level /*level*/, const char* /*name*/, Fields /*fields*/) override {}
 };
 
--- a/src/scale/gateway_harness.h
+++ b/src/scale/gateway_harness.h
@@ -79,14 +79,14 @@
   void probe(const EndpointId& endpoint, Duration timeout) override;
   void prewarm(const EndpointId& endpoint, const FunctionId& function, int copies, Duration timeout) override;
   void evict(const EndpointId& /*endpoint*/, const FunctionId& /*function*/) override {}
-  void close_idle(const EndpointId& /*endpoint*/) override {}
+  void close_idle_connections(const EndpointId& /*endpoint*/) override {}
   void set_address(const EndpointId& /*endpoint*/, const std::string& /*address*/) override {}
   void succeeded(RequestId request, events::CloudEvent reply) override;
   void rejected(RequestId request, Duration retry_after) override;
   void failed(RequestId request) override;
   void watch(bool /*on*/) override {}
   void resync() override {}
-  bool wants(core::Level /*level*/) const override { return false; }
+  bool should_log(core::Level /*level*/) const override { return false; }
   void write(core::Level /*level*/, const char* /*name*/, Fields /*fields*/) override {}
 
   void fail_to_connect(const AttemptKey& attempt, const EndpointId& server);
@@ -101,7 +101,7 @@
   std::string region_;
   RequestOutcomes outcomes_;
   core::Gateway gateway_;
-  admission::Shares::Source source_;
+  admission::SourceQuotas::Source source_;
 };
 
 }  // namespace rushhill::scale
--- a/src/scale/membership_costs.cpp
+++ b/src/scale/membership_costs.cpp
@@ -65,12 +65,12 @@
   return settings::Json{{"rev", revision}, {"pool", pool}}.dump();
 }
 
-membership::RosterWord complete_list(double server_count) {
+membership::EndpointListMessage complete_list(double server_count) {
   return {.revision = 1, .entries = entries_of(server_count), .remarks = {}};
 }
 
 std::string list_line(double server_count) {
-  return membership::write_word(complete_list(server_count), no_wall_offset);
+  return membership::write_endpoint_list_message(complete_list(server_count), no_wall_offset);
 }
 
 double bytes_on_the_wire(const std::string& line) { return static_cast<double>(line.size() + 1); }
@@ -90,15 +90,15 @@
 Figures list_cost(double server_count, Counter& counter) {
   const std::string line = list_line(server_count);
   Figures figures = metered(counter, repetitions, [&] {
-    for (int i = 0; i < repetitions; ++i) membership::read_word(line, no_wall_offset);
+    for (int i = 0; i < repetitions; ++i) membership::read_endpoint_list_message(line, no_wall_offset);
   });
   figures[figure_name::port_bytes] = bytes_on_the_wire(line);
   return figures;
 }
 
 Figures remembered_list_cost(double server_count, Counter& counter) {
-  const membership::RosterWord list = complete_list(server_count);
-  membership::Remembered remembered;
+  const membership::EndpointListMessage list = complete_list(server_count);
+  membership::CurrentEndpointList remembered;
   return metered(counter, 1, [&] { remembered.hear(list); });
 }
 
@@ -153,8 +153,8 @@
   LineServer server(network, board_line(server_count) + "\n");
   NullLog log;
   ReceivedEndpoints received;
-  membership::BoardClient client(network, server.address(), no_event_received, client_seed, log,
-                                 std::ref(received));
+  membership::PlatformDiscoveryClient client(network, server.address(), no_event_received, client_seed, log,
+                                             std::ref(received));
   Figures figures = receive_list(network, client, counter);
   require(received.count == static_cast<std::size_t>(server_count), "the list was not heard whole");
   return figures;
@@ -165,8 +165,8 @@
   LineServer server(network, list_line(server_count) + "\n");
   NullLog log;
   ReceivedEndpoints received;
-  membership::RosterClient client(network, server.address(), router_number, retry_pause, client_seed, log,
-                                  std::ref(received));
+  membership::EndpointListClient client(network, server.address(), router_number, retry_pause, client_seed,
+                                        log, std::ref(received));
   Figures figures = receive_list(network, client, counter);
   require(received.count == static_cast<std::size_t>(server_count), "the list was not heard whole");
   return figures;
--- a/src/scale/peer_message_costs.cpp
+++ b/src/scale/peer_message_costs.cpp
@@ -23,10 +23,10 @@
   int received = 0;
   const auto receive = [&](int /*router*/, const std::string& /*bytes*/) { ++received; };
   const std::string message = server_name(1) + " u50";
-  transport::BarePeers receiver(network, transport::numeric_address(addresses.back()), receiver_number,
-                                addresses, no_broadcast, receive);
-  transport::BarePeers sender(network, transport::numeric_address(addresses[addresses.size() / 2]),
-                              sender_number, addresses, no_broadcast, receive);
+  transport::UnframedPeerLinks receiver(network, transport::numeric_address(addresses.back()),
+                                        receiver_number, addresses, no_broadcast, receive);
+  transport::UnframedPeerLinks sender(network, transport::numeric_address(addresses[addresses.size() / 2]),
+                                      sender_number, addresses, no_broadcast, receive);
   Figures figures = metered(counter, repetitions, [&] {
     for (int i = 0; i < repetitions; ++i) sender.send(all_routers, message);
   });
--- a/src/scale/policy_harness.h
+++ b/src/scale/policy_harness.h
@@ -85,7 +85,7 @@
   void fail(RequestId request) override;
   void set_timer(std::int64_t token, Timestamp at) override;
   void probe(const EndpointId& endpoint) override;
-  void close_idle(const EndpointId& /*endpoint*/) override {}
+  void close_idle_connections(const EndpointId& /*endpoint*/) override {}
   void prewarm(const EndpointId& /*endpoint*/, const FunctionId& /*function*/, int /*copies*/) override {}
   void evict(const EndpointId& /*endpoint*/, const FunctionId& /*function*/) override {}
   void send_gossip(int router, const std::string& bytes) override;
--- a/src/scale/replica_costs.cpp
+++ b/src/scale/replica_costs.cpp
@@ -32,17 +32,17 @@
 constexpr const char* deployment_name = "scale";
 
 // Ignores what a replica reports about its records.
-class IgnoredFindings final : public replica::Findings {
+class IgnoredFindings final : public replica::ReplicaObserver {
  public:
   void full(replica::Kind /*kind*/) override {}
-  void copies_differed(const replica::StreamId& /*stream*/, const replica::Word& /*stands*/,
-                       const replica::Word& /*gone*/) override {}
-  void second_of_us(const replica::Writer& /*writer*/) override {}
-  void honoured_twice(const std::string& /*request*/, const replica::Writer& /*one*/,
-                      const replica::Writer& /*other*/) override {}
+  void on_divergence(const replica::StreamId& /*stream*/, const replica::Word& /*stands*/,
+                     const replica::Word& /*gone*/) override {}
+  void on_duplicate_writer(const replica::Writer& /*writer*/) override {}
+  void on_executed_twice(const std::string& /*request*/, const replica::Writer& /*one*/,
+                         const replica::Writer& /*other*/) override {}
 };
 
-replica::Findings& ignored_findings() {
+replica::ReplicaObserver& ignored_findings() {
   static IgnoredFindings findings;
   return findings;
 }
@@ -105,7 +105,7 @@
  public:
   explicit ReplicaPair(std::size_t routers) : first_(0, routers), second_(1, routers) {
     for (int router = 2; router < static_cast<int>(routers); ++router) {
-      for (const replica::Kind kind : {replica::Kind::mark, replica::Kind::ration}) {
+      for (const replica::Kind kind : {replica::Kind::deduplication, replica::Kind::load_budget}) {
         const replica::Piece records = records_of(router, kind);
         first_.replica.apply(synchronization_begin, {records});
         second_.replica.apply(synchronization_begin, {records});
@@ -129,8 +129,8 @@
 
   // The first router writes a deduplication record.
   void write_record(Time now, int number) {
-    first_.replica.write(now, replica::Kind::mark, "/clients 0123456789abcdef" + std::to_string(number),
-                         record_rank);
+    first_.replica.write(now, replica::Kind::deduplication,
+                         "/clients 0123456789abcdef" + std::to_string(number), record_rank);
   }
 
   std::size_t bytes_sent() const { return first_.line.bytes_sent() + second_.line.bytes_sent(); }
@@ -197,7 +197,7 @@
             {.listen = addresses[static_cast<std::size_t>(number)],
              .addresses = addresses,
              .hello = {.deployment = deployment_name, .name = std::to_string(number), .writer = replica.me()},
-             .everybody = addresses.size() <= replica::most_meeting},
+             .full_mesh = addresses.size() <= replica::max_full_mesh_routers},
             replica, log) {}
 
   NullLog log;
@@ -213,7 +213,7 @@
   for (int i = 0; i < static_cast<int>(router_count); ++i) {
     routers.push_back(std::make_unique<LinkedRouter>(network, i, addresses));
     const std::string key = "first of " + std::to_string(i);
-    routers.back()->replica.write(network.now(), replica::Kind::mark, key, record_rank);
+    routers.back()->replica.write(network.now(), replica::Kind::deduplication, key, record_rank);
   }
   network.run_until(network.now() + fleet_synchronization);
   const std::uint64_t bytes_before = network.bytes();
--- a/src/settings/deployment.cpp
+++ b/src/settings/deployment.cpp
@@ -35,7 +35,7 @@
 
 void read_family_info(const Fields& family, RoutingConfiguration& configuration) {
   configuration.copies.prewarm = family.flag("placement-calls");
-  configuration.copies.missing_is_answered = family.text("not-loaded", "load") == "miss";
+  configuration.copies.missing_copy_is_reported = family.text("not-loaded", "load") == "miss";
   configuration.copies.state_is_reported = family.flag("marks-cold");
   configuration.copies.keep_alive = floor_duration(family.whole("keep", 0));
   configuration.copies.prewarm_timeout = ceil_duration(family.whole("answer-within", 0));
@@ -77,7 +77,7 @@
   configuration.location = info.text("zone", "");
   configuration.tick = ceil_duration(info.whole("quantum", 0));
   configuration.over_quota_value = info.number("over-share-worth", 1);
-  configuration.endpoints_on_request = info.text("discovery", "pushed") == "on_request";
+  configuration.endpoint_watch_on_request = info.text("discovery", "pushed") == "on_request";
   const std::map<std::string, double> prices = info.numbers("penalties");
   configuration.prices.cross_location = price_or_zero(prices, "cross-zone");
   configuration.prices.load = price_or_zero(prices, "origin");
@@ -107,7 +107,7 @@
   configuration.reports.probes = permissions.flag("probing");
   configuration.reports.gossip = permissions.flag("peers");
   configuration.retries.retry_after = permissions.flag("retry-after");
-  configuration.retries.longest_retry_after = floor_duration(permissions.whole("max-retry-after", 0));
+  configuration.retries.max_retry_after = floor_duration(permissions.whole("max-retry-after", 0));
   configuration.requests_per_connection = static_cast<int>(permissions.whole("multiplex", 1));
   configuration.connection_idle_timeout = floor_duration(permissions.whole("conn-idle", 0));
   configuration.connect_timeout = ceil_duration(permissions.whole("connect-timeout", 0));
--- a/src/transport/bare_peers.cpp
+++ b/src/transport/bare_peers.cpp
@@ -9,9 +9,9 @@
 
 }  // namespace
 
-BarePeers::BarePeers(Reactor& reactor, const Address& listen, int own_number,
-                     const std::vector<std::string>& addresses, const std::string& broadcast,
-                     MessageHandler handler)
+UnframedPeerLinks::UnframedPeerLinks(Reactor& reactor, const Address& listen, int own_number,
+                                     const std::vector<std::string>& addresses, const std::string& broadcast,
+                                     MessageHandler handler)
     : own_number_(own_number), handler_(std::move(handler)),
       datagrams_(reactor, listen,
                  [this](const Address& from, std::string_view bytes) { receive(from, bytes); }) {
@@ -22,7 +22,7 @@
   if (!broadcast.empty()) broadcast_ = numeric_address(broadcast);
 }
 
-void BarePeers::send(int router, const std::string& bytes) {
+void UnframedPeerLinks::send(int router, const std::string& bytes) {
   if (bytes.size() > max_message_bytes) return;
   const auto send_to = [&](const Address& to) { dropped_ += datagrams_.send(to, bytes) ? 0 : 1; };
   if (router < 0 && broadcast_) return send_to(*broadcast_);
@@ -32,7 +32,7 @@
   }
 }
 
-void BarePeers::receive(const Address& from, std::string_view bytes) {
+void UnframedPeerLinks::receive(const Address& from, std::string_view bytes) {
   if (bytes.size() > max_message_bytes) return;
   const auto it = routers_.find(from);
   if (it != routers_.end() && it->second != own_number_) handler_(it->second, std::string(bytes));
--- a/src/transport/bare_peers.h
+++ b/src/transport/bare_peers.h
@@ -15,15 +15,16 @@
 namespace rushhill::transport {
 
 // Sends messages to other routers and receives theirs. A message that cannot be sent at once is dropped.
-class BarePeers final : public core::PeerMessenger {
+class UnframedPeerLinks final : public core::PeerMessenger {
  public:
   // Called with each message and the number of the router that sent it.
   using MessageHandler = std::function<void(int router, const std::string& bytes)>;
   // `addresses` has the address of each router at the index of its number, including our own. `broadcast` is
   // an address that reaches every router, or empty. Throws std::invalid_argument if an address is not
   // numeric.
-  BarePeers(Reactor& reactor, const Address& listen, int own_number,
-            const std::vector<std::string>& addresses, const std::string& broadcast, MessageHandler handler);
+  UnframedPeerLinks(Reactor& reactor, const Address& listen, int own_number,
+                    const std::vector<std::string>& addresses, const std::string& broadcast,
+                    MessageHandler handler);
   // Sends to one router, or to all others if `router` is negative.
   void send(int router, const std::string& bytes) override;
   // Number of datagrams that the system did not accept.
--- a/src/transport/connection_pool.h
+++ b/src/transport/connection_pool.h
@@ -45,7 +45,7 @@
   // Sets the observer that is notified when calls end. It must be set before the first call is sent.
   void report_to(core::UpstreamObserver& observer) { observer_ = &observer; }
 
-  void close_idle(const EndpointId& id) override {
+  void close_idle_connections(const EndpointId& id) override {
     const auto it = endpoints_.find(id);
     if (it == endpoints_.end()) return;
     for (Connection* connection : it->second->idle_connections()) remove(*connection);
--- a/src/transport/http.cpp
+++ b/src/transport/http.cpp
@@ -110,7 +110,7 @@
   return parse_message(*parser_, buffer, limits_.body);
 }
 bool HttpRequestReader::head_done() const { return parser_ && parser_->is_header_done(); }
-bool HttpRequestReader::wants_continue() const {
+bool HttpRequestReader::expects_continue() const {
   return head_done() && !parser_->is_done() && parser_->get().body().empty() &&
          boost::beast::iequals(parser_->get()[http::field::expect], "100-continue");
 }
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -53,9 +53,9 @@
   ~HttpRequestReader();
 
   HttpProgress put(std::string& buffer);
-  bool wants_continue() const;  // the client waits for 100 Continue and has sent no byte of the body
-  bool head_done() const;       // the start line and the header fields have been read
-  HttpRequest take();           // to be called after `done`; the reader is then ready for the next request
+  bool expects_continue() const;  // the client waits for 100 Continue and has sent no byte of the body
+  bool head_done() const;         // the start line and the header fields have been read
+  HttpRequest take();             // to be called after `done`; the reader is then ready for the next request
  private:
   struct Parser;
   HttpLimits limits_;
--- a/src/transport/http_connection.cpp
+++ b/src/transport/http_connection.cpp
@@ -90,7 +90,7 @@
 }
 
 AttemptOutcome HttpConnection::outcome_of_loss() const {
-  const bool crossed = !response_started_ && crossed_idle_close(idle_before_, reactor_.now() - sent_at_);
+  const bool crossed = !response_started_ && raced_with_idle_close(idle_before_, reactor_.now() - sent_at_);
   return crossed ? AttemptOutcome::unanswered : AttemptOutcome::connection_lost;
 }
 
--- a/src/transport/idle_close.h
+++ b/src/transport/idle_close.h
@@ -13,7 +13,7 @@
 
 // Returns whether a lost connection was probably closed as idle. It had been idle for `idle_before` when the
 // request was sent, and was lost `since_sent` later.
-constexpr bool crossed_idle_close(Time idle_before, Time since_sent) {
+constexpr bool raced_with_idle_close(Time idle_before, Time since_sent) {
   return idle_before >= min_idle_timeout && since_sent <= max_close_delay;
 }
 
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -57,7 +57,7 @@
 
 // Destroying a call may destroy objects that cancel timers or post calls, so all calls are moved out of the
 // members first.
-void Loop::forget_all() {
+void Loop::drop_pending_calls() {
   const auto timers = std::exchange(timers_, {});
   const auto posted = std::exchange(posted_, {});
   unregistered_.clear();
--- a/src/transport/loop.h
+++ b/src/transport/loop.h
@@ -33,7 +33,7 @@
   Loop& operator=(const Loop&) = delete;
   Loop(Loop&&) = delete;
   Loop& operator=(Loop&&) = delete;
-  ~Loop() override { forget_all(); }
+  ~Loop() override { drop_pending_calls(); }
 
   void run() override;  // until halt()
   void halt() override;
@@ -55,13 +55,13 @@
   std::unique_ptr<BoundSocket> reserve(const Address& address) override;
 
   // Drops all timers and posted calls. Used at shutdown, when the objects that they refer to are gone.
-  void forget_all();
+  void drop_pending_calls();
 
   // Sets a function that is called in every iteration, to act on flags that a signal handler has set.
-  void every_turn(Call call) { iteration_hook_ = std::move(call); }
+  void set_iteration_hook(Call call) { iteration_hook_ = std::move(call); }
 
   // Maximum bytes of one read or write. Tests set a small value to split messages at every byte.
-  std::size_t most_at_once = 64 * 1024;
+  std::size_t max_io_bytes = 64 * 1024;
 
   // Members below are for the sockets of this loop.
   SystemCalls& system() { return system_; }
--- a/src/transport/server_pool.cpp
+++ b/src/transport/server_pool.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-ServerPool::ServerPool(Reactor& reactor, const PoolBounds& limits, core::EventLog& event_log)
+ServerPool::ServerPool(Reactor& reactor, const ServerPoolLimits& limits, core::EventLog& event_log)
     : ConnectionPool(reactor, event_log), limits_(limits) {}
 
 std::string ServerPool::address(const EndpointId& id) const {
--- a/src/transport/server_pool.h
+++ b/src/transport/server_pool.h
@@ -12,7 +12,7 @@
 namespace rushhill::transport {
 
 // Limits of the pool and of its connections.
-struct PoolBounds {
+struct ServerPoolLimits {
   int router = 0;           // this router's number, which endpoints put into their records
   int connections = 256;    // maximum to one endpoint
   std::size_t total = 0;    // maximum to all endpoints together; 0 means no limit
@@ -34,7 +34,7 @@
 // may be opened for a call, the call fails without waiting for one.
 class ServerPool final : public ConnectionPool<HttpEndpoint>, private HttpConnectionOwner {
  public:
-  ServerPool(Reactor& reactor, const PoolBounds& limits, core::EventLog& event_log);
+  ServerPool(Reactor& reactor, const ServerPoolLimits& limits, core::EventLog& event_log);
 
   void send(const core::AttemptCall& call) override;
   void cancel(RequestId request, int attempt_number) override;
@@ -58,7 +58,7 @@
   HttpConnection* pop_healthy_idle(HttpEndpoint& endpoint);
   bool total_reached() const { return limits_.total > 0 && connections() >= limits_.total; }
 
-  PoolBounds limits_;
+  ServerPoolLimits limits_;
 };
 
 }  // namespace rushhill::transport
--- a/src/transport/socket_stream.cpp
+++ b/src/transport/socket_stream.cpp
@@ -99,7 +99,7 @@
 // Sends as much as the system takes. Returns false if the connection has failed.
 bool SocketStream::send_pending() {
   while (!unsent_.empty() && !sending_paused_) {
-    const std::size_t part = std::min(unsent_.size(), loop_.most_at_once);
+    const std::size_t part = std::min(unsent_.size(), loop_.max_io_bytes);
     const auto sent =
         loop_.system().send(socket_.number(), unsent_.pending().data(), part, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (sent < 0) return handle_send_failure(errno);
@@ -191,7 +191,7 @@
 }
 
 std::size_t SocketStream::max_read_bytes() const {
-  return std::min(loop_.most_at_once, loop_.read_buffer().size());
+  return std::min(loop_.max_io_bytes, loop_.read_buffer().size());
 }
 
 void SocketStream::on_readable() {
--- a/src/upstream/line_connection.cpp
+++ b/src/upstream/line_connection.cpp
@@ -154,7 +154,7 @@
   while (!closed_) {
     const line_protocol::Progress progress = reader_.next(answer);
     if (progress == line_protocol::Progress::more) return;
-    if (progress == line_protocol::Progress::bad) return answer_unreadable(reader_.suspect());
+    if (progress == line_protocol::Progress::bad) return answer_unreadable(reader_.malformed_answer_id());
     // If there is no such exchange, the id is unknown, was answered before, or belongs to a cancelled
     // exchange.
     const auto it = exchanges_.find(answer.id);
@@ -176,13 +176,13 @@
 
 // The exchange that the answer is for ends as an error, since the endpoint has answered it; the others end as
 // connection lost. If it is not known which exchange the answer is for, all end as errors.
-void LineConnection::answer_unreadable(const std::string& suspect) {
+void LineConnection::answer_unreadable(const std::string& malformed_answer_id) {
   owner_.answer_unreadable(*this);
-  const bool suspect_known = exchanges_.contains(suspect) || exchanges_.size() == 1;
+  const bool suspect_known = exchanges_.contains(malformed_answer_id) || exchanges_.size() == 1;
   owner_.connection_unusable(*this);
   const std::vector<LineExchange> exchanges = detach_all();
   for (const LineExchange& exchange : exchanges) {
-    const bool is_suspect = exchanges.size() == 1 || exchange.tag == suspect;
+    const bool is_suspect = exchanges.size() == 1 || exchange.tag == malformed_answer_id;
     owner_.exchange_failed(
         exchange, is_suspect || !suspect_known ? AttemptOutcome::error : AttemptOutcome::connection_lost);
   }
@@ -194,7 +194,7 @@
   if (reason == CloseReason::connect_failed)
     return fail(AttemptOutcome::connect_failed, UnsentExchanges::retry);
   const bool crossed_close =
-      !answer_started_ && transport::crossed_idle_close(idle_before_, reactor_.now() - sent_at_);
+      !answer_started_ && transport::raced_with_idle_close(idle_before_, reactor_.now() - sent_at_);
   fail(crossed_close ? AttemptOutcome::unanswered : AttemptOutcome::connection_lost, UnsentExchanges::retry);
 }
 
--- a/src/upstream/line_connection.h
+++ b/src/upstream/line_connection.h
@@ -144,7 +144,7 @@
   LineExchange detach(Exchanges::iterator it);
   std::vector<LineExchange> detach_all();
   void on_answer(Exchanges::iterator it, line_protocol::Answer answer);
-  void answer_unreadable(const std::string& suspect);
+  void answer_unreadable(const std::string& malformed_answer_id);
   void fail(AttemptOutcome outcome, UnsentExchanges unsent);
 
   transport::Reactor& reactor_;
--- a/src/upstream/line_pool.cpp
+++ b/src/upstream/line_pool.cpp
@@ -24,7 +24,7 @@
   return oldest;
 }
 
-LinePool::LinePool(transport::Reactor& reactor, const LineBounds& limits, core::EventLog& event_log)
+LinePool::LinePool(transport::Reactor& reactor, const LinePoolLimits& limits, core::EventLog& event_log)
     : ConnectionPool(reactor, event_log), limits_(limits) {}
 
 void LinePool::send(const core::AttemptCall& call) {
--- a/src/upstream/line_pool.h
+++ b/src/upstream/line_pool.h
@@ -14,7 +14,7 @@
 namespace rushhill::upstream {
 
 // Limits of the pool and of its connections.
-struct LineBounds {
+struct LinePoolLimits {
   int requests_per_connection = 1;  // open at once
   std::size_t connections = 256;    // to all endpoints together
   Time connect_limit = 0;           // tenths of a millisecond
@@ -34,7 +34,7 @@
 // cancelled calls, whose end is not reported.
 class LinePool final : public transport::ConnectionPool<LineEndpoint>, private LineConnectionOwner {
  public:
-  LinePool(transport::Reactor& reactor, const LineBounds& limits, core::EventLog& event_log);
+  LinePool(transport::Reactor& reactor, const LinePoolLimits& limits, core::EventLog& event_log);
 
   void send(const core::AttemptCall& call) override;
   void cancel(RequestId request, int attempt_number) override;
@@ -71,7 +71,7 @@
   LineConnection* open_connection(LineEndpoint& endpoint, const transport::Address& address);
   std::string next_tag(const char* prefix) { return prefix + std::to_string(next_tag_++); }
 
-  LineBounds limits_;
+  LinePoolLimits limits_;
   std::uint64_t next_tag_ = 1;
 };
 
--- a/tests/admission/taking_test.cpp
+++ b/tests/admission/taking_test.cpp
@@ -18,27 +18,27 @@
 namespace {
 
 TEST(SourceQuotas, FloodingSourceUsesUnusedQuotaButLeavesTheReserve) {
-  Shares quotas(100);
+  SourceQuotas quotas(100);
   const auto flooding = quotas.add(1), idle = quotas.add(1);
   int admitted = 0;
-  while (quotas.may_take(flooding)) quotas.took(flooding), ++admitted;
+  while (quotas.may_admit(flooding)) quotas.on_admitted(flooding), ++admitted;
   EXPECT_GT(admitted, 80);   // more than its quota, since the other source is idle
   EXPECT_LT(admitted, 100);  // the reserve stays free
-  EXPECT_TRUE(quotas.may_take(idle));
+  EXPECT_TRUE(quotas.may_admit(idle));
 }
 
 TEST(SourceQuotas, OpenRequestsFollowTheWeightsWhenAllSourcesFlood) {
-  Shares quotas(120);
+  SourceQuotas quotas(120);
   const auto one = quotas.add(1), two = quotas.add(2), three = quotas.add(3);
-  const std::vector<Shares::Source> all{one, two, three};
-  std::vector<Shares::Source> order;
+  const std::vector<SourceQuotas::Source> all{one, two, three};
+  std::vector<SourceQuotas::Source> order;
   // The first source takes all that it may. Then the oldest request ends and is replaced, a thousand times,
   // which brings every source to its quota.
-  while (quotas.may_take(one)) quotas.took(one), order.push_back(one);
+  while (quotas.may_admit(one)) quotas.on_admitted(one), order.push_back(one);
   for (int i = 0; i < 1'000; ++i) {
-    Shares::Source chosen = 0;
-    while (quotas.next_source([](Shares::Source) { return true; }, chosen))
-      quotas.took(chosen), order.push_back(chosen);
+    SourceQuotas::Source chosen = 0;
+    while (quotas.next_source([](SourceQuotas::Source) { return true; }, chosen))
+      quotas.on_admitted(chosen), order.push_back(chosen);
     quotas.ended(order.front());
     order.erase(order.begin());
   }
@@ -48,41 +48,41 @@
 }
 
 TEST(SourceQuotas, OnlySourceMayUseTheWholeLimit) {
-  Shares quotas(3);
+  SourceQuotas quotas(3);
   const auto one = quotas.add(0.5);
-  for (int i = 0; i < 3; ++i) quotas.took(one);
-  EXPECT_FALSE(quotas.may_take(one));
+  for (int i = 0; i < 3; ++i) quotas.on_admitted(one);
+  EXPECT_FALSE(quotas.may_admit(one));
   quotas.ended(one);
-  EXPECT_TRUE(quotas.may_take(one));
+  EXPECT_TRUE(quotas.may_admit(one));
 }
 
 TEST(DeliveryTracker, RecognisesMessagesInProgressAndEnded) {
-  Deliveries deliveries(100, 10);
-  EXPECT_EQ(deliveries.meet(1, "a"), Deliveries::Meeting::fresh);
-  EXPECT_EQ(deliveries.meet(2, "a"), Deliveries::Meeting::joins);
+  DeliveryTracker deliveries(100, 10);
+  EXPECT_EQ(deliveries.meet(1, "a"), DeliveryTracker::DeliveryStatus::fresh);
+  EXPECT_EQ(deliveries.meet(2, "a"), DeliveryTracker::DeliveryStatus::joins);
   deliveries.ended(3, "a", Outcome::rejected);
-  EXPECT_EQ(deliveries.meet(4, "a"), Deliveries::Meeting::answered);
+  EXPECT_EQ(deliveries.meet(4, "a"), DeliveryTracker::DeliveryStatus::answered);
   EXPECT_EQ(deliveries.outcome("a"), Outcome::rejected);
-  EXPECT_EQ(deliveries.meet(103, "a"), Deliveries::Meeting::fresh);  // its retention is over
+  EXPECT_EQ(deliveries.meet(103, "a"), DeliveryTracker::DeliveryStatus::fresh);  // its retention is over
 }
 
 TEST(DeliveryTracker, ForgetsTheOldestEndedMessagesAtTheLimit) {
-  Deliveries deliveries(1'000'000, 10);
+  DeliveryTracker deliveries(1'000'000, 10);
   for (int i = 0; i < 100; ++i) deliveries.ended(i, std::to_string(i), Outcome::succeeded);
   EXPECT_EQ(deliveries.ended_count(), 10U);
-  EXPECT_EQ(deliveries.meet(100, "99"), Deliveries::Meeting::answered);
-  EXPECT_EQ(deliveries.meet(100, "1"), Deliveries::Meeting::fresh);
+  EXPECT_EQ(deliveries.meet(100, "99"), DeliveryTracker::DeliveryStatus::answered);
+  EXPECT_EQ(deliveries.meet(100, "1"), DeliveryTracker::DeliveryStatus::fresh);
 }
 
 TEST(DeliveryTracker, ForgottenMessageCountsAsNew) {
-  Deliveries deliveries(100, 10);
+  DeliveryTracker deliveries(100, 10);
   deliveries.meet(1, "a");
   deliveries.forget("a");
-  EXPECT_EQ(deliveries.meet(2, "a"), Deliveries::Meeting::fresh);
+  EXPECT_EQ(deliveries.meet(2, "a"), DeliveryTracker::DeliveryStatus::fresh);
 }
 
 TEST(MessageRetries, BackoffDoublesAndRetriesEndAtTheLimit) {
-  Tries retries(3, 100);
+  MessageRetries retries(3, 100);
   EXPECT_EQ(retries.again(0, "m", Outcome::rejected, RetrySafety::idempotent, 100'000, 0), Time{1'000});
   EXPECT_EQ(retries.again(1'000, "m", Outcome::failed, RetrySafety::idempotent, 100'000, 0), Time{3'000});
   EXPECT_EQ(retries.made("m"), 2);
@@ -91,14 +91,14 @@
 }
 
 TEST(MessageRetries, UsesRetryAfterAndDoesNotRetryPastTheDeadline) {
-  Tries retries(10, 100);
+  MessageRetries retries(10, 100);
   EXPECT_EQ(retries.again(50, "m", Outcome::rejected, RetrySafety::idempotent, 100'000, 7'000), Time{7'050});
   EXPECT_EQ(retries.again(7'050, "m", Outcome::rejected, RetrySafety::idempotent, 14'000, 7'000),
             std::nullopt);
 }
 
 TEST(MessageRetries, NeverRetriesKeyedRequestsNorThoseThatMayHaveRun) {
-  Tries retries(10, 100);
+  MessageRetries retries(10, 100);
   EXPECT_EQ(retries.again(0, "a", Outcome::failed, RetrySafety::at_most_once, 100'000, 0), std::nullopt);
   EXPECT_NE(retries.again(0, "b", Outcome::rejected, RetrySafety::at_most_once, 100'000, 0), std::nullopt);
   EXPECT_EQ(retries.again(0, "c", Outcome::rejected, RetrySafety::keyed, 100'000, 0), std::nullopt);
@@ -106,7 +106,7 @@
 }
 
 TEST(MessageRetries, ForgetsTheOldestMessagesAtTheLimit) {
-  Tries retries(5, 2);
+  MessageRetries retries(5, 2);
   for (const char* message_key : {"a", "b", "c"})
     retries.again(0, message_key, Outcome::rejected, RetrySafety::idempotent, 100'000, 0);
   EXPECT_EQ(retries.made("a"), 0);
@@ -136,16 +136,16 @@
       while (!in_flight.empty() && in_flight.front().first <= now) {
         const auto [source, succeeded] = in_flight.front().second;
         in_flight.pop_front();
-        throttle.ended(now, source, succeeded ? Yielding::End::succeeded : Yielding::End::failed);
+        throttle.ended(now, source, succeeded ? SourceThrottle::End::succeeded : SourceThrottle::End::failed);
         (succeeded ? totals[source].succeeded : totals[source].failed) += 1;
       }
       for (std::size_t offset = 0; offset < request_rates.size(); ++offset) {
         const std::size_t source = (offset + static_cast<std::size_t>(now / 10)) % request_rates.size();
         waiting[source] += request_rates[source] / 1000;
         totals[source].submitted += request_rates[source] / 1000;
-        while (waiting[source] >= 1 && (source == 0 || throttle.may_take(now, source))) {
+        while (waiting[source] >= 1 && (source == 0 || throttle.may_admit(now, source))) {
           waiting[source] -= 1;
-          throttle.took(now, source);
+          throttle.on_admitted(now, source);
           const bool succeeded = spare_capacity >= 1;
           spare_capacity -= succeeded ? 1 : 0;
           in_flight.push_back({now + 200, {source, succeeded}});
@@ -153,7 +153,7 @@
       }
     }
   }
-  Yielding throttle;
+  SourceThrottle throttle;
   Time now = 0;
   double spare_capacity = 0;
   std::deque<std::pair<Time, std::pair<std::size_t, bool>>> in_flight;
@@ -189,11 +189,11 @@
 TEST_F(SourceThrottleTest, NeitherASourceBelowItsShareNorTheOnlySourceIsThrottled) {
   run(40'000, {6'000, 300, 0}, 2'000);
   EXPECT_EQ(throttle.allowance(1), std::numeric_limits<std::size_t>::max());
-  Yielding single_source;
+  SourceThrottle single_source;
   single_source.add(1, true);
   for (Time at = 0; at < 50'000; at += 10) {
-    single_source.took(at, 0);
-    single_source.ended(at, 0, at % 20 == 0 ? Yielding::End::succeeded : Yielding::End::failed);
+    single_source.on_admitted(at, 0);
+    single_source.ended(at, 0, at % 20 == 0 ? SourceThrottle::End::succeeded : SourceThrottle::End::failed);
   }
   EXPECT_EQ(single_source.allowance(0), std::numeric_limits<std::size_t>::max());
 }
@@ -202,7 +202,7 @@
   run(10'000, {300, 300, 6'000}, 2'000);
   ASSERT_LT(throttle.allowance(2), 1'000U);
   const std::size_t before = throttle.allowance(2);
-  EXPECT_TRUE(throttle.may_take(900'000, 1));
+  EXPECT_TRUE(throttle.may_admit(900'000, 1));
   // At most one cut, for the last interval before the silence.
   EXPECT_GE(throttle.allowance(2), before * 3 / 4);
 }
--- a/tests/benchmark/routing_benchmark.cpp
+++ b/tests/benchmark/routing_benchmark.cpp
@@ -29,7 +29,7 @@
     if (token == 0) housekeeping = to_ticks(at);  // events end long before their limit
   }
   void probe(const EndpointId&) override {}
-  void close_idle(const EndpointId&) override {}
+  void close_idle_connections(const EndpointId&) override {}
   void prewarm(const EndpointId&, const FunctionId&, int) override {}
   void evict(const EndpointId&, const FunctionId&) override {}
   void send_gossip(int, const std::string&) override {}
--- a/tests/core/gateway_test.cpp
+++ b/tests/core/gateway_test.cpp
@@ -56,14 +56,14 @@
     prewarms.emplace_back(endpoint, function);
   }
   void evict(const EndpointId&, const FunctionId&) override {}
-  void close_idle(const EndpointId&) override {}
+  void close_idle_connections(const EndpointId&) override {}
   void set_address(const EndpointId& endpoint, const std::string& address) override {
     addresses[endpoint] = address;
   }
   void send(int, const std::string& bytes) override { messages.push_back(bytes); }
   void watch(bool) override {}
   void resync() override {}
-  bool wants(Level) const override { return true; }
+  bool should_log(Level) const override { return true; }
   void write(Level level, const char*, Fields) override { errors += level == Level::error ? 1 : 0; }
   void succeeded(RequestId, events::CloudEvent) override { answers.emplace_back("honoured"); }
   void rejected(RequestId, Duration) override { answers.emplace_back("shed"); }
@@ -131,7 +131,7 @@
   RecordingPorts ports;
   DeduplicationLog* deduplication = nullptr;
   std::unique_ptr<Gateway> gateway;
-  admission::Shares::Source source = 0;
+  admission::SourceQuotas::Source source = 0;
 };
 
 TEST_F(GatewayTest, DeliversOneAnswerIfAnAttemptSucceedsAtTheDeadline) {
@@ -216,7 +216,7 @@
 }
 
 TEST_F(GatewayTest, CancellationDuringAPrewarmOrderLeavesNoOpenRequest) {
-  configuration.copies.missing_is_answered = true;
+  configuration.copies.missing_copy_is_reported = true;
   start();
   const RequestId id = send_request();
   for (std::size_t i = 0; i < ports.attempts.size() && ports.prewarms.empty(); ++i)
@@ -379,7 +379,7 @@
 
 TEST_F(GatewayTest, DoesNotSendAPrewarmOrderThatTheDeduplicationLogRefuses) {
   ScriptedDeduplicationLog deduplication_log;
-  configuration.copies.missing_is_answered = configuration.copies.prewarm = true;
+  configuration.copies.missing_copy_is_reported = configuration.copies.prewarm = true;
   deduplication = &deduplication_log;
   start();
   send_request();
--- a/tests/core/idle_close_test.cpp
+++ b/tests/core/idle_close_test.cpp
@@ -44,7 +44,7 @@
 
 struct SocketNetwork {
   transport::Loop reactor;
-  Pump driver{reactor};
+  EventLoopDriver driver{reactor};
 };
 struct EmulatedNetwork {
   struct EmulatedDriver {
@@ -70,7 +70,7 @@
     if (uses_line_protocol()) {
       auto pool = std::make_unique<upstream::LinePool>(
           reactor,
-          upstream::LineBounds{
+          upstream::LinePoolLimits{
               .connections = 8, .connect_limit = connect_limit, .idle = idle, .reports = true},
           event_log);
       set_observer = [&pool = *pool](UpstreamObserver& to) { pool.report_to(to); };
@@ -78,7 +78,7 @@
     } else {
       auto pool = std::make_unique<transport::ServerPool>(
           reactor,
-          transport::PoolBounds{
+          transport::ServerPoolLimits{
               .connections = 8, .connect_limit = connect_limit, .idle = idle, .reply = 64 * 1024},
           event_log);
       set_observer = [&pool = *pool](UpstreamObserver& to) { pool.report_to(to); };
@@ -185,14 +185,14 @@
     d.connect_timeout = to_duration(connect_limit);
     return d;
   }();
-  Silent event_log;
+  NullEventLog event_log;
   NullPeersAndDiscovery peers_and_discovery;
   RecordingClient client;
   RawServer one{reactor}, other{reactor};
   std::unique_ptr<UpstreamTransport> upstream_pool;
   std::function<void(UpstreamObserver&)> set_observer;
   std::unique_ptr<Gateway> gateway;
-  admission::Shares::Source source = 0;
+  admission::SourceQuotas::Source source = 0;
   int answers_sent = 0, requests_read = 0;  // by the servers; probes count only as answers
   std::uint64_t attempts_after_loss = 0;  // attempts sent by the time the loss of the first one was reported
 };
--- a/tests/core/parts_fixture.h
+++ b/tests/core/parts_fixture.h
@@ -69,7 +69,7 @@
     prewarm_timeout = timeout;
   }
   void evict(const EndpointId& endpoint, const FunctionId&) override { evictions.push_back(endpoint); }
-  void close_idle(const EndpointId&) override {}
+  void close_idle_connections(const EndpointId&) override {}
   void set_address(const EndpointId&, const std::string&) override {}
 
   std::vector<SentAttempt> sent;
@@ -81,7 +81,7 @@
 };
 
 struct CountingLog final : EventLog {
-  bool wants(Level) const override { return true; }
+  bool should_log(Level) const override { return true; }
   void write(Level level, const char*, Fields) override {
     if (level == Level::error) ++errors;
   }
--- a/tests/crowd.h
+++ b/tests/crowd.h
@@ -56,14 +56,15 @@
   std::string seen_;
 };
 
-enum class Habit { silent, idle, half_request, slow_reader };
+enum class ClientBehavior { silent, idle, half_request, slow_reader };
 
 // Whoever of them is closed comes back.
-class Crowd {
+class ReconnectingClients {
  public:
-  using Greeting = std::function<std::string(Habit)>;  // what one of this habit says
+  using Greeting = std::function<std::string(ClientBehavior)>;  // what one of this habit says
 
-  Crowd(const transport::Address& to, std::size_t size, std::vector<Habit> habits, Greeting greeting)
+  ReconnectingClients(const transport::Address& to, std::size_t size, std::vector<ClientBehavior> habits,
+                      Greeting greeting)
       : to_(to), habits_(std::move(habits)), greeting_(std::move(greeting)), callers_(size) {}
   // A part of them at a time, so that whoever else comes is not behind them all.
   void step() {
@@ -71,13 +72,13 @@
     for (std::size_t i = 0; i < at_once; ++i, ++at_) {
       auto& caller = callers_[at_ % callers_.size()];
       if (caller && !caller->closed()) continue;
-      const Habit habit = habits_[at_ % habits_.size()];
+      const ClientBehavior habit = habits_[at_ % habits_.size()];
       // Each costs the server large answers: what is tried here is not how many of these it can give.
-      if (habit == Habit::slow_reader) {
+      if (habit == ClientBehavior::slow_reader) {
         if (steps_ - last_slow_ < slow_after) continue;
         last_slow_ = steps_;
       }
-      caller = std::make_unique<Caller>(to_, habit == Habit::slow_reader ? small_window : 0);
+      caller = std::make_unique<Caller>(to_, habit == ClientBehavior::slow_reader ? small_window : 0);
       caller->send(greeting_(habit));
     }
   }
@@ -87,7 +88,7 @@
   static constexpr std::size_t slow_after = 20;  // steps between two slow readers
   static constexpr int small_window = 2 * 1024;  // bytes that a slow reader takes, all in all
   transport::Address to_;
-  std::vector<Habit> habits_;
+  std::vector<ClientBehavior> habits_;
   Greeting greeting_;
   std::vector<std::unique_ptr<Caller>> callers_;
   std::size_t at_ = 0, steps_ = slow_after, last_slow_ = 0;
--- a/tests/fake_host.h
+++ b/tests/fake_host.h
@@ -36,7 +36,7 @@
   void fail(RequestId request) override { abandoned.push_back(request); }
   void set_timer(std::int64_t token, Timestamp at) override { wakes.push_back({token, to_ticks(at)}); }
   void probe(const EndpointId& endpoint) override { probes.push_back(endpoint); }
-  void close_idle(const EndpointId&) override {}
+  void close_idle_connections(const EndpointId&) override {}
   void prewarm(const EndpointId& endpoint, const FunctionId& function, int copies) override {
     if (copies > 0) orders.emplace_back(endpoint, function);
   }
@@ -58,8 +58,8 @@
 };
 
 // A routing policy with a fake host and a clock that the test advances.
-struct Story {
-  Story() {
+struct RoutingPolicyHarness {
+  RoutingPolicyHarness() {
     deployment.routers = 2;
     deployment.tick = to_duration(40);
     deployment.request_classes.push_back({.name = "lookup",
--- a/tests/fastcgi/records_test.cpp
+++ b/tests/fastcgi/records_test.cpp
@@ -11,7 +11,7 @@
   void request(Number number, Request request) override { requests.emplace_back(number, std::move(request)); }
   void refused(Number number, Refusal reason, bool) override { refusals.emplace_back(number, reason); }
   void aborted(Number number, bool complete) override { aborts.emplace_back(number, complete); }
-  void values_asked(const std::vector<std::string>& requested) override { variable_names = requested; }
+  void values_requested(const std::vector<std::string>& requested) override { variable_names = requested; }
   void type_unknown(std::uint8_t type) override { unhandled_type = type; }
   void broken(const char* reason) override { fault = reason; }
   std::vector<std::pair<Number, Request>> requests;
--- a/tests/frontends/front_story.h
+++ b/tests/frontends/front_story.h
@@ -96,8 +96,8 @@
   const core::Counters& tally() { return router.gateway().tally(); }
 
   transport::Loop reactor;
-  Pump pump{reactor};
-  Silent silent;
+  EventLoopDriver pump{reactor};
+  NullEventLog silent;
   RawServer server{reactor};
   router::RouterProcess router{reactor, deployment::read_text("f", deployment_text), 5, silent};
   std::vector<std::unique_ptr<RawPeer>> clients;
--- a/tests/frontends/http_front_test.cpp
+++ b/tests/frontends/http_front_test.cpp
@@ -88,7 +88,7 @@
 }
 
 TEST_F(FrontStory, OneByteAtATimeAndChunkedTheRequestIsTheSame) {
-  reactor.most_at_once = 1;
+  reactor.max_io_bytes = 1;
   const std::string seen =
       say(request("slow", "transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n1\r\nd\r\n0\r\n\r\n"));
   EXPECT_TRUE(says(seen, "HTTP/1.1 200")) << seen;
@@ -177,7 +177,7 @@
     router.gateway().endpoints_updated(EndpointListForm::complete,
                                        {{{.id = "s"}, server.address()}, {{.id = "t"}, server.address()}});
   }
-  static void leave(Visitor& visitor) {
+  static void leave(TestClient& visitor) {
     if (GetParam() == Way::closes) visitor.leave();
     if (GetParam() == Way::half_closes) visitor.half_close();
     if (GetParam() == Way::resets) visitor.reset();
@@ -213,7 +213,7 @@
 constexpr std::chrono::milliseconds too_late{250};  // an attempt may begin 0.1 s after the leaving at most
 
 TEST_P(FrontLeavingStory, ARequestThatStandsBesideItsClientsLeavingIsNotSent) {
-  Visitor visitor(router.address());
+  TestClient visitor(router.address());
   pump.pass(200);
   visitor.send(request("gone"));
   leave(visitor);
@@ -224,7 +224,7 @@
 }
 
 TEST_P(FrontLeavingStory, ARequestBehindDoesNotHideTheLeavingFromARefusal) {
-  Visitor visitor(router.address());
+  TestClient visitor(router.address());
   ASSERT_TRUE(connected());
   visitor.send(request("first"));
   ASSERT_TRUE(pump.until([&] { return shot.size() == 1; }));
@@ -242,10 +242,10 @@
 TEST_P(FrontLeavingStory, ARefusalInTheTurnOfTheLeavingIsNotFollowedByAnAttemptAfterAStall) {
   ASSERT_TRUE(connected());
   RawServer aside(reactor);
-  Visitor poke(aside.listener.address());
+  TestClient poke(aside.listener.address());
   ASSERT_TRUE(pump.until([&] { return aside.peers.size() == 1; }));
   for (const bool stall : {true, false}) {
-    Visitor visitor(router.address());
+    TestClient visitor(router.address());
     const std::size_t before = shot.size();
     visitor.send(request("first"));
     ASSERT_TRUE(pump.until([&] { return shot.size() == before + 1; }, 50'000));
@@ -265,7 +265,7 @@
 
 // More than is read ahead.
 TEST_P(FrontLeavingStory, HoweverMuchStandsBehindARequestItDoesNotHideTheLeaving) {
-  Visitor visitor(router.address());
+  TestClient visitor(router.address());
   visitor.send(request("first"));
   ASSERT_TRUE(pump.until([&] { return shot.size() == 1; }));
   visitor.send(pipelined(300'000));
@@ -300,8 +300,8 @@
 // nobody has accepted, on one that is idle, and on one whose first request is about to come.
 class StandingStory : public FrontStory {
  protected:
-  struct Visitor {
-    explicit Visitor(const transport::Address& to) : socket(to) {}
+  struct TestClient {
+    explicit TestClient(const transport::Address& to) : socket(to) {}
     void send(const std::string& bytes) { socket.sendBytes(bytes.data(), static_cast<int>(bytes.size())); }
     const std::string& read() {
       char bytes[4096];
@@ -316,7 +316,7 @@
     std::string seen;
     bool ended = false;
   };
-  void expect_answered(Visitor& visitor, std::size_t answers = 1) {
+  void expect_answered(TestClient& visitor, std::size_t answers = 1) {
     ASSERT_TRUE(pump.until([&] { return count(visitor.read()) == answers || visitor.ended; }));
     ASSERT_EQ(count(visitor.seen), answers) << visitor.seen;
     EXPECT_TRUE(says(visitor.seen, "Connection: close")) << visitor.seen;
@@ -329,9 +329,9 @@
 };
 
 TEST_F(StandingStory, ARequestOnAConnectionInTheQueueIsAnswered) {
-  std::vector<std::unique_ptr<Visitor>> visitors;
+  std::vector<std::unique_ptr<TestClient>> visitors;
   for (int i = 0; i < 10; ++i) {
-    visitors.push_back(std::make_unique<Visitor>(router.address()));
+    visitors.push_back(std::make_unique<TestClient>(router.address()));
     visitors.back()->send(request("q" + std::to_string(i)));
   }
   told_to_end();
@@ -343,7 +343,7 @@
 }
 
 TEST_F(StandingStory, ARequestThatStandsUnreadOnAnIdleConnectionIsAnswered) {
-  Visitor visitor(router.address());
+  TestClient visitor(router.address());
   visitor.send(request("one"));
   ASSERT_TRUE(pump.until([&] { return count(visitor.read()) == 1; }));
   visitor.send(request("two"));
@@ -352,7 +352,7 @@
 }
 
 TEST_F(StandingStory, AConnectionThatHasJustComeHasAMomentForItsRequest) {
-  Visitor visitor(router.address());
+  TestClient visitor(router.address());
   told_to_end();
   pump.pass(200);
   visitor.send(request("first"));
@@ -360,7 +360,7 @@
 }
 
 TEST_F(StandingStory, AConnectionWithoutARequestHoldsNobodyUp) {
-  Visitor visitor(router.address());
+  TestClient visitor(router.address());
   told_to_end();
   EXPECT_TRUE(pump.until([&] { return visitor.read(), visitor.ended; }, 10'000));
   visitor.socket.close();
--- a/tests/frontends/mqtt_front_test.cpp
+++ b/tests/frontends/mqtt_front_test.cpp
@@ -103,8 +103,8 @@
   const frontends::MqttTally& tally() { return router->mqtt()->tally(); }
 
   transport::Loop reactor;
-  Pump pump{reactor};
-  Silent silent;
+  EventLoopDriver pump{reactor};
+  NullEventLog silent;
   simulation::Record record{""};
   simulation::Broker broker{reactor, transport::numeric_address("127.0.0.1:0"), record};
   RawServer server{reactor};
--- a/tests/fuzz/deployment_fuzz.cpp
+++ b/tests/fuzz/deployment_fuzz.cpp
@@ -19,7 +19,7 @@
     if (bad.faults().empty()) std::abort();
   }
   try {
-    membership::read_word(text, 12'345);
+    membership::read_endpoint_list_message(text, 12'345);
   } catch (const std::invalid_argument&) {}
   return 0;
 }
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -24,7 +24,7 @@
   }
   void refused(fastcgi::Number, fastcgi::Refusal, bool) override {}
   void aborted(fastcgi::Number, bool) override {}
-  void values_asked(const std::vector<std::string>&) override {}
+  void values_requested(const std::vector<std::string>&) override {}
   void type_unknown(std::uint8_t) override {}
   void broken(const char*) override { must(!std::exchange(over, true)); }
   int open = 0;
--- a/tests/line_protocol/answers_test.cpp
+++ b/tests/line_protocol/answers_test.cpp
@@ -63,7 +63,7 @@
   Reader reader({});
   Answer answer;
   EXPECT_EQ(read("ab HIT - 2\r\nlonger\r\n", answer, reader), Progress::bad);
-  EXPECT_EQ(reader.suspect(), "ab");
+  EXPECT_EQ(reader.malformed_answer_id(), "ab");
   EXPECT_EQ(read(complete_answer, answer, reader), Progress::bad)
       << "An answer was read after a malformed one.";
 }
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -21,9 +21,9 @@
 
 // Moves a reactor's loop, which can be run only once, a part at a time: it stands still, parked in an alarm,
 // while the story looks and acts. Declared right after the reactor.
-class Pump {
+class EventLoopDriver {
  public:
-  explicit Pump(transport::Loop& reactor) : reactor_(reactor) {
+  explicit EventLoopDriver(transport::Loop& reactor) : reactor_(reactor) {
     reactor_.at(1, [this] { park(); });
     loop_ = std::thread([this] {
       std::unique_lock lock(mutex_);
@@ -32,13 +32,13 @@
       reactor_.run();
     });
   }
-  ~Pump() {
+  ~EventLoopDriver() {
     ending_ = true;
     give_turn();
     loop_.join();
   }
-  Pump(const Pump&) = delete;
-  Pump& operator=(const Pump&) = delete;
+  EventLoopDriver(const EventLoopDriver&) = delete;
+  EventLoopDriver& operator=(const EventLoopDriver&) = delete;
 
   // False where it does not hold within a time that is far longer than it should take.
   bool until(const std::function<bool()>& holds, Time most = 300'000) {
@@ -69,7 +69,7 @@
     }
     lock.unlock();
     if (!ending_) return;
-    reactor_.forget_all();
+    reactor_.drop_pending_calls();
     reactor_.halt();
   }
   void give_turn() {
@@ -90,9 +90,9 @@
   std::thread loop_;
 };
 
-class Silent final : public core::EventLog {
+class NullEventLog final : public core::EventLog {
  public:
-  bool wants(core::Level) const override { return false; }
+  bool should_log(core::Level) const override { return false; }
   void write(core::Level, const char*, Fields) override {}
 };
 
@@ -138,14 +138,14 @@
 };
 
 // A client that is no part of the loop: what it sends stands in the kernel at once.
-class Visitor {
+class TestClient {
  public:
-  explicit Visitor(const transport::Address& to) : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
+  explicit TestClient(const transport::Address& to) : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
     connected = connect(socket_, to.addr(), to.length()) == 0;
   }
-  ~Visitor() { leave(); }
-  Visitor(const Visitor&) = delete;
-  Visitor& operator=(const Visitor&) = delete;
+  ~TestClient() { leave(); }
+  TestClient(const TestClient&) = delete;
+  TestClient& operator=(const TestClient&) = delete;
   void send(const std::string& bytes) const { ::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL); }
   void leave() {
     if (socket_ >= 0) close(socket_);
--- a/tests/membership/board_test.cpp
+++ b/tests/membership/board_test.cpp
@@ -25,18 +25,19 @@
   }
 
   transport::Loop reactor;
-  Pump driver{reactor};
-  Silent event_log;
+  EventLoopDriver driver{reactor};
+  NullEventLog event_log;
   RawServer server{reactor};
   std::vector<std::string> received_ids;
-  BoardClient client{reactor,
-                     transport::numeric_address(server.address()),
-                     4,
-                     1,
-                     event_log,
-                     [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
-                       for (const auto& entry : entries) received_ids.push_back(entry.endpoint.id);
-                     }};
+  PlatformDiscoveryClient client{
+      reactor,
+      transport::numeric_address(server.address()),
+      4,
+      1,
+      event_log,
+      [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
+        for (const auto& entry : entries) received_ids.push_back(entry.endpoint.id);
+      }};
 };
 
 TEST_F(PlatformDiscoveryTest, ReceivesAnEventCutAtAnyByteOnceAfterReconnecting) {
@@ -94,17 +95,18 @@
 // earlier, even if the next watch is silent too. The time is emulated and counted from the last heartbeat.
 TEST(SilentDiscoveryTest, ReplacesTwoSilentWatchesWithinFourSeconds) {
   emulator::Network network{2};
-  Silent event_log;
+  NullEventLog event_log;
   RawServer server{network};
   std::vector<std::string> received_ids;
-  BoardClient client{network,
-                     transport::numeric_address(server.address()),
-                     4,
-                     1,
-                     event_log,
-                     [&](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
-                       for (const auto& entry : entries) received_ids.push_back(entry.endpoint.id);
-                     }};
+  PlatformDiscoveryClient client{network,
+                                 transport::numeric_address(server.address()),
+                                 4,
+                                 1,
+                                 event_log,
+                                 [&](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
+                                   for (const auto& entry : entries)
+                                     received_ids.push_back(entry.endpoint.id);
+                                 }};
   client.watch(true);
   network.run_until(network.now() + 1'000);
   ASSERT_EQ(server.peers.size(), 1U);
@@ -125,17 +127,18 @@
 // silence.
 TEST(SilentDiscoveryTest, CountsALongUnfinishedLineAsActivityButNotSingleBytes) {
   emulator::Network network{2};
-  Silent event_log;
+  NullEventLog event_log;
   RawServer server{network};
   std::vector<std::string> received_ids;
-  BoardClient client{network,
-                     transport::numeric_address(server.address()),
-                     4,
-                     1,
-                     event_log,
-                     [&](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
-                       for (const auto& entry : entries) received_ids.push_back(entry.endpoint.id);
-                     }};
+  PlatformDiscoveryClient client{network,
+                                 transport::numeric_address(server.address()),
+                                 4,
+                                 1,
+                                 event_log,
+                                 [&](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
+                                   for (const auto& entry : entries)
+                                     received_ids.push_back(entry.endpoint.id);
+                                 }};
   client.watch(true);
   network.run_until(network.now() + 1'000);
   ASSERT_EQ(server.peers.size(), 1U);
@@ -180,7 +183,7 @@
 TEST(WatchEventTest, SubtractsTheOffsetFromTheStartTime) {
   const auto json = settings::Json::parse(
       R"({"rev":1,"pool":{"whole":true,"hosts":[{"host":"s","dial":"1.2.3.4:5","health":"left","born_ms":2000}]}})");
-  const Notice event = read_event(json, 15'000);
+  const WatchEvent event = read_event(json, 15'000);
   EXPECT_TRUE(event.whole);
   ASSERT_EQ(event.entries.size(), 1U);
   EXPECT_EQ(event.entries[0].endpoint.started, to_timestamp(5'000));
--- a/tests/membership/roster_test.cpp
+++ b/tests/membership/roster_test.cpp
@@ -17,12 +17,12 @@
 namespace rushhill::membership {
 namespace {
 
-RosterWord read_changes(const std::string& servers) {
-  return read_word(R"({"form":"changes","revision":3,"servers":[)" + servers + "]}", 1'000);
+EndpointListMessage read_changes(const std::string& servers) {
+  return read_endpoint_list_message(R"({"form":"changes","revision":3,"servers":[)" + servers + "]}", 1'000);
 }
 std::string read_error(const std::string& line) {
   try {
-    read_word(line, 0);
+    read_endpoint_list_message(line, 0);
     return "taken";
   } catch (const std::invalid_argument& error) {
     return error.what();
@@ -30,7 +30,8 @@
 }
 
 TEST(EndpointListMessageTest, AServerListedTwiceGetsTheStricterState) {
-  const RosterWord message = read_changes(R"({"id":"a","address":"127.0.0.1:1","condition":"draining"},
+  const EndpointListMessage message =
+      read_changes(R"({"id":"a","address":"127.0.0.1:1","condition":"draining"},
                                   {"id":"a","address":"127.0.0.1:1","condition":"active"})");
   ASSERT_EQ(message.entries.size(), 1U);
   EXPECT_EQ(message.entries[0].endpoint.state, EndpointState::draining);
@@ -38,7 +39,7 @@
 }
 
 TEST(EndpointListMessageTest, OnlyTheNewerIncarnationOfAServerCounts) {
-  const RosterWord message =
+  const EndpointListMessage message =
       read_changes(R"({"id":"a","address":"127.0.0.1:2","started_ms":900,"condition":"active"},
                                   {"id":"a","address":"127.0.0.1:1","started_ms":500,"condition":"gone"})");
   ASSERT_EQ(message.entries.size(), 1U);
@@ -48,7 +49,7 @@
 }
 
 TEST(EndpointListMessageTest, AnAddressClaimedTwiceBelongsToTheLaterStart) {
-  const RosterWord message = read_changes(R"({"id":"a","address":"127.0.0.1:1","started_ms":500},
+  const EndpointListMessage message = read_changes(R"({"id":"a","address":"127.0.0.1:1","started_ms":500},
                                   {"id":"b","address":"127.0.0.1:1","started_ms":900})");
   ASSERT_EQ(message.entries.size(), 2U);
   EXPECT_EQ(message.entries[0].endpoint.state, EndpointState::removed);
@@ -72,15 +73,16 @@
 }
 
 TEST(EndpointListMessageTest, AWrittenListIsReadBackUnchanged) {
-  Remembered current_list;
+  CurrentEndpointList current_list;
   current_list.hear(
       read_changes(R"({"id":"a","address":"127.0.0.1:1","started_ms":500,"rating":2.5,"kind":"k",
                            "location":"l","cell":4},{"id":"b","address":"127.0.0.1:2"})"));
   current_list.hear(read_changes(R"({"id":"b","condition":"gone"})"));
-  RosterWord list = current_list.whole();
+  EndpointListMessage list = current_list.whole();
   ASSERT_EQ(list.entries.size(), 1U);
   list.form = EndpointListForm::complete;
-  const RosterWord restored = read_word(write_word(list, 1'000), 1'000);
+  const EndpointListMessage restored =
+      read_endpoint_list_message(write_endpoint_list_message(list, 1'000), 1'000);
   EXPECT_EQ(restored.entries[0].endpoint.started, list.entries[0].endpoint.started);
   EXPECT_EQ(restored.entries[0].endpoint.rating, 2.5);
   EXPECT_EQ(restored.entries[0].endpoint.cell, 4);
@@ -104,22 +106,22 @@
   }
 
   transport::Loop reactor;
-  Pump driver{reactor};
-  Silent event_log;
+  EventLoopDriver driver{reactor};
+  NullEventLog event_log;
   RawServer server{reactor};
   std::string response = R"({"form":"complete","servers":[{"id":"a","address":"127.0.0.1:1"}]})"
                          "\n";
   int request_count = 0;
   std::vector<EndpointListForm> received_forms;
-  RosterClient client{reactor,
-                      transport::numeric_address(server.address()),
-                      4,
-                      50,
-                      1,
-                      event_log,
-                      [this](EndpointListForm form, const std::vector<core::EndpointListEntry>&) {
-                        received_forms.push_back(form);
-                      }};
+  EndpointListClient client{reactor,
+                            transport::numeric_address(server.address()),
+                            4,
+                            50,
+                            1,
+                            event_log,
+                            [this](EndpointListForm form, const std::vector<core::EndpointListEntry>&) {
+                              received_forms.push_back(form);
+                            }};
 };
 
 TEST_F(EndpointListClientTest, ReportsABrokenConnectionAndRequestsTheCompleteListAgain) {
@@ -143,17 +145,17 @@
 TEST_F(EndpointListClientTest, ResyncRequestsTheListOnceWithoutAWatch) {
   ASSERT_TRUE(driver.until([&] { return received_forms.size() == 1; }));
   std::vector<EndpointListForm> other_forms;
-  RosterClient other(reactor, transport::numeric_address(server.address()), 5, 50, 1, event_log,
-                     [&](EndpointListForm form, const std::vector<core::EndpointListEntry>&) {
-                       other_forms.push_back(form);
-                     });
+  EndpointListClient other(reactor, transport::numeric_address(server.address()), 5, 50, 1, event_log,
+                           [&](EndpointListForm form, const std::vector<core::EndpointListEntry>&) {
+                             other_forms.push_back(form);
+                           });
   other.resync();
   ASSERT_TRUE(driver.until([&] { return other_forms.size() == 1; }));
   EXPECT_EQ(server.peers.back()->seen, "{\"ask\":\"reload\",\"router\":5}\n");
 }
 
 TEST_F(EndpointListClientTest, ReceivesAMessageSplitIntoSmallReadsOnce) {
-  reactor.most_at_once = 3;
+  reactor.max_io_bytes = 3;
   ASSERT_TRUE(driver.until([&] { return received_forms.size() == 1; }));
   driver.pass(200);
   EXPECT_EQ(received_forms.size(), 1U);
@@ -162,11 +164,11 @@
 // Discovery refuses connections for a minute. The client must request the list within 2 s of its return.
 TEST(EndpointListRecoveryTest, ReconnectsWithinTwoSecondsAfterAMinuteOffline) {
   emulator::Network network{3};
-  Silent event_log;
+  NullEventLog event_log;
   auto source = std::make_unique<RawServer>(network);
   const std::string address = source->address();
-  RosterClient client(network, transport::numeric_address(address), 0, 5'000, 1, event_log,
-                      [](EndpointListForm, const std::vector<core::EndpointListEntry>&) {});
+  EndpointListClient client(network, transport::numeric_address(address), 0, 5'000, 1, event_log,
+                            [](EndpointListForm, const std::vector<core::EndpointListEntry>&) {});
   client.watch(true);
   network.run_until(network.now() + 1'000);
   ASSERT_EQ(source->peers.size(), 1U);
@@ -190,9 +192,9 @@
   bool received_list() const {
     return !received_forms.empty() && received_forms.back() == EndpointListForm::complete;
   }
-  Silent event_log;
+  NullEventLog event_log;
   std::vector<EndpointListForm> received_forms;
-  RosterClient client;
+  EndpointListClient client;
 };
 const std::string empty_list = "{\"form\":\"complete\",\"servers\":[]}\n";
 
@@ -216,7 +218,7 @@
 // and discovery may return just after one of these. The client must therefore start a new connection itself.
 TEST(UnreachableDiscoveryTest, RetriesAConnectionThatIsNeverEstablished) {
   transport::Loop reactor;
-  Pump driver{reactor};
+  EventLoopDriver driver{reactor};
   Poco::Net::ServerSocket full_listener;  // Its queue of one is full, so further handshakes get no response.
   full_listener.bind(transport::numeric_address("127.0.0.1:0"));
   full_listener.listen(0);
--- a/tests/membership/silence_test.cpp
+++ b/tests/membership/silence_test.cpp
@@ -50,19 +50,20 @@
   }
 
   emulator::Network network{2};
-  Silent event_log;
+  NullEventLog event_log;
   RawServer discovery{network};
   std::vector<std::string> received_ids;
   int last_revision = first_revision;
   Time silent_since = 0;
-  BoardClient client{network,
-                     transport::numeric_address(discovery.address()),
-                     first_revision,
-                     1,
-                     event_log,
-                     [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
-                       for (const auto& entry : entries) received_ids.push_back(entry.endpoint.id);
-                     }};
+  PlatformDiscoveryClient client{
+      network,
+      transport::numeric_address(discovery.address()),
+      first_revision,
+      1,
+      event_log,
+      [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
+        for (const auto& entry : entries) received_ids.push_back(entry.endpoint.id);
+      }};
 };
 
 TEST_F(DiscoverySilenceTest, ReplacesAWatchThatFallsSilentAfterAMinute) {
--- a/tests/membership/start_times_test.cpp
+++ b/tests/membership/start_times_test.cpp
@@ -153,7 +153,7 @@
   }
 
   emulator::Network network{2};
-  Silent event_log;
+  NullEventLog event_log;
   RawServer server{network};
   std::map<std::string, Time> started;
 };
@@ -162,11 +162,11 @@
  protected:
   Known initial_list(const std::string& hosts) const {
     const auto json = settings::Json::parse(R"({"rev":1,"notices":[)" + event_json(1, true, hosts) + "]}");
-    return read_known(settings::Fields(json, "known"), as_told);
+    return read_initial_endpoint_list(settings::Fields(json, "known"), as_told);
   }
   void start_client(const std::string& hosts) {
     const Known list = client.translated(initial_list(hosts));
-    for (const Notice& event : list.notices) record_starts(event.entries);
+    for (const WatchEvent& event : list.notices) record_starts(event.entries);
     client.watch(true);
     advance_time(second);
     ASSERT_EQ(server.peers.size(), 1U);
@@ -176,14 +176,15 @@
     advance_time(100);
   }
 
-  BoardClient client{network,
-                     transport::numeric_address(server.address()),
-                     1,
-                     1,
-                     event_log,
-                     [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
-                       record_starts(entries);
-                     }};
+  PlatformDiscoveryClient client{
+      network,
+      transport::numeric_address(server.address()),
+      1,
+      1,
+      event_log,
+      [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
+        record_starts(entries);
+      }};
 };
 
 TEST_P(SteppedPlatformDiscoveryTest, StepBeforeStartup) {
@@ -223,7 +224,7 @@
   const auto json = settings::Json::parse(
       R"({"rev":2,"notices":[)" +
       event_json(2, true, host_json("first", reported) + "," + host_json("second", wall())) + "]}");
-  client.catch_up(read_known(settings::Fields(json, "known"), as_told));
+  client.apply_newer_events(read_initial_endpoint_list(settings::Fields(json, "known"), as_told));
   EXPECT_EQ(started["first"], first) << "the same incarnation must keep its start";
   EXPECT_EQ(started["second"], sent_at);
 }
@@ -234,24 +235,25 @@
  protected:
   std::string list_line(const std::string& form,
                         const std::vector<std::pair<std::string, Time>>& servers) const {
-    RosterWord message{.form = form == "changes" ? EndpointListForm::delta : EndpointListForm::complete,
-                       .revision = 1,
-                       .entries = {},
-                       .remarks = {}};
+    EndpointListMessage message{
+        .form = form == "changes" ? EndpointListForm::delta : EndpointListForm::complete,
+        .revision = 1,
+        .entries = {},
+        .remarks = {}};
     for (const auto& [id, reported] : servers) {
       message.entries.push_back(entry_of(id, reported));
       message.entries.back().address = id == "first" ? "127.0.0.1:1" : "127.0.0.1:2";
     }
-    return write_word(message, 0) + "\n";
+    return write_endpoint_list_message(message, 0) + "\n";
   }
   void start_client() {
-    client = std::make_unique<RosterClient>(
+    client = std::make_unique<EndpointListClient>(
         network, transport::numeric_address(server.address()), 0, second, 1, event_log,
         [this](EndpointListForm, const std::vector<core::EndpointListEntry>& entries) {
           record_starts(entries);
         });
     if (!stored.empty()) {
-      RosterWord stored_list = read_word(stored, 0);
+      EndpointListMessage stored_list = read_endpoint_list_message(stored, 0);
       client->start_times().translate_snapshot(read_clocks(network), latest_start(stored_list.entries),
                                                EndpointListForm::cached, stored_list.entries);
       record_starts(stored_list.entries);
@@ -264,15 +266,15 @@
     advance_time(100);
   }
   void restart() {
-    RosterWord current_list = client->remembered().whole();
+    EndpointListMessage current_list = client->remembered().whole();
     current_list.form = EndpointListForm::complete;
-    stored = write_word(current_list, 0);
+    stored = write_endpoint_list_message(current_list, 0);
     client.reset();
     advance_time(second);
     start_client();
   }
 
-  std::unique_ptr<RosterClient> client;
+  std::unique_ptr<EndpointListClient> client;
   std::string stored;
 };
 
--- a/tests/node/cancel_test.cpp
+++ b/tests/node/cancel_test.cpp
@@ -43,7 +43,7 @@
     result.requests_per_connection = "1";
     return result;
   }
-  static void withdraw_request(Visitor& client) {
+  static void withdraw_request(TestClient& client) {
     switch (GetParam()) {
       case Withdrawal::cancels:
         return client.send(abort_request(1));
@@ -56,18 +56,18 @@
     }
   }
   // These clients have nothing to read, so that their close does not become a reset.
-  std::vector<std::unique_ptr<Visitor>> connect_clients(int first) {
-    std::vector<std::unique_ptr<Visitor>> all;
+  std::vector<std::unique_ptr<TestClient>> connect_clients(int first) {
+    std::vector<std::unique_ptr<TestClient>> all;
     for (int i = 0; i < withdrawing_clients; ++i) {
-      all.push_back(std::make_unique<Visitor>(address));
+      all.push_back(std::make_unique<TestClient>(address));
       all.back()->send(invoke_request(1, request_id(first + i)));
     }
     return all;
   }
-  std::vector<std::unique_ptr<Visitor>> send_burst() {
-    std::vector<std::unique_ptr<Visitor>> all;
+  std::vector<std::unique_ptr<TestClient>> send_burst() {
+    std::vector<std::unique_ptr<TestClient>> all;
     for (int i = 0; i < burst_connections; ++i) {
-      all.push_back(std::make_unique<Visitor>(address));
+      all.push_back(std::make_unique<TestClient>(address));
       for (int j = 0; j < burst_requests_per_connection; ++j)
         all.back()->send(invoke_request(static_cast<fastcgi::Number>(1 + j),
                                         request_id(first_burst_id + i * burst_requests_per_connection + j)));
@@ -93,7 +93,7 @@
 
 TEST_P(NodeCancelWhileStoppedTest, StartsNoAttemptForClientsThatWithdrewWhileTheProcessWasStopped) {
   const auto pending_clients = connect_clients(first_pending_id);
-  Visitor remaining_client(address);
+  TestClient remaining_client(address);
   remaining_client.send(invoke_request(1, request_id(remaining_id)));
   for (int i = 0; i < withdrawing_clients; ++i)
     ASSERT_TRUE(servers_receive(request_id(first_pending_id + i)));
