--- a/src/admission/deliveries.cpp
+++ b/src/admission/delivery_tracker.cpp
@@ -1,4 +1,4 @@
-#include "admission/deliveries.h"
+#include "admission/delivery_tracker.h"
 
 namespace rushhill::admission {
 
--- a/src/admission/tries.cpp
+++ b/src/admission/message_retries.cpp
@@ -1,4 +1,4 @@
-#include "admission/tries.h"
+#include "admission/message_retries.h"
 
 #include <algorithm>
 
--- a/src/admission/tries.h
+++ b/src/admission/message_retries.h
@@ -9,7 +9,7 @@
 #include <optional>
 #include <string>
 
-#include "admission/deliveries.h"
+#include "admission/delivery_tracker.h"
 #include "routing/types.h"
 
 namespace rushhill::admission {
--- a/src/admission/shares.cpp
+++ b/src/admission/source_quotas.cpp
@@ -1,4 +1,4 @@
-#include "admission/shares.h"
+#include "admission/source_quotas.h"
 
 #include <algorithm>
 
--- a/src/admission/yielding.cpp
+++ b/src/admission/source_throttle.cpp
@@ -1,4 +1,4 @@
-#include "admission/yielding.h"
+#include "admission/source_throttle.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/command/node.cpp
+++ b/src/command/node.cpp
@@ -7,8 +7,8 @@
 
 #include "core/event_log.h"
 #include "log/event_log.h"
+#include "node/configuration_reloader.h"
 #include "node/node.h"
-#include "node/reloader.h"
 #include "transport/descriptors.h"
 #include "transport/loop.h"
 
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -21,7 +21,7 @@
 #include "core/policy_runner.h"
 #include "core/request_lifecycle.h"
 #include "core/request_table.h"
-#include "core/source_room.h"
+#include "core/source_limiter.h"
 #include "core/timer_service.h"
 #include "core/upstream_transport.h"
 #include "routing/routing_policy.h"
--- a/src/core/request_lifecycle.h
+++ b/src/core/request_lifecycle.h
@@ -10,7 +10,7 @@
 #include "core/client.h"
 #include "core/deduplication_log.h"
 #include "core/event_log.h"
-#include "core/source_room.h"
+#include "core/source_limiter.h"
 #include "core/timer_service.h"
 #include "core/upstream_transport.h"
 
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -6,7 +6,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "admission/shares.h"
+#include "admission/source_quotas.h"
 #include "core/client.h"
 #include "core/timer_service.h"
 
--- a/src/core/source_room.h
+++ b/src/core/source_limiter.h
@@ -4,8 +4,8 @@
 
 #include <cstddef>
 
-#include "admission/shares.h"
-#include "admission/yielding.h"
+#include "admission/source_quotas.h"
+#include "admission/source_throttle.h"
 #include "routing/time.h"
 
 namespace rushhill::core {
--- a/src/frontends/mqtt_answer.h
+++ b/src/frontends/mqtt_answer.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "admission/deliveries.h"
+#include "admission/delivery_tracker.h"
 #include "events/cloudevent.h"
 #include "mqtt/packets.h"
 #include "routing/time.h"
--- a/src/frontends/mqtt_session.h
+++ b/src/frontends/mqtt_session.h
@@ -7,8 +7,8 @@
 #include <optional>
 #include <string>
 
-#include "admission/deliveries.h"
-#include "admission/tries.h"
+#include "admission/delivery_tracker.h"
+#include "admission/message_retries.h"
 #include "core/client.h"
 #include "frontends/mqtt_answer.h"
 #include "frontends/mqtt_connection.h"
--- a/src/membership/roster_client.cpp
+++ b/src/membership/endpoint_list_client.cpp
@@ -1,4 +1,4 @@
-#include "membership/roster_client.h"
+#include "membership/endpoint_list_client.h"
 
 #include <algorithm>
 #include <stdexcept>
--- a/src/membership/roster_client.h
+++ b/src/membership/endpoint_list_client.h
@@ -9,7 +9,7 @@
 
 #include "core/endpoint_list_source.h"
 #include "core/event_log.h"
-#include "membership/roster_words.h"
+#include "membership/endpoint_list_messages.h"
 #include "membership/start_times.h"
 #include "transport/reactor.h"
 
--- a/src/membership/roster_words.cpp
+++ b/src/membership/endpoint_list_messages.cpp
@@ -1,4 +1,4 @@
-#include "membership/roster_words.h"
+#include "membership/endpoint_list_messages.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/membership/board_client.cpp
+++ b/src/membership/platform_discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "membership/board_client.h"
+#include "membership/platform_discovery_client.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/membership/board_client.h
+++ b/src/membership/platform_discovery_client.h
@@ -10,7 +10,7 @@
 
 #include "core/endpoint_list_source.h"
 #include "core/event_log.h"
-#include "membership/board_words.h"
+#include "membership/platform_discovery_messages.h"
 #include "membership/start_times.h"
 #include "transport/reactor.h"
 
--- a/src/membership/board_words.cpp
+++ b/src/membership/platform_discovery_messages.cpp
@@ -1,4 +1,4 @@
-#include "membership/board_words.h"
+#include "membership/platform_discovery_messages.h"
 
 #include <array>
 #include <string>
--- a/src/node/configuration.h
+++ b/src/node/configuration.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "membership/board_words.h"
+#include "membership/platform_discovery_messages.h"
 #include "routing/configuration.h"
 
 namespace rushhill::node {
--- a/src/node/reloader.cpp
+++ b/src/node/configuration_reloader.cpp
@@ -1,4 +1,4 @@
-#include "node/reloader.h"
+#include "node/configuration_reloader.h"
 
 #include <exception>
 #include <fstream>
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -6,7 +6,7 @@
 
 #include "core/endpoint_list_source.h"
 #include "core/peer_messenger.h"
-#include "membership/board_client.h"
+#include "membership/platform_discovery_client.h"
 
 namespace rushhill::node {
 namespace {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -8,11 +8,11 @@
 #include "core/event_log.h"
 #include "core/gateway.h"
 #include "frontends/fastcgi_front.h"
-#include "membership/board_client.h"
+#include "membership/platform_discovery_client.h"
 #include "node/configuration.h"
-#include "transport/bare_peers.h"
 #include "transport/descriptors.h"
 #include "transport/reactor.h"
+#include "transport/unframed_peer_links.h"
 #include "upstream/line_pool.h"
 
 namespace rushhill::node {
--- a/src/replica/marks.cpp
+++ b/src/replica/deduplication_records.cpp
@@ -1,4 +1,4 @@
-#include "replica/marks.h"
+#include "replica/deduplication_records.h"
 
 #include <xxhash.h>
 
--- a/src/replica/state.h
+++ b/src/replica/state.h
@@ -20,7 +20,7 @@
 // How far one router has processed a request. From `admitted` on, an attempt may have been executed. Over all
 // routers the highest stage counts, so a router that never executed the request cannot hide that another one
 // may have.
-enum class Stage : std::uint32_t { none, shed, admitted, abandoned, honoured };
+enum class Stage : std::uint32_t { none, not_executed, admitted, may_have_executed, executed };
 
 // The rank of a deduplication record is its stage plus this number for each admission that ended without
 // execution. A router that rejected a request without executing it may admit it again, and the rank still
--- a/src/router/shared_state.cpp
+++ b/src/router/replicated_state.cpp
@@ -1,4 +1,4 @@
-#include "router/shared_state.h"
+#include "router/replicated_state.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/router/shared_state.h
+++ b/src/router/replicated_state.h
@@ -11,7 +11,7 @@
 #include "core/deduplication_log.h"
 #include "core/event_log.h"
 #include "deployment/deployment_file.h"
-#include "replica/marks.h"
+#include "replica/deduplication_records.h"
 #include "replicating/replica_links.h"
 #include "transport/reactor.h"
 
--- a/src/router/remembered_endpoint_list.cpp
+++ b/src/router/saved_endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "router/remembered_endpoint_list.h"
+#include "router/saved_endpoint_list.h"
 
 #include <algorithm>
 #include <cerrno>
--- a/src/router/remembered_endpoint_list.h
+++ b/src/router/saved_endpoint_list.h
@@ -14,7 +14,7 @@
 
 #include "core/event_log.h"
 #include "core/timer_service.h"
-#include "membership/roster_words.h"
+#include "membership/endpoint_list_messages.h"
 #include "storage/background_task.h"
 #include "storage/files.h"
 
--- a/src/scale/membership_costs.cpp
+++ b/src/scale/membership_costs.cpp
@@ -10,10 +10,10 @@
 
 #include "core/endpoint_list_source.h"
 #include "emulator/network.h"
-#include "membership/board_client.h"
-#include "membership/board_words.h"
-#include "membership/roster_client.h"
-#include "membership/roster_words.h"
+#include "membership/endpoint_list_client.h"
+#include "membership/endpoint_list_messages.h"
+#include "membership/platform_discovery_client.h"
+#include "membership/platform_discovery_messages.h"
 #include "scale/cost_support.h"
 #include "scale/fleet_size.h"
 #include "scale/part_costs.h"
@@ -47,7 +47,7 @@
 }
 
 // A complete list as the platform's notice board writes it: docs/platform.md,
-// tests/membership/board_test.cpp.
+// tests/membership/platform_discovery_client_test.cpp.
 std::string board_line(double server_count) {
   constexpr int revision = 1;
   settings::Json hosts = settings::Json::array();
@@ -187,7 +187,7 @@
   const std::string received = "whole list heard";
   const std::string connection = "one connection, emulated";
   return {by_servers({.name = "membership.board-list-by-servers",
-                      .mechanism = "read_line: src/membership/board_words.cpp",
+                      .mechanism = "read_line: src/membership/platform_discovery_messages.cpp",
                       .unit = list,
                       .measure = board_list_cost}),
           by_servers({.name = "membership.board-client-by-servers",
@@ -196,7 +196,7 @@
                       .fixed = connection,
                       .measure = board_client_cost}),
           by_servers({.name = "membership.roster-list-by-servers",
-                      .mechanism = "read_word: src/membership/roster_words.cpp",
+                      .mechanism = "read_word: src/membership/endpoint_list_messages.cpp",
                       .unit = list,
                       .measure = list_cost}),
           by_servers({.name = "membership.roster-client-by-servers",
@@ -205,7 +205,7 @@
                       .fixed = connection,
                       .measure = list_client_cost}),
           by_servers({.name = "membership.remembered-by-servers",
-                      .mechanism = "Remembered::hear: src/membership/roster_words.cpp",
+                      .mechanism = "Remembered::hear: src/membership/endpoint_list_messages.cpp",
                       .unit = list,
                       .measure = remembered_list_cost})};
 }
--- a/src/scale/peer_message_costs.cpp
+++ b/src/scale/peer_message_costs.cpp
@@ -6,7 +6,7 @@
 #include "scale/cost_support.h"
 #include "scale/fleet_size.h"
 #include "scale/part_costs.h"
-#include "transport/bare_peers.h"
+#include "transport/unframed_peer_links.h"
 
 namespace rushhill::scale {
 namespace {
@@ -44,7 +44,7 @@
 
 std::vector<Cost> peer_message_costs() {
   return {{"peers.message-by-routers",
-           "BarePeers: src/transport/bare_peers.cpp",
+           "BarePeers: src/transport/unframed_peer_links.cpp",
            "message to all",
            "routers",
            "no address for all at once",
--- a/src/transport/bare_peers.cpp
+++ b/src/transport/unframed_peer_links.cpp
@@ -1,4 +1,4 @@
-#include "transport/bare_peers.h"
+#include "transport/unframed_peer_links.h"
 
 #include <utility>
 
--- a/tests/admission/taking_test.cpp
+++ b/tests/admission/admission_test.cpp
@@ -9,10 +9,10 @@
 #include <limits>
 #include <vector>
 
-#include "admission/deliveries.h"
-#include "admission/shares.h"
-#include "admission/tries.h"
-#include "admission/yielding.h"
+#include "admission/delivery_tracker.h"
+#include "admission/message_retries.h"
+#include "admission/source_quotas.h"
+#include "admission/source_throttle.h"
 
 namespace rushhill::admission {
 namespace {
--- a/tests/core/attempt_execution_test.cpp
+++ b/tests/core/attempt_execution_test.cpp
@@ -2,7 +2,7 @@
 // The tests call AttemptExecution directly, between a recording transport and a recording policy.
 #include "core/attempt_execution.h"
 
-#include "core/parts_fixture.h"
+#include "core/gateway_parts_fixture.h"
 
 namespace rushhill::core {
 namespace {
--- a/tests/core/endpoint_call_execution_test.cpp
+++ b/tests/core/endpoint_call_execution_test.cpp
@@ -3,7 +3,7 @@
 // recorded.
 #include "core/endpoint_call_execution.h"
 
-#include "core/parts_fixture.h"
+#include "core/gateway_parts_fixture.h"
 
 namespace rushhill::core {
 namespace {
--- a/tests/core/request_lifecycle_test.cpp
+++ b/tests/core/request_lifecycle_test.cpp
@@ -2,7 +2,7 @@
 // replies, cancellations and admission verdicts in different orders.
 #include "core/request_lifecycle.h"
 
-#include "core/parts_fixture.h"
+#include "core/gateway_parts_fixture.h"
 
 namespace rushhill::core {
 namespace {
--- a/tests/core/source_room_test.cpp
+++ b/tests/core/source_limiter_test.cpp
@@ -1,5 +1,5 @@
 // Guards against more open requests than the limit, and against one source that uses up the share of another.
-#include "core/source_room.h"
+#include "core/source_limiter.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/fuzz/deployment_fuzz.cpp
+++ b/tests/fuzz/deployment_fuzz.cpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "deployment/deployment_file.h"
-#include "membership/roster_words.h"
+#include "membership/endpoint_list_messages.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace rushhill;
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -7,7 +7,7 @@
 
 #include "fastcgi/records.h"
 #include "line_protocol/answers.h"
-#include "membership/board_words.h"
+#include "membership/platform_discovery_messages.h"
 
 namespace {
 
--- a/tests/membership/silence_test.cpp
+++ b/tests/membership/discovery_silence_test.cpp
@@ -4,8 +4,8 @@
 // time is emulated.
 #include "emulator/network.h"
 #include "loopback.h"
-#include "membership/board_client.h"
-#include "node/platform.h"
+#include "membership/platform_discovery_client.h"
+#include "node/platform_messages.h"
 
 namespace rushhill::membership {
 namespace {
--- a/tests/membership/roster_test.cpp
+++ b/tests/membership/endpoint_list_client_test.cpp
@@ -1,6 +1,8 @@
 // A malformed or contradictory endpoint list message must not damage the list, and a broken, unreachable or
 // vanished discovery must be contacted again. The tests parse messages, and run the client against servers
 // that send wrong messages, close the connection, do not accept it or return late.
+#include "membership/endpoint_list_client.h"
+
 #include <Poco/Net/ServerSocket.h>
 #include <gtest/gtest.h>
 
@@ -10,7 +12,6 @@
 
 #include "emulator/network.h"
 #include "loopback.h"
-#include "membership/roster_client.h"
 #include "transport/listener.h"
 #include "transport/loop.h"
 
--- a/tests/membership/board_test.cpp
+++ b/tests/membership/platform_discovery_client_test.cpp
@@ -1,9 +1,10 @@
 // The client of the platform's service discovery must not lose or repeat an endpoint list event. The server
 // in these tests cuts, repeats and leaves out events, sends wrong revisions, falls silent or moves to
 // another address.
+#include "membership/platform_discovery_client.h"
+
 #include "emulator/network.h"
 #include "loopback.h"
-#include "membership/board_client.h"
 
 namespace rushhill::membership {
 namespace {
--- a/tests/membership/start_times_test.cpp
+++ b/tests/membership/start_times_test.cpp
@@ -10,8 +10,8 @@
 
 #include "emulator/network.h"
 #include "loopback.h"
-#include "membership/board_client.h"
-#include "membership/roster_client.h"
+#include "membership/endpoint_list_client.h"
+#include "membership/platform_discovery_client.h"
 
 namespace rushhill::membership {
 namespace {
--- a/tests/node/cold_processes_test.cpp
+++ b/tests/node/combined_slow_start_test.cpp
@@ -11,7 +11,7 @@
 
 #include "crowd.h"
 #include "node_process.h"
-#include "platform_story.h"
+#include "platform_fixture.h"
 
 namespace rushhill::node {
 namespace {
--- a/tests/node/whole_list_test.cpp
+++ b/tests/node/complete_list_test.cpp
@@ -2,7 +2,7 @@
 // from it are removed and drain from then on, servers with another start time are cold, and everything else
 // stays as it was.
 #include "node/node.h"
-#include "platform_story.h"
+#include "platform_fixture.h"
 
 namespace rushhill::node {
 namespace {
--- a/tests/node/deadline_test.cpp
+++ b/tests/node/deadline_test.cpp
@@ -11,7 +11,7 @@
 
 #include "node/node.h"
 #include "node_process.h"
-#include "platform_story.h"
+#include "platform_fixture.h"
 #include "transport/listener.h"
 
 namespace rushhill::node {
--- a/tests/node/final_answer_test.cpp
+++ b/tests/node/final_answer_test.cpp
@@ -4,7 +4,7 @@
 
 #include "node/node.h"
 #include "node_process.h"
-#include "platform_story.h"
+#include "platform_fixture.h"
 
 namespace rushhill::node {
 namespace {
--- a/tests/node/idle_test.cpp
+++ b/tests/node/idle_test.cpp
@@ -3,7 +3,7 @@
 // sends is counted at the sockets of its peers.
 #include "crowd.h"
 #include "node_process.h"
-#include "platform_story.h"
+#include "platform_fixture.h"
 
 namespace rushhill::node {
 namespace {
--- a/tests/node/pieces_test.cpp
+++ b/tests/node/partial_request_test.cpp
@@ -2,7 +2,7 @@
 // at a time, two interleaved on one connection, or with a pause between two pieces that is longer than the
 // client waits for the answer. A request's time counts from its last byte.
 #include "node/node.h"
-#include "platform_story.h"
+#include "platform_fixture.h"
 
 namespace rushhill::node {
 namespace {
--- a/tests/node/platform_story.h
+++ b/tests/node/platform_fixture.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "loopback.h"
-#include "platform.h"
+#include "platform_messages.h"
 
 namespace rushhill::node {
 
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -3,7 +3,7 @@
 // for a prewarm or for a connection, or are at the server that drains. The router is a separate process; the
 // tests check what its servers and clients receive.
 #include "node_process.h"
-#include "platform_story.h"
+#include "platform_fixture.h"
 
 namespace rushhill::node {
 namespace {
--- a/tests/node/requests_test.cpp
+++ b/tests/node/request_accounting_test.cpp
@@ -6,7 +6,7 @@
 
 #include "loopback.h"
 #include "node/node.h"
-#include "platform.h"
+#include "platform_messages.h"
 
 namespace rushhill::node {
 namespace {
--- a/tests/node/silence_test.cpp
+++ b/tests/node/silent_peers_test.cpp
@@ -2,7 +2,7 @@
 // another router that is stopped for seconds.
 #include "node/node.h"
 #include "node_process.h"
-#include "platform_story.h"
+#include "platform_fixture.h"
 
 namespace rushhill::node {
 namespace {
--- a/tests/node/restart_test.cpp
+++ b/tests/node/startup_test.cpp
@@ -8,7 +8,7 @@
 #include <iostream>
 
 #include "crowd.h"
-#include "platform_story.h"
+#include "platform_fixture.h"
 #include "process.h"
 
 namespace rushhill::node {
--- a/tests/node/system_calls_test.cpp
+++ b/tests/node/system_call_failures_test.cpp
@@ -4,7 +4,7 @@
 #include <cstring>
 
 #include "node/node.h"
-#include "platform_story.h"
+#include "platform_fixture.h"
 #include "simulation/faulty_system_calls.h"
 #include "transport/datagram_endpoint.h"
 
--- a/tests/node/kill_test.cpp
+++ b/tests/node/termination_test.cpp
@@ -6,7 +6,7 @@
 
 #include "crowd.h"
 #include "node_process.h"
-#include "platform_story.h"
+#include "platform_fixture.h"
 
 namespace rushhill::node {
 namespace {
--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -10,7 +10,7 @@
 
 #include "checker/judge.h"
 #include "emulator/emulation.h"
-#include "platform_story.h"
+#include "platform_fixture.h"
 #include "process.h"
 #include "simulation/bad_day.h"
 #include "simulation/day_json.h"
--- a/tests/replica/marks_test.cpp
+++ b/tests/replica/deduplication_records_test.cpp
@@ -2,7 +2,7 @@
 // has lost its records. Several routers admit requests, some of them the same, over links that deliver bytes
 // in pieces, break or are blocked, while routers restart without their records. A plain count of the
 // executions of each request is the judge.
-#include "replica/marks.h"
+#include "replica/deduplication_records.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
--- a/tests/router/remembered_endpoint_list_test.cpp
+++ b/tests/router/saved_endpoint_list_test.cpp
@@ -1,7 +1,7 @@
 // Guards against a saved endpoint list that is lost, damaged or written too often while storage fails. Runs
 // in virtual time on a file system that fails as planned, and checks the times of writes and retries, the log
 // and the metrics, and what a restarted router reads.
-#include "router/remembered_endpoint_list.h"
+#include "router/saved_endpoint_list.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/transport/bare_peers_test.cpp
+++ b/tests/transport/unframed_peer_links_test.cpp
@@ -1,6 +1,6 @@
 // Checks that datagrams without a header are attributed to the router with the sender's address, and that
 // datagrams from other addresses are ignored.
-#include "transport/bare_peers.h"
+#include "transport/unframed_peer_links.h"
 
 #include <gtest/gtest.h>
 
